--- a/sardineproxy/connection/messages.py
+++ b/sardineproxy/connection/messages.py
@@ -17,7 +17,7 @@
 
 #: Cell, its epoch, the rank of the claim, how many more average tasks the
 #: cell could start now, and whether all its stored jobs are known.
-Offer = tuple[ids.CellId, int, int, int, bool]
+Offer = tuple[ids.ShardId, int, int, int, bool]
 
 #: Route, and how many of its stored jobs have not begun.
 Pending = tuple[ids.RouteId, int]
@@ -28,7 +28,7 @@
     """Sign of life: newest configuration, and the cells that are owned."""
 
     version: int = codec.checked(codec.count)
-    cells: tuple[Offer, ...] = codec.checked(
+    shards: tuple[Offer, ...] = codec.checked(
         codec.rows(
             codec.text, codec.count, codec.count, codec.count, codec.flag
         )
@@ -47,7 +47,7 @@
     Sent again to a new owner of the cell, it takes over what still runs.
     """
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     job: ids.JobId = codec.checked(codec.text)
     step: int = codec.checked(codec.count)
     route: ids.RouteId = codec.checked(codec.text)
@@ -104,7 +104,7 @@
 class Withdraw:
     """The sender no longer wants anything of a job in a cell."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     job: ids.JobId = codec.checked(codec.text)
 
 
@@ -112,7 +112,7 @@
 class Ended:
     """A run of a task ended, or can no longer exist."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     job: ids.JobId = codec.checked(codec.text)
     step: int = codec.checked(codec.count)
     index: int = codec.checked(codec.count)
@@ -129,7 +129,7 @@
 class Declined:
     """Tasks that were not started and will not be."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     job: ids.JobId = codec.checked(codec.text)
     step: int = codec.checked(codec.count)
     indices: tuple[int, ...] = codec.checked(codec.counts)
@@ -151,14 +151,14 @@
 class Disowned:
     """The sender no longer owns the cell."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TakeOver:
     """Asks the receiver to claim a cell: its owner shuts down."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -198,7 +198,7 @@
 class JobBegun:
     """A task of a stored job was ordered."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     job: ids.JobId = codec.checked(codec.text)
 
 
@@ -206,7 +206,7 @@
 class EndsNoted:
     """Ends of a stored job's tasks are stored: workers may forget them."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     job: ids.JobId = codec.checked(codec.text)
     step: int = codec.checked(codec.count)
 
@@ -220,7 +220,7 @@
 class KeepJob:
     """Asks the owner of a job's home cell to store it."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
 
     #: Number by which the answer is told from others.
     token: int = codec.checked(codec.count)
@@ -233,7 +233,7 @@
 class AskJob:
     """Asks for the state of a stored job, or cancels it."""
 
-    cell: ids.CellId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked(codec.text)
     token: int = codec.checked(codec.count)
     job: ids.JobId = codec.checked(codec.text)
     cancel: bool = codec.checked(codec.flag)
--- a/sardineproxy/ids.py
+++ b/sardineproxy/ids.py
@@ -24,7 +24,7 @@
 WorkerId = NewType('WorkerId', str)
 
 #: The workers of one availability zone that one entry VM dispatches to.
-CellId = NewType('CellId', str)
+ShardId = NewType('ShardId', str)
 
 #: Name of a service, a pool of workers that run the same tasks.
 ServiceId = NewType('ServiceId', str)
--- a/sardineproxy/platform/roster.py
+++ b/sardineproxy/platform/roster.py
@@ -8,7 +8,7 @@
 from sardineproxy import ids
 from sardineproxy.platform import fields
 from sardineproxy.process import store
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
 #: Table in which workers register themselves, one row each under its id.
--- a/sardineproxy/platform/worker_http.py
+++ b/sardineproxy/platform/worker_http.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 from sardineproxy.platform import fields, http_calls
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 
 _MS_PER_S = 1000
 
--- a/sardineproxy/process/keeping/execution.py
+++ b/sardineproxy/process/keeping/execution.py
@@ -43,7 +43,7 @@
     """The new cell of tasks is stored, so that they can be sent there."""
 
     tasks: tuple[open_tasks.OpenTask, ...]
-    cell: ids.CellId
+    shard: ids.ShardId
 
 
 Event = (
@@ -61,7 +61,7 @@
 class _Note:
     """An end that its worker may forget once it is stored."""
 
-    cell: ids.CellId
+    shard: ids.ShardId
     step: int
     index: int
     run: int
@@ -75,7 +75,7 @@
         *,
         stored: records.StoredJob,
         progress: records.Progress,
-        home: ids.CellId,
+        home: ids.ShardId,
         router: Router,
         rows: table.JobTable,
         clock: clock.Clock,
@@ -200,13 +200,13 @@
                 self._take_declined(event)
             case messages.JobBegun():
                 self.has_begun = True
-            case open_tasks.OwnerLost(cell=cell):
+            case open_tasks.OwnerLost(shard=shard):
                 self._open.strand(event)
-                self._open.resume(cell, begun=True)
-            case open_tasks.OwnerFound(cell=cell):
-                self._open.resume(cell, begun=True)
-            case _MoveStored(tasks=tasks, cell=cell):
-                self._finish_move(tasks, cell)
+                self._open.resume(shard, begun=True)
+            case open_tasks.OwnerFound(shard=shard):
+                self._open.resume(shard, begun=True)
+            case _MoveStored(tasks=tasks, shard=shard):
+                self._finish_move(tasks, shard)
 
     def _use_route(self) -> None:
         """Use the route as the version in force has it."""
@@ -233,11 +233,11 @@
                 self._begin_steps()
                 return
             self._open.add(tasks)
-            cells = {task.cell for task in tasks}
-            for cell in cells:
+            shards = {task.shard for task in tasks}
+            for shard in shards:
                 self._open.send(
-                    [task for task in tasks if task.cell == cell],
-                    firm=cell != self._home,
+                    [task for task in tasks if task.shard == shard],
+                    firm=shard != self._home,
                     begun=self._resumed,
                 )
 
@@ -246,8 +246,8 @@
         known = self._progress.failed.get(task.key)
         if known is not None:
             task.number = known.number
-        task.cell = self._progress.moved.get(task.key, self._home)
-        task.was_moved = task.cell != self._home
+        task.shard = self._progress.moved.get(task.key, self._home)
+        task.was_moved = task.shard != self._home
         task.resumed = self._resumed
         return task
 
@@ -304,27 +304,27 @@
 
         The next keeper must ask for them there.
         """
-        tasks = self._open.in_cell(
-            declined.step, declined.indices, declined.cell
+        tasks = self._open.in_shard(
+            declined.step, declined.indices, declined.shard
         )
         if not tasks:
             return
-        other = ids.CellId(declined.other or self._home)
+        other = ids.ShardId(declined.other or self._home)
         for task in tasks:
             self._progress.moved[task.key] = other
             task.source = None
             task.is_moving = True
-        moved = _MoveStored(tasks=tuple(tasks), cell=other)
+        moved = _MoveStored(tasks=tuple(tasks), shard=other)
         self._put_progress().add_done_callback(
             functools.partial(self._tell_stored, moved)
         )
 
     def _finish_move(
-        self, tasks: tuple[open_tasks.OpenTask, ...], cell: ids.CellId
+        self, tasks: tuple[open_tasks.OpenTask, ...], shard: ids.ShardId
     ) -> None:
         left = [task for task in tasks if self._open.get(task.key) is task]
         if left:
-            self._open.move(left, cell, begun=self.has_begun)
+            self._open.move(left, shard, begun=self.has_begun)
 
     def _store_progress(self) -> None:
         """Store what changed, and let workers forget the ends of it."""
@@ -368,11 +368,11 @@
 
     def _send_notes(self, notes: list[_Note]) -> None:
         for note in notes:
-            source = self._router.owner(note.cell)
+            source = self._router.owner(note.shard)
             if source is not None:
                 source.send(
                     messages.EndsNoted(
-                        cell=note.cell,
+                        shard=note.shard,
                         job=self.stored.job.job,
                         step=note.step,
                         ends=((note.index, note.run),),
@@ -381,4 +381,4 @@
 
 
 def _note(end: messages.Ended) -> _Note:
-    return _Note(cell=end.cell, step=end.step, index=end.index, run=end.run)
+    return _Note(shard=end.shard, step=end.step, index=end.index, run=end.run)
--- a/sardineproxy/process/keeping/guarded_rows.py
+++ b/sardineproxy/process/keeping/guarded_rows.py
@@ -15,7 +15,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.process import metrics, store
-from sardineproxy.process.cells import fences
+from sardineproxy.process.shards import fences
 
 #: Table of stored jobs in the platform's store, in one part for each cell.
 TABLE = 'sardineproxy_jobs'
@@ -56,13 +56,13 @@
     def __init__(
         self,
         *,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         guard: Guard,
         store: store.Store,
         metrics: metrics.Metrics,
     ) -> None:
         """Prepare; ``take`` comes before all else."""
-        self.cell = cell
+        self.shard = shard
         self.guard = guard
         self._store = store
         self._metrics = metrics
@@ -75,7 +75,7 @@
     async def take(self) -> Sent:
         """Become the writer of the rows."""
         self._count_call()
-        found = await self._store.get(GUARD_KEY, part=self.cell)
+        found = await self._store.get(GUARD_KEY, part=self.shard)
         if isinstance(found, result.Err):
             self._note_failure(found.err_value)
             return Sent.UNKNOWN
@@ -92,7 +92,7 @@
     async def read(self) -> tuple[store.Row, ...] | None:
         """Return all rows, None if the store does not tell them."""
         self._count_call()
-        answer = await self._store.read(TABLE, part=self.cell)
+        answer = await self._store.read(TABLE, part=self.shard)
         if isinstance(answer, result.Err):
             self._note_failure(answer.err_value)
             return None
@@ -112,12 +112,12 @@
                 ),
             ),
             writes=tuple(
-                store.Write(key=key, part=self.cell, body=body)
+                store.Write(key=key, part=self.shard, body=body)
                 for key, body in changes.items()
                 if body is not None
             ),
             removals=tuple(
-                store.Removal(key=key, part=self.cell)
+                store.Removal(key=key, part=self.shard)
                 for key, body in changes.items()
                 if body is None and key in self._revisions
             ),
@@ -142,7 +142,7 @@
             writes=(
                 store.Write(
                     key=GUARD_KEY,
-                    part=self.cell,
+                    part=self.shard,
                     body=_encode_guard(self.guard),
                 ),
             ),
@@ -175,14 +175,14 @@
     async def _get(self, key: str) -> store.Row | None:
         """Return a row, None if the store does not tell it."""
         self._count_call()
-        answer = await self._store.get(key, part=self.cell)
+        answer = await self._store.get(key, part=self.shard)
         if isinstance(answer, result.Err):
             self._note_failure(answer.err_value)
             return None
         return answer.ok_value
 
     def _condition(self, key: str, revision: int) -> store.Condition:
-        return store.Condition(key=key, part=self.cell, revision=revision)
+        return store.Condition(key=key, part=self.shard, revision=revision)
 
     def _note_revisions(self, changes: Changes, revision: int) -> None:
         for key, body in changes.items():
@@ -199,7 +199,7 @@
         _LOG.info(
             'Store did not answer well.',
             extra={
-                'cell': self.cell,
+                'cell': self.shard,
                 'epoch': self.guard.right.epoch,
                 'kind': error.kind.value,
                 'cause': error.detail,
--- a/sardineproxy/process/keeping/homes.py
+++ b/sardineproxy/process/keeping/homes.py
@@ -35,15 +35,15 @@
     """What the homes need to know."""
 
     @property
-    def all_cells(self) -> Iterable[ids.CellId]:
+    def all_shards(self) -> Iterable[ids.ShardId]:
         """Return all cells of the deployment."""
 
-    def owner(self, cell: ids.CellId) -> link.Link | None:
+    def owner(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
 
 
 #: Returns the question to a cell's owner for a token.
-_Question = Callable[[ids.CellId, int], messages.Message]
+_Question = Callable[[ids.ShardId, int], messages.Message]
 
 
 class Homes:
@@ -57,7 +57,7 @@
         self._asked: dict[int, asyncio.Future[_Answer]] = {}
         self._links: dict[int, link.Link] = {}
         self._tasks = background.Tasks()
-        self.keepers: dict[ids.CellId, keeper.Keeper] = {}
+        self.keepers: dict[ids.ShardId, keeper.Keeper] = {}
 
     async def close(self) -> None:
         """Stop answering; keepers stay as they are stored."""
@@ -65,18 +65,18 @@
         for each in self.keepers.values():
             await each.close()
 
-    def home_of(self, job: ids.JobId) -> ids.CellId:
+    def home_of(self, job: ids.JobId) -> ids.ShardId:
         """Return the cell that keeps a job, the same at all VMs."""
-        return rendezvous.rank(job, self._around.all_cells)[0]
+        return rendezvous.rank(job, self._around.all_shards)[0]
 
     def add(self, kept: keeper.Keeper) -> None:
         """Keep the jobs of a cell that this process owns now."""
-        self.keepers[kept.cell] = kept
+        self.keepers[kept.shard] = kept
         kept.start()
 
-    def drop(self, cell: ids.CellId) -> None:
+    def drop(self, shard: ids.ShardId) -> None:
         """Leave the jobs of a cell to its next owner."""
-        lost = self.keepers.pop(cell, None)
+        lost = self.keepers.pop(shard, None)
         if lost is not None:
             self._tasks.spawn(lost.close())
 
@@ -90,8 +90,8 @@
         return await self._ask_home(
             stored.job.job,
             wait_s,
-            lambda cell, token: messages.KeepJob(
-                cell=cell, token=token, record=body
+            lambda shard, token: messages.KeepJob(
+                shard=shard, token=token, record=body
             ),
         )
 
@@ -102,14 +102,14 @@
         return await self._ask_home(
             job,
             wait_s,
-            lambda cell, token: messages.AskJob(
-                cell=cell, token=token, job=job, cancel=cancel
+            lambda shard, token: messages.AskJob(
+                shard=shard, token=token, job=job, cancel=cancel
             ),
         )
 
-    def loaded(self) -> list[ids.CellId]:
+    def loaded(self) -> list[ids.ShardId]:
         """Return the cells whose stored jobs this process knows."""
-        return [cell for cell, each in self.keepers.items() if each.is_loaded]
+        return [shard for shard, each in self.keepers.items() if each.is_loaded]
 
     def pending(self) -> dict[ids.RouteId, int]:
         """Return how many jobs of each route have not begun here."""
@@ -167,11 +167,11 @@
 
         The answer is UNKNOWN if an owner was asked and did not answer.
         """
-        cell = self.home_of(job)
+        shard = self.home_of(job)
         until = self._clock.now() + min(wait_s - MARGIN_S, ANSWER_WAIT_S)
         worst = _Answer.UNAVAILABLE
         while True:
-            answer = await self._ask_once(cell, question)
+            answer = await self._ask_once(shard, question)
             if answer is _Answer.REFUSED and worst is _Answer.UNKNOWN:
                 # What an earlier question did is not known.
                 return worst
@@ -184,9 +184,9 @@
             await asyncio.sleep(RETRY_S)
 
     async def _ask_once(
-        self, cell: ids.CellId, question: _Question
+        self, shard: ids.ShardId, question: _Question
     ) -> keeper.KeeperAnswer:
-        source = self._around.owner(cell)
+        source = self._around.owner(shard)
         if source is None:
             return _Answer.UNAVAILABLE
         token = next(self._tokens)
@@ -196,7 +196,7 @@
         self._asked[token] = waiting
         self._links[token] = source
         try:
-            if not source.send(question(cell, token)):
+            if not source.send(question(shard, token)):
                 return _Answer.UNAVAILABLE
             async with asyncio.timeout(ONE_ANSWER_S):
                 return await waiting
@@ -215,7 +215,7 @@
     async def _find_answer(
         self, asked: messages.KeepJob | messages.AskJob
     ) -> keeper.KeeperAnswer:
-        kept = self.keepers.get(asked.cell)
+        kept = self.keepers.get(asked.shard)
         if kept is None:
             return _Answer.UNAVAILABLE
         match asked:
--- a/sardineproxy/process/keeping/keeper.py
+++ b/sardineproxy/process/keeping/keeper.py
@@ -82,7 +82,7 @@
 
         States of ended jobs are kept for ``states_s``.
         """
-        self.cell = rows.cell
+        self.shard = rows.shard
         self._rows = rows
         self._router = router
         self._clock = clock
@@ -168,7 +168,7 @@
             if self.is_loaded:
                 source.send(
                     messages.EndsNoted(
-                        cell=message.cell,
+                        shard=message.shard,
                         job=message.job,
                         step=message.step,
                         ends=((message.index, message.run),),
@@ -185,7 +185,7 @@
     def state(self, now: float) -> dict[str, object]:
         """Return what is kept, for the state dump."""
         return {
-            'cell': self.cell,
+            'cell': self.shard,
             'loaded': self._is_loaded,
             'unstored_s': round(self._rows.unstored_s(now), 3),
             'superseded': self._rows.is_superseded,
@@ -227,7 +227,7 @@
         _LOG.info(
             'Stored jobs taken over.',
             extra={
-                'cell': self.cell,
+                'cell': self.shard,
                 'epoch': self._rows.epoch,
                 'open': len(self._open),
                 'ended': len(self._ended),
@@ -268,7 +268,7 @@
         started = execution.Execution(
             stored=stored,
             progress=progress,
-            home=self.cell,
+            home=self.shard,
             router=self._router,
             rows=self._rows,
             clock=self._clock,
@@ -342,5 +342,5 @@
             if old:
                 _LOG.info(
                     'States removed.',
-                    extra={'cell': self.cell, 'jobs': len(old)},
+                    extra={'cell': self.shard, 'jobs': len(old)},
                 )
--- a/sardineproxy/process/keeping/records.py
+++ b/sardineproxy/process/keeping/records.py
@@ -76,7 +76,7 @@
     )
 
     #: Cells of the tasks that were sent on from the job's home cell.
-    moved: dict[open_tasks.TaskKey, ids.CellId] = dataclasses.field(
+    moved: dict[open_tasks.TaskKey, ids.ShardId] = dataclasses.field(
         default_factory=dict
     )
 
@@ -143,7 +143,7 @@
                 (*key, task.failures, task.number)
                 for key, task in progress.failed.items()
             ],
-            [(*key, cell) for key, cell in progress.moved.items()],
+            [(*key, shard) for key, shard in progress.moved.items()],
         ]
     )
     return packed
@@ -163,8 +163,8 @@
                     for step, index, failures, number in failed
                 },
                 moved={
-                    (int(step), int(index)): ids.CellId(cell)
-                    for step, index, cell in moved
+                    (int(step), int(index)): ids.ShardId(shard)
+                    for step, index, shard in moved
                 },
             )
         )
--- a/sardineproxy/process/keeping/table.py
+++ b/sardineproxy/process/keeping/table.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         *,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         guard: guarded_rows.Guard,
         store: store.Store,
         clock: clock.Clock,
@@ -59,10 +59,10 @@
         metrics: metrics.Metrics,
     ) -> None:
         """Prepare; ``open`` must end well before anything is written."""
-        self.cell = cell
+        self.shard = shard
         self.epoch = guard.right.epoch
         self._rows = guarded_rows.GuardedRows(
-            cell=cell, guard=guard, store=store, metrics=metrics
+            shard=shard, guard=guard, store=store, metrics=metrics
         )
         self._clock = clock
         self._rng = rng
@@ -250,7 +250,7 @@
         self.is_superseded = True
         _LOG.warning(
             'Another owner writes the jobs.',
-            extra={'cell': self.cell, 'epoch': self.epoch},
+            extra={'cell': self.shard, 'epoch': self.epoch},
         )
         _settle(self._waiting.values(), stored=False)
         self._waiting.clear()
--- a/sardineproxy/process/membership/keepers.py
+++ b/sardineproxy/process/membership/keepers.py
@@ -21,22 +21,22 @@
 
     def __init__(self) -> None:
         """Start without words."""
-        self._by_cell: dict[ids.CellId, Kept] = {}
+        self._by_shard: dict[ids.ShardId, Kept] = {}
 
     def note(
-        self, vm: ids.VmId, cells: Iterable[ids.CellId], now: float
+        self, vm: ids.VmId, shards: Iterable[ids.ShardId], now: float
     ) -> None:
         """Note of which cells a VM knows all stored jobs."""
-        kept = set(cells)
-        for cell, known in list(self._by_cell.items()):
-            if known.vm == vm and cell not in kept:
-                self._by_cell.pop(cell)
-        for cell in kept:
-            known_here = self._by_cell.get(cell)
+        kept = set(shards)
+        for shard, known in list(self._by_shard.items()):
+            if known.vm == vm and shard not in kept:
+                self._by_shard.pop(shard)
+        for shard in kept:
+            known_here = self._by_shard.get(shard)
             if known_here is None or known_here.vm != vm:
-                self._by_cell[cell] = Kept(vm=vm, since=now)
+                self._by_shard[shard] = Kept(vm=vm, since=now)
 
-    def get(self, cell: ids.CellId, owner: ids.VmId | None) -> Kept | None:
+    def get(self, shard: ids.ShardId, owner: ids.VmId | None) -> Kept | None:
         """Return what a cell's owner has said, None if nothing."""
-        known = self._by_cell.get(cell)
+        known = self._by_shard.get(shard)
         return known if known is not None and known.vm == owner else None
--- a/sardineproxy/process/membership/owners.py
+++ b/sardineproxy/process/membership/owners.py
@@ -5,7 +5,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.connection import messages
-from sardineproxy.process.cells import fences, rooms
+from sardineproxy.process.shards import fences, rooms
 from sardineproxy.process.membership import keepers
 
 _LOG = logs.get_logger('owners')
@@ -16,10 +16,10 @@
     """What a new choice of owners changed."""
 
     #: Cells of this VM that another VM owns under a higher right.
-    lost: dict[ids.CellId, ids.VmId]
+    lost: dict[ids.ShardId, ids.VmId]
 
     #: Cells that have a new owner.
-    found: list[ids.CellId]
+    found: list[ids.ShardId]
 
 
 class Owners:
@@ -28,9 +28,9 @@
     def __init__(self, *, me: ids.VmId) -> None:
         """Start without owners."""
         self._me = me
-        self._offers: dict[ids.VmId, dict[ids.CellId, fences.Right]] = {}
+        self._offers: dict[ids.VmId, dict[ids.ShardId, fences.Right]] = {}
         #: Owner of each cell.
-        self.by_cell: dict[ids.CellId, ids.VmId] = {}
+        self.by_shard: dict[ids.ShardId, ids.VmId] = {}
 
         #: How much room each cell has.
         self.rooms = rooms.Rooms()
@@ -43,26 +43,26 @@
 
     def take(self, vm: ids.VmId, beat: messages.Beat, now: float) -> bool:
         """Note what a VM owns; tell whether that has changed."""
-        rights: dict[ids.CellId, fences.Right] = {}
-        for cell, epoch, rank, free, _ in beat.cells:
-            rights[cell] = fences.Right(epoch=epoch, rank=rank)
-            self.rooms.note(cell, free, now)
+        rights: dict[ids.ShardId, fences.Right] = {}
+        for shard, epoch, rank, free, _ in beat.shards:
+            rights[shard] = fences.Right(epoch=epoch, rank=rank)
+            self.rooms.note(shard, free, now)
         self.keepers.note(
-            vm, (offer[0] for offer in beat.cells if offer[-1]), now
+            vm, (offer[0] for offer in beat.shards if offer[-1]), now
         )
         self._pending[vm] = beat.pending
         changed = self._offers.get(vm) != rights
         self._offers[vm] = rights
         return changed
 
-    def forget(self, vm: ids.VmId, cell: ids.CellId | None = None) -> None:
+    def forget(self, vm: ids.VmId, shard: ids.ShardId | None = None) -> None:
         """Forget what a VM owns, or that it owns one cell."""
-        if cell is None:
+        if shard is None:
             self._offers.pop(vm, None)
             self._pending.pop(vm, None)
             self.keepers.note(vm, (), 0)
         else:
-            self._offers.get(vm, {}).pop(cell, None)
+            self._offers.get(vm, {}).pop(shard, None)
 
     def pending(self, route: ids.RouteId) -> int:
         """Return how many stored jobs of a route wait at other VMs."""
@@ -73,26 +73,26 @@
             if waiting == route
         )
 
-    def choose(self, own: Mapping[ids.CellId, fences.Right]) -> Change:
+    def choose(self, own: Mapping[ids.ShardId, fences.Right]) -> Change:
         """Use the owner with the highest right for each cell.
 
         ``own`` are the rights of this VM.
         """
         best = self._highest_offers()
-        lost: dict[ids.CellId, ids.VmId] = {}
-        for cell, right in own.items():
-            offered = best.get(cell)
+        lost: dict[ids.ShardId, ids.VmId] = {}
+        for shard, right in own.items():
+            offered = best.get(shard)
             if offered is not None and offered[0] > right:
-                lost[cell] = offered[1]
+                lost[shard] = offered[1]
             else:
-                best[cell] = (right, self._me)
-        former = self.by_cell
-        self.by_cell = {owned: chosen[1] for owned, chosen in best.items()}
+                best[shard] = (right, self._me)
+        former = self.by_shard
+        self.by_shard = {owned: chosen[1] for owned, chosen in best.items()}
         for gone in set(former).difference(best):
             self.rooms.forget(gone)
         found = [
             owned
-            for owned, owner in self.by_cell.items()
+            for owned, owner in self.by_shard.items()
             if former.get(owned) != owner
         ]
         for changed in found:
@@ -101,20 +101,20 @@
 
     def _highest_offers(
         self,
-    ) -> dict[ids.CellId, tuple[fences.Right, ids.VmId]]:
-        best: dict[ids.CellId, tuple[fences.Right, ids.VmId]] = {}
+    ) -> dict[ids.ShardId, tuple[fences.Right, ids.VmId]]:
+        best: dict[ids.ShardId, tuple[fences.Right, ids.VmId]] = {}
         for vm, rights in self._offers.items():
-            for cell, right in rights.items():
-                if cell not in best or right > best[cell][0]:
-                    best[cell] = (right, vm)
+            for shard, right in rights.items():
+                if shard not in best or right > best[shard][0]:
+                    best[shard] = (right, vm)
         return best
 
 
-def _log_owner(cell: ids.CellId, right: fences.Right, vm: ids.VmId) -> None:
+def _log_owner(shard: ids.ShardId, right: fences.Right, vm: ids.VmId) -> None:
     _LOG.info(
         'Owner of cell.',
         extra={
-            'cell': cell,
+            'cell': shard,
             'owner': vm,
             'epoch': right.epoch,
             'rank': right.rank,
--- a/sardineproxy/process/membership/registry.py
+++ b/sardineproxy/process/membership/registry.py
@@ -11,7 +11,7 @@
 TABLE = 'sardineproxy'
 
 _MEMBER = f'{TABLE}/member/'
-_CELL = f'{TABLE}/cell/'
+_SHARD = f'{TABLE}/cell/'
 
 _LOG = logs.get_logger('registry')
 
@@ -39,7 +39,7 @@
 class Claim:
     """Who owns a cell."""
 
-    cell: ids.CellId
+    cell: ids.ShardId
 
     #: Rises with each change of the row, so that a fence made from it does.
     epoch: int
@@ -60,7 +60,7 @@
         """Start without members and claims."""
         self._rows: dict[str, store.Row] = {}
         self.members: dict[ids.VmId, Member] = {}
-        self.claims: dict[ids.CellId, Claim] = {}
+        self.claims: dict[ids.ShardId, Claim] = {}
 
     def offer(self, rows: Iterable[store.Row]) -> bool:
         """Take rows that are newer; tell whether one was."""
@@ -81,7 +81,7 @@
         try:
             if row.key.startswith(_MEMBER):
                 self._take_member(row)
-            elif row.key.startswith(_CELL):
+            elif row.key.startswith(_SHARD):
                 self._take_claim(row)
         except (ValueError, KeyError, TypeError) as exc:
             _LOG.error(
@@ -105,13 +105,13 @@
         )
 
     def _take_claim(self, row: store.Row) -> None:
-        cell = ids.CellId(row.key.removeprefix(_CELL))
+        shard = ids.ShardId(row.key.removeprefix(_SHARD))
         if row.body is None:
-            self.claims.pop(cell, None)
+            self.claims.pop(shard, None)
             return
         document = json.loads(row.body)
-        self.claims[cell] = Claim(
-            cell=cell,
+        self.claims[shard] = Claim(
+            cell=shard,
             epoch=int(document['epoch']),
             owner=_to_process(document['owner']),
             heirs=tuple(map(_to_process, document['heirs'])),
@@ -138,9 +138,9 @@
     )
 
 
-def cell_key(cell: ids.CellId) -> str:
+def shard_key(shard: ids.ShardId) -> str:
     """Return the key of a cell's row."""
-    return f'{_CELL}{cell}'
+    return f'{_SHARD}{shard}'
 
 
 def claim_write(claim: Claim) -> store.Write:
@@ -151,5 +151,5 @@
         'heirs': claim.heirs,
     }
     return store.Write(
-        key=cell_key(claim.cell), body=json.dumps(document).encode()
+        key=shard_key(claim.cell), body=json.dumps(document).encode()
     )
--- a/sardineproxy/process/membership/worker_list.py
+++ b/sardineproxy/process/membership/worker_list.py
@@ -6,7 +6,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.process import store
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.process.membership import following
 
 #: Time for which a worker stays listed here after its entry is gone, and for
@@ -61,10 +61,10 @@
                 self._gone_at.pop(worker_id)
                 self._workers.pop(worker_id, None)
 
-    def of_cell(self, cell: ids.CellId) -> list[workers.Worker]:
+    def of_shard(self, shard: ids.ShardId) -> list[workers.Worker]:
         """Return the workers of a cell."""
         return [
-            worker for worker in self._workers.values() if worker.zone == cell
+            worker for worker in self._workers.values() if worker.zone == shard
         ]
 
     def _note_malformed(
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -6,7 +6,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.process import store
-from sardineproxy.process.cells import fences
+from sardineproxy.process.shards import fences
 from sardineproxy.process.membership import registry
 
 #: Time without an owner after which the first candidate claims a cell, in
@@ -51,24 +51,24 @@
         store: store.Store,
         directory: registry.Registry,
         me: registry.Member,
-        on_right: Callable[[ids.CellId, fences.Right], None],
+        on_right: Callable[[ids.ShardId, fences.Right], None],
     ) -> None:
         """Call ``on_right`` with each right that this process wins."""
         self._store = store
         self._directory = directory
         self._me = me
         self._on_right = on_right
-        self._absent_since: dict[ids.CellId, float] = {}
-        self._retry_at: dict[ids.CellId, float] = {}
-        self._stale_since: dict[ids.CellId, float] = {}
-        self._signed_at: dict[ids.CellId, float] = {}
-        self._seen_owner: set[ids.CellId] = set()
-        self._seen_revision: dict[ids.CellId, int] = {}
-        self._reached_since: dict[ids.CellId, float] = {}
+        self._absent_since: dict[ids.ShardId, float] = {}
+        self._retry_at: dict[ids.ShardId, float] = {}
+        self._stale_since: dict[ids.ShardId, float] = {}
+        self._signed_at: dict[ids.ShardId, float] = {}
+        self._seen_owner: set[ids.ShardId] = set()
+        self._seen_revision: dict[ids.ShardId, int] = {}
+        self._reached_since: dict[ids.ShardId, float] = {}
 
     def due(
         self,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         *,
         owner: ids.VmId | None,
         in_reach: frozenset[ids.VmId],
@@ -76,49 +76,49 @@
     ) -> bool:
         """Tell whether this process should claim a cell now."""
         if owner is not None:
-            self._seen_owner.add(cell)
-            self._absent_since.pop(cell, None)
-            self._reached_since.pop(cell, None)
+            self._seen_owner.add(shard)
+            self._absent_since.pop(shard, None)
+            self._reached_since.pop(shard, None)
             return False
-        claim = self._directory.claims.get(cell)
+        claim = self._directory.claims.get(shard)
         revision = claim.revision if claim else 0
-        if self._seen_revision.setdefault(cell, revision) != revision:
+        if self._seen_revision.setdefault(shard, revision) != revision:
             # Its owner wrote its row: it lives, though not in reach.
-            self._seen_revision[cell] = revision
-            self._absent_since.pop(cell, None)
-            self._reached_since.pop(cell, None)
-        since = self._absent_since.setdefault(cell, now)
-        if now < self._retry_at.get(cell, 0):
+            self._seen_revision[shard] = revision
+            self._absent_since.pop(shard, None)
+            self._reached_since.pop(shard, None)
+        since = self._absent_since.setdefault(shard, now)
+        if now < self._retry_at.get(shard, 0):
             return False
-        return now - since >= self._patience_s(cell, in_reach)
+        return now - since >= self._patience_s(shard, in_reach)
 
-    def postpone(self, cell: ids.CellId, now: float) -> None:
+    def postpone(self, shard: ids.ShardId, now: float) -> None:
         """Do not try a claim again at once."""
-        self._retry_at[cell] = now + RETRY_S
+        self._retry_at[shard] = now + RETRY_S
 
     def note_reach(
-        self, cell: ids.CellId, *, reached: bool, now: float
+        self, shard: ids.ShardId, *, reached: bool, now: float
     ) -> bool:
         """Note whether workers of another zone's cell can be reached.
 
         Returns whether they could for long enough to claim it.
         """
         if not reached:
-            self._reached_since.pop(cell, None)
+            self._reached_since.pop(shard, None)
             return False
-        since = self._reached_since.setdefault(cell, now)
+        since = self._reached_since.setdefault(shard, now)
         return now - since >= FOREIGN_CLAIM_S
 
-    async def claim(self, cell: ids.CellId, now: float) -> None:
+    async def claim(self, shard: ids.ShardId, now: float) -> None:
         """Write a claim; take the right of an heir if that is impossible."""
-        self.postpone(cell, now)
-        self._signed_at[cell] = now
-        old = self._directory.claims.get(cell)
+        self.postpone(shard, now)
+        self._signed_at[shard] = now
+        old = self._directory.claims.get(shard)
         claim = registry.Claim(
-            cell=cell,
+            cell=shard,
             epoch=old.epoch + 1 if old else 1,
             owner=self._process(),
-            heirs=self.heirs(cell),
+            heirs=self.heirs(shard),
             revision=old.revision if old else 0,
         )
         write = registry.claim_write(claim)
@@ -138,31 +138,31 @@
                     ),
                 )
             )
-            self._log('Cell claimed.', cell, claim.epoch, 0, '')
-            self._on_right(cell, fences.Right(epoch=claim.epoch, rank=0))
+            self._log('Cell claimed.', shard, claim.epoch, 0, '')
+            self._on_right(shard, fences.Right(epoch=claim.epoch, rank=0))
             return
         self._log(
-            'Claim failed.', cell, claim.epoch, 0, answer.err_value.detail
+            'Claim failed.', shard, claim.epoch, 0, answer.err_value.detail
         )
         if answer.err_value.kind is not store.ErrorKind.CONFLICT:
-            self._inherit(cell, old)
+            self._inherit(shard, old)
 
-    def heirs(self, cell: ids.CellId) -> tuple[registry.Process, ...]:
+    def heirs(self, shard: ids.ShardId) -> tuple[registry.Process, ...]:
         """Return who may follow this process as owner, in order."""
         return tuple(
             (member.vm, member.incarnation)
-            for member in self._candidates(cell)
+            for member in self._candidates(shard)
             if member.vm != self._me.vm
         )[: fences.MAX_HEIRS]
 
-    def heirs_of_claim(self, cell: ids.CellId) -> list[ids.VmId]:
+    def heirs_of_claim(self, shard: ids.ShardId) -> list[ids.VmId]:
         """Return the VMs that may inherit a cell by its present claim."""
-        claim = self._directory.claims.get(cell)
+        claim = self._directory.claims.get(shard)
         return [] if claim is None else [vm for vm, _ in claim.heirs]
 
     def is_heir(self) -> bool:
         """Tell whether this VM is among the first to own its zone's cell."""
-        first = self._candidates(ids.CellId(self._me.zone))[:LINKED_CANDIDATES]
+        first = self._candidates(ids.ShardId(self._me.zone))[:LINKED_CANDIDATES]
         return any(candidate.vm == self._me.vm for candidate in first)
 
     def needs_link(self, one: ids.VmId, other: ids.VmId) -> bool:
@@ -173,7 +173,7 @@
 
     def is_stale(
         self,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         right: fences.Right,
         *,
         isolated: bool,
@@ -184,15 +184,15 @@
         It should after an inheritance, when its heirs have changed, and as a
         sign of life to other zones while no other VM is in reach.
         """
-        claim = self._directory.claims.get(cell)
-        if now < self._retry_at.get(cell, 0):
+        claim = self._directory.claims.get(shard)
+        if now < self._retry_at.get(shard, 0):
             return False
         if isolated:
-            return now - self._signed_at.get(cell, 0) >= SIGN_S
+            return now - self._signed_at.get(shard, 0) >= SIGN_S
         if claim is not None and self._is_mine(claim, right):
-            self._stale_since.pop(cell, None)
+            self._stale_since.pop(shard, None)
             return False
-        since = self._stale_since.setdefault(cell, now)
+        since = self._stale_since.setdefault(shard, now)
         return now - since >= REFRESH_S
 
     def _serves(self, one: ids.VmId, other: ids.VmId) -> bool:
@@ -204,7 +204,7 @@
         member = self._directory.members.get(other)
         if member is None:
             return False
-        first = self._candidates(ids.CellId(member.zone))[:LINKED_CANDIDATES]
+        first = self._candidates(ids.ShardId(member.zone))[:LINKED_CANDIDATES]
         return any(candidate.vm == one for candidate in first)
 
     def _is_mine(self, claim: registry.Claim, right: fences.Right) -> bool:
@@ -218,24 +218,24 @@
     def _process(self) -> registry.Process:
         return self._me.vm, self._me.incarnation
 
-    def _candidates(self, cell: ids.CellId) -> list[registry.Member]:
+    def _candidates(self, shard: ids.ShardId) -> list[registry.Member]:
         """Return the VMs of the cell's zone, the largest first."""
         members = [
             member
             for member in self._directory.members.values()
-            if member.zone == cell
+            if member.zone == shard
         ]
         return sorted(members, key=lambda each: (-each.cores, each.vm))
 
     def _patience_s(
-        self, cell: ids.CellId, in_reach: frozenset[ids.VmId]
+        self, shard: ids.ShardId, in_reach: frozenset[ids.VmId]
     ) -> float:
         first_s = FIRST_CLAIM_S
-        if cell in self._seen_owner or cell in self._directory.claims:
+        if shard in self._seen_owner or shard in self._directory.claims:
             first_s = NEXT_CLAIM_S
         living = [
             member.vm
-            for member in self._candidates(cell)
+            for member in self._candidates(shard)
             if member.vm in in_reach or member.vm == self._me.vm
         ]
         if self._me.vm in living:
@@ -245,21 +245,21 @@
         others = sorted({*in_reach, self._me.vm})
         return first_s + CANDIDATE_STEP_S * others.index(self._me.vm)
 
-    def _inherit(self, cell: ids.CellId, old: registry.Claim | None) -> None:
+    def _inherit(self, shard: ids.ShardId, old: registry.Claim | None) -> None:
         """Use the right that the former owner's claim gives this process."""
         if old is None or self._process() not in old.heirs:
             return
         rank = old.heirs.index(self._process()) + 1
-        self._log('Cell inherited.', cell, old.epoch, rank, 'store away')
-        self._on_right(cell, fences.Right(epoch=old.epoch, rank=rank))
+        self._log('Cell inherited.', shard, old.epoch, rank, 'store away')
+        self._on_right(shard, fences.Right(epoch=old.epoch, rank=rank))
 
     def _log(
-        self, text: str, cell: ids.CellId, epoch: int, rank: int, cause: str
+        self, text: str, shard: ids.ShardId, epoch: int, rank: int, cause: str
     ) -> None:
         _LOG.info(
             text,
             extra={
-                'cell': cell,
+                'cell': shard,
                 'epoch': epoch,
                 'rank': rank,
                 'cause': cause,
--- a/sardineproxy/process/node/environment.py
+++ b/sardineproxy/process/node/environment.py
@@ -6,7 +6,7 @@
 
 from sardineproxy import clock, ids
 from sardineproxy.process import metrics, store
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.process.keeping import execution, guarded_rows, keeper, table
 from sardineproxy.process.membership import worker_list
 from sardineproxy.version import in_force
@@ -39,7 +39,7 @@
 def new_keeper(
     outside: Outside,
     *,
-    cell: ids.CellId,
+    shard: ids.ShardId,
     guard: guarded_rows.Guard,
     router: execution.Router,
     states_s: float,
@@ -47,7 +47,7 @@
     """Return the keeper of a cell that this process owns from now on."""
     return keeper.Keeper(
         rows=table.JobTable(
-            cell=cell,
+            shard=shard,
             guard=guard,
             store=outside.store,
             clock=outside.clock,
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/holdings.py
@@ -7,8 +7,8 @@
 from sardineproxy import background, clock, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import cell as cells
-from sardineproxy.process.cells import fences, rooms, times, workers
+from sardineproxy.process.shards import shard as shards
+from sardineproxy.process.shards import fences, rooms, times, workers
 from sardineproxy.process.keeping import homes, keeper
 from sardineproxy.process.membership import links
 from sardineproxy.process.node import claiming
@@ -25,25 +25,25 @@
 _LOG = logs.get_logger('node')
 
 
-class Surroundings(cells.Surroundings, Protocol):
+class Surroundings(shards.Surroundings, Protocol):
     """What the holdings need to know, and who hears of their changes."""
 
     @property
-    def home_cell(self) -> ids.CellId:
+    def home_shard(self) -> ids.ShardId:
         """Return the cell of this VM's zone."""
 
     @property
-    def all_cells(self) -> Iterable[ids.CellId]:
+    def all_shards(self) -> Iterable[ids.ShardId]:
         """Return all cells of the deployment."""
 
     @property
     def rooms(self) -> rooms.Rooms:
         """Return how much room other cells have."""
 
-    def owner_of(self, cell: ids.CellId) -> ids.VmId | None:
+    def owner_of(self, shard: ids.ShardId) -> ids.VmId | None:
         """Return which VM owns a cell."""
 
-    def workers_of(self, cell: ids.CellId) -> list[workers.Worker]:
+    def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
         """Return the listed workers of a cell."""
 
     def knows_all_workers(self) -> bool:
@@ -52,10 +52,10 @@
     def is_alone(self) -> bool:
         """Tell whether no other VM of several is in reach."""
 
-    def gained(self, cell: ids.CellId) -> None:
+    def gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
 
-    def lost(self, cell: ids.CellId) -> None:
+    def lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
 
 
@@ -66,8 +66,8 @@
     api: workers.WorkerApi
     clock: clock.Clock
     metrics: metrics.Metrics
-    cfg: times.Cell
-    new_keeper: Callable[[ids.CellId, fences.Right], keeper.Keeper]
+    cfg: times.ShardTiming
+    new_keeper: Callable[[ids.ShardId, fences.Right], keeper.Keeper]
 
 
 class Holdings:  # noqa: WPS214
@@ -90,93 +90,93 @@
         self._links = links
         self._around = around
         self._tasks = tasks
-        self._under_way: set[ids.CellId] = set()
+        self._under_way: set[ids.ShardId] = set()
         self._return_at: float = 0
-        self.cells: dict[ids.CellId, cells.Cell] = {}
+        self.shards: dict[ids.ShardId, shards.ShardLeader] = {}
 
     async def close(self) -> None:
         """Stop all calls to workers."""
-        for owned in self.cells.values():
+        for owned in self.shards.values():
             await owned.close()
 
     def tick(self, now: float, *, may_claim: bool) -> None:
         """Claim, refresh and give back cells, and do what is due in them."""
         if may_claim:
             self._review(now)
-        for owned in list(self.cells.values()):
+        for owned in list(self.shards.values()):
             owned.tick(now)
 
     def offers(self, now: float) -> tuple[messages.Offer, ...]:
         """Return what other VMs are told of the owned cells."""
         return tuple(
             (
-                owned.cell,
+                owned.shard,
                 owned.right.epoch,
                 owned.right.rank,
                 owned.free_tasks(now),
-                self._homes.keepers[owned.cell].is_loaded,
+                self._homes.keepers[owned.shard].is_loaded,
             )
-            for owned in self.cells.values()
+            for owned in self.shards.values()
         )
 
-    def rights(self) -> dict[ids.CellId, fences.Right]:
+    def rights(self) -> dict[ids.ShardId, fences.Right]:
         """Return the rights of the owned cells."""
-        return {cell: owned.right for cell, owned in self.cells.items()}
+        return {shard: owned.right for shard, owned in self.shards.items()}
 
     def submit(
         self, source: link.Link, asked: messages.Submit, now: float
     ) -> None:
         """Hand tasks to their cell, if it is owned."""
-        owned = self.cells.get(asked.cell)
+        owned = self.shards.get(asked.shard)
         if owned is None:
-            source.send(messages.Disowned(cell=asked.cell))
+            source.send(messages.Disowned(shard=asked.shard))
         else:
             owned.submit(source, asked, now)
 
     def withdraw(
-        self, source: link.Link, cell: ids.CellId, job: ids.JobId
+        self, source: link.Link, shard: ids.ShardId, job: ids.JobId
     ) -> None:
         """Drop a job's tasks in a cell, if it is owned."""
-        owned = self.cells.get(cell)
+        owned = self.shards.get(shard)
         if owned is not None:
             owned.withdraw(source, job)
 
     def note_ends(self, noted: messages.EndsNoted) -> None:
         """Let workers forget ends that are stored."""
-        owned = self.cells.get(noted.cell)
+        owned = self.shards.get(noted.shard)
         if owned is not None:
             owned.note_ends(noted)
 
     def link_lost(self, lost: link.Link, now: float) -> None:
         """Tell all cells that a coordinator's link is lost."""
-        for owned in self.cells.values():
+        for owned in self.shards.values():
             owned.link_lost(lost, now)
 
     def doubt_all(self, why: str) -> None:
         """Order nothing from a worker until it has reported anew."""
-        for owned in self.cells.values():
+        for owned in self.shards.values():
             owned.doubt_all(why)
 
     def give_workers(self) -> None:
         """Hand the newest list of workers to all cells."""
-        for owned in self.cells.values():
+        for owned in self.shards.values():
             self._give_workers(owned)
 
-    def start_claim(self, cell: ids.CellId) -> None:
+    def start_claim(self, shard: ids.ShardId) -> None:
         """Claim a cell unless that is under way."""
-        if cell not in self._under_way:
-            self._under_way.add(cell)
-            self._tasks.spawn(self._claim(cell))
+        if shard not in self._under_way:
+            self._under_way.add(shard)
+            self._tasks.spawn(self._claim(shard))
 
-    def won(self, cell: ids.CellId, right: fences.Right) -> None:
+    def won(self, shard: ids.ShardId, right: fences.Right) -> None:
         """Own a cell from now on."""
-        former = self.cells.get(cell)
+        former = self.shards.get(shard)
         if former is not None:
             if right > former.right:
                 former.renew(right)
             return
-        owned = cells.Cell(
-            cell=cell,
+        owned = shards.ShardLeader(
+            shard=shard,
             right=right,
             api=self._tools.api,
             clock=self._tools.clock,
@@ -186,109 +186,109 @@
             around=self._around,
             cfg=self._tools.cfg,
         )
-        self.cells[cell] = owned
-        self._homes.add(self._tools.new_keeper(cell, right))
+        self.shards[shard] = owned
+        self._homes.add(self._tools.new_keeper(shard, right))
         self._give_workers(owned)
-        self._around.gained(cell)
+        self._around.gained(shard)
 
-    def lose(self, cell: ids.CellId, cause: str) -> None:
+    def lose(self, shard: ids.ShardId, cause: str) -> None:
         """Give up a cell at once."""
-        lost = self.cells.pop(cell)
+        lost = self.shards.pop(shard)
         _LOG.warning(
             'Cell lost.',
             extra={
-                'cell': cell,
+                'cell': shard,
                 'epoch': lost.right.epoch,
                 'rank': lost.right.rank,
                 'cause': cause,
             },
         )
-        self._homes.drop(cell)
+        self._homes.drop(shard)
         self._tasks.spawn(lost.close())
-        self._around.lost(cell)
+        self._around.lost(shard)
 
-    def superseded(self, lost: cells.Cell) -> None:
+    def superseded(self, lost: shards.ShardLeader) -> None:
         """Give up a cell that another process has taken over."""
-        if self.cells.get(lost.cell) is lost:
-            self.lose(lost.cell, 'a worker knows a newer owner')
+        if self.shards.get(lost.shard) is lost:
+            self.lose(lost.shard, 'a worker knows a newer owner')
 
     def hand_over(self) -> None:
         """Ask other VMs to take all cells."""
-        for cell in self.cells:
-            self._hand_over(cell)
+        for shard in self.shards:
+            self._hand_over(shard)
 
-    def _give_workers(self, owned: cells.Cell) -> None:
+    def _give_workers(self, owned: shards.ShardLeader) -> None:
         owned.set_workers(
-            self._around.workers_of(owned.cell),
+            self._around.workers_of(owned.shard),
             complete=self._around.knows_all_workers(),
         )
 
     def _review(self, now: float) -> None:
         self._refresh(now)
         if now >= self._return_at:
-            self._return_cells(now)
+            self._return_shards(now)
         in_reach = frozenset(self._links.open)
-        for cell in self._around.all_cells:
-            vm = self._around.owner_of(cell)
-            if self._claims.due(cell, owner=vm, in_reach=in_reach, now=now):
-                self.start_claim(cell)
+        for shard in self._around.all_shards:
+            vm = self._around.owner_of(shard)
+            if self._claims.due(shard, owner=vm, in_reach=in_reach, now=now):
+                self.start_claim(shard)
 
     def _refresh(self, now: float) -> None:
         """Write the rows of own cells anew where that is due."""
         isolated = self._around.is_alone()
-        for cell, owned in self.cells.items():
+        for shard, owned in self.shards.items():
             if self._claims.is_stale(
-                cell, owned.right, isolated=isolated, now=now
+                shard, owned.right, isolated=isolated, now=now
             ):
-                self.start_claim(cell)
+                self.start_claim(shard)
 
-    def _return_cells(self, now: float) -> None:
+    def _return_shards(self, now: float) -> None:
         """Give cells of other zones back to VMs of those zones."""
-        for cell in self.cells:
-            if cell == self._around.home_cell:
+        for shard in self.shards:
+            if shard == self._around.home_shard:
                 continue
-            successor = self._settled_heir(cell, now)
+            successor = self._settled_heir(shard, now)
             if successor is not None:
                 self._return_at = now + RETURN_AFTER_S
-                successor.send(messages.TakeOver(cell=cell))
+                successor.send(messages.TakeOver(shard=shard))
 
-    def _settled_heir(self, cell: ids.CellId, now: float) -> link.Link | None:
+    def _settled_heir(self, shard: ids.ShardId, now: float) -> link.Link | None:
         """Return the link to an heir that has been in reach for a while."""
-        for vm, _ in self._claims.heirs(cell):
+        for vm, _ in self._claims.heirs(shard):
             found = self._links.to(vm)
             if found is not None and now - found.opened_at > RETURN_AFTER_S:
                 return found
         return None
 
-    async def _claim(self, cell: ids.CellId) -> None:
+    async def _claim(self, shard: ids.ShardId) -> None:
         try:
             if (
-                cell == self._around.home_cell
-                or cell in self.cells
-                or await self._may_claim(cell)
+                shard == self._around.home_shard
+                or shard in self.shards
+                or await self._may_claim(shard)
             ):
-                await self._claims.claim(cell, self._tools.clock.now())
+                await self._claims.claim(shard, self._tools.clock.now())
         finally:
-            self._under_way.discard(cell)
+            self._under_way.discard(shard)
 
-    async def _may_claim(self, cell: ids.CellId) -> bool:
+    async def _may_claim(self, shard: ids.ShardId) -> bool:
         """Tell whether another zone's cell may be claimed.
 
         If its workers cannot be reached, this VM and not the cell's owner may
         be cut off.
         """
-        self._claims.postpone(cell, self._tools.clock.now())
-        asked = self._around.workers_of(cell)[:REACH_SAMPLE]
+        self._claims.postpone(shard, self._tools.clock.now())
+        asked = self._around.workers_of(shard)[:REACH_SAMPLE]
         answers = await asyncio.gather(*map(self._ask, asked))
         reached = sum(
             not isinstance(answer, workers.Unanswered) for answer in answers
         )
         _LOG.info(
             'Workers asked.',
-            extra={'cell': cell, 'asked': len(asked), 'reached': reached},
+            extra={'cell': shard, 'asked': len(asked), 'reached': reached},
         )
         return self._claims.note_reach(
-            cell,
+            shard,
             reached=reached * 2 > len(asked),
             now=self._tools.clock.now(),
         )
@@ -303,10 +303,10 @@
             timeout_s=REACH_TIMEOUT_S,
         )
 
-    def _hand_over(self, cell: ids.CellId) -> None:
-        for vm, _ in self._claims.heirs(cell):
+    def _hand_over(self, shard: ids.ShardId) -> None:
+        for vm, _ in self._claims.heirs(shard):
             successor = self._links.to(vm)
             if successor is not None:
-                _LOG.info('Cell handed over.', extra={'cell': cell, 'to': vm})
-                successor.send(messages.TakeOver(cell=cell))
+                _LOG.info('Cell handed over.', extra={'cell': shard, 'to': vm})
+                successor.send(messages.TakeOver(shard=shard))
                 return
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -7,7 +7,7 @@
 from sardineproxy import background, deployment, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import store
-from sardineproxy.process.cells import fences, rooms, workers
+from sardineproxy.process.shards import fences, rooms, workers
 from sardineproxy.process.keeping import guarded_rows, homes, keeper
 from sardineproxy.process.membership import (
     following,
@@ -191,20 +191,20 @@
         self._check_stall(now)
         return now < self._refuse_until
 
-    def home(self) -> ids.CellId | None:
+    def home(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs."""
-        if self.home_cell in self.owners.by_cell:
-            return self.home_cell
+        if self.home_shard in self.owners.by_shard:
+            return self.home_shard
         free = self.rooms.free(self._clock.now())
         return min(
-            self.owners.by_cell,
+            self.owners.by_shard,
             key=lambda other: (-free.get(other, 0), other),
             default=None,
         )
 
-    def owner(self, cell: ids.CellId) -> link.Link | None:
+    def owner(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
-        vm = self.owner_of(cell)
+        vm = self.owner_of(shard)
         if vm is None:
             return None
         return self._local if vm == self.cfg.vm else self.links.to(vm)
@@ -223,8 +223,8 @@
         if self.links.to(closed.peer.vm) is None:
             self.owners.forget(closed.peer.vm)
         self._choose_owners()
-        for cell in self.all_cells:
-            self._tell_lost(cell, closed)
+        for shard in self.all_shards:
+            self._tell_lost(shard, closed)
 
     def received(self, source: link.Link, message: messages.Message) -> None:
         """Act on a message."""
@@ -235,8 +235,8 @@
                 self.holdings.note_ends(message)
             case messages.Submit():
                 self.holdings.submit(source, message, self._clock.now())
-            case messages.Withdraw(cell=cell, job=job):
-                self.holdings.withdraw(source, cell, job)
+            case messages.Withdraw(shard=shard, job=job):
+                self.holdings.withdraw(source, shard, job)
             case messages.Ended() | messages.Declined():
                 self.board.tell(message)
             case messages.Greeting():
@@ -249,23 +249,23 @@
     # Surroundings of the holdings.
 
     @property
-    def home_cell(self) -> ids.CellId:
+    def home_shard(self) -> ids.ShardId:
         """Return the cell of this VM's zone."""
-        return ids.CellId(self.cfg.zone)
+        return ids.ShardId(self.cfg.zone)
 
     @property
-    def all_cells(self) -> Iterable[ids.CellId]:
+    def all_shards(self) -> Iterable[ids.ShardId]:
         """Return all cells of the deployment."""
-        return map(ids.CellId, self.cfg.zones)
+        return map(ids.ShardId, self.cfg.zones)
 
     @property
     def rooms(self) -> rooms.Rooms:
         """Return how much room other cells have."""
         return self.owners.rooms
 
-    def owner_of(self, cell: ids.CellId) -> ids.VmId | None:
+    def owner_of(self, shard: ids.ShardId) -> ids.VmId | None:
         """Return which VM owns a cell."""
-        return self.owners.by_cell.get(cell)
+        return self.owners.by_shard.get(shard)
 
     def kept(self, job: ids.JobId) -> keepers.Kept | None:
         """Return who keeps a stored job, None if that is not known."""
@@ -289,9 +289,9 @@
             + self.owners.pending(route)
         )
 
-    def workers_of(self, cell: ids.CellId) -> list[workers.Worker]:
+    def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
         """Return the listed workers of a cell."""
-        return self.workers.of_cell(cell)
+        return self.workers.of_shard(shard)
 
     def knows_all_workers(self) -> bool:
         """Tell whether no worker can be missing from the list."""
@@ -301,9 +301,9 @@
         """Return the local time of the list of workers, in seconds."""
         return self._feeds.listed_at()
 
-    def confirmed_at(self, cell: ids.CellId, now: float) -> float:
+    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return when this process last knew that it owns a cell."""
-        heirs = self._claims.heirs_of_claim(cell)
+        heirs = self._claims.heirs_of_claim(shard)
         if all(self.links.to(vm) is not None for vm in heirs):
             return now
         return self._feeds.heard_at()
@@ -316,18 +316,18 @@
         """Tell whether no other VM of several is in reach."""
         return not self.links.open and len(self.directory.members) > 1
 
-    def gained(self, cell: ids.CellId) -> None:
+    def gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
         self._feeds.roster.poke()
         self._choose_owners()
         self.links.send_all(self._beat(self._clock.now()))
 
-    def lost(self, cell: ids.CellId) -> None:
+    def lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
-        self.links.send_all(messages.Disowned(cell=cell))
+        self.links.send_all(messages.Disowned(shard=shard))
         self.links.send_all(self._beat(self._clock.now()))
         self._choose_owners()
-        self._tell_lost(cell, self._local)
+        self._tell_lost(shard, self._local)
 
     def state(self) -> dict[str, object]:
         """Return what this process believes, for the state dump."""
@@ -354,7 +354,7 @@
 
     def roster_pace(self) -> following.Pace:
         """Return how often the list of workers is needed."""
-        if self.holdings.cells:
+        if self.holdings.shards:
             return feeds.OWNER_ROSTER_PACE
         if self._claims.is_heir():
             return feeds.HEIR_ROSTER_PACE
@@ -365,7 +365,9 @@
     async def _keep_ticking(self) -> None:
         while True:
             self._tick(self._clock.now())
-            await asyncio.sleep(OWNER_TICK_S if self.holdings.cells else TICK_S)
+            await asyncio.sleep(
+                OWNER_TICK_S if self.holdings.shards else TICK_S
+            )
 
     def _tick(self, now: float) -> None:
         self._check_stall(now)
@@ -388,19 +390,19 @@
 
     def _rhythm(self, peer: messages.Greeting) -> links.Rhythm:
         """Return the signs of life between this VM and another."""
-        owns_home = self.home_cell in self.holdings.cells
+        owns_home = self.home_shard in self.holdings.shards
         if owns_home and peer.zone == self.cfg.zone:
             return links.CLOSE
-        if self.owner_of(self.home_cell) == peer.vm:
+        if self.owner_of(self.home_shard) == peer.vm:
             return links.CLOSE
-        if self.holdings.cells or peer.vm in self.owners.by_cell.values():
+        if self.holdings.shards or peer.vm in self.owners.by_shard.values():
             return links.OWNER
         return links.FAR
 
     def _beat(self, now: float) -> messages.Beat:
         return messages.Beat(
             version=self.versions.number,
-            cells=self.holdings.offers(now),
+            shards=self.holdings.offers(now),
             pending=tuple(self.homes.pending().items()),
         )
 
@@ -421,34 +423,34 @@
                     store_answers=self._feeds.knows_configuration_source(),
                     now=now,
                 )
-            case messages.Disowned(cell=cell):
-                self.owners.forget(source.peer.vm, cell)
+            case messages.Disowned(shard=shard):
+                self.owners.forget(source.peer.vm, shard)
                 self._choose_owners()
-                self._tell_lost(cell, source)
-            case messages.TakeOver(cell=cell):
-                self.holdings.start_claim(cell)
+                self._tell_lost(shard, source)
+            case messages.TakeOver(shard=shard):
+                self.holdings.start_claim(shard)
 
     def _choose_owners(self) -> None:
         change = self.owners.choose(self.holdings.rights())
-        for cell, vm in change.lost.items():
+        for shard, vm in change.lost.items():
             # Each loss leads to a new choice, which may have lost them all.
-            if cell in self.holdings.cells:
-                self.holdings.lose(cell, f'{vm} has a higher right')
+            if shard in self.holdings.shards:
+                self.holdings.lose(shard, f'{vm} has a higher right')
         for found in change.found:
             self.board.owner_found(found)
-            self.homes.tell_all(open_tasks.OwnerFound(cell=found))
+            self.homes.tell_all(open_tasks.OwnerFound(shard=found))
 
-    def _tell_lost(self, cell: ids.CellId, source: link.Link) -> None:
-        self.board.owner_lost(cell, source)
-        self.homes.tell_all(open_tasks.OwnerLost(cell=cell, source=source))
+    def _tell_lost(self, shard: ids.ShardId, source: link.Link) -> None:
+        self.board.owner_lost(shard, source)
+        self.homes.tell_all(open_tasks.OwnerLost(shard=shard, source=source))
 
     def _new_keeper(
-        self, cell: ids.CellId, right: fences.Right
+        self, shard: ids.ShardId, right: fences.Right
     ) -> keeper.Keeper:
         """Return the keeper of a cell that this process owns now."""
         return environment.new_keeper(
             self._outside,
-            cell=cell,
+            shard=shard,
             guard=guarded_rows.Guard(
                 right=right, incarnation=self.me.incarnation
             ),
@@ -465,5 +467,5 @@
             cfg=self.cfg,
         )
 
-    def _won(self, cell: ids.CellId, right: fences.Right) -> None:
-        self.holdings.won(cell, right)
+    def _won(self, shard: ids.ShardId, right: fences.Right) -> None:
+        self.holdings.won(shard, right)
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -8,7 +8,7 @@
 import result
 
 from sardineproxy import deployment, json_text
-from sardineproxy.process.cells import times
+from sardineproxy.process.shards import times
 
 #: Largest settings file, in bytes.
 MAX_SETTINGS_BYTES = 65_536
@@ -28,7 +28,7 @@
 class Policy:
     """Times of cells and of calls to workers."""
 
-    cell: times.Cell = times.Cell()
+    cell: times.ShardTiming = times.ShardTiming()
 
     def fit(self, bounds: deployment.Bounds) -> 'Policy':
         """Return the policy as far as the platform's bounds allow it."""
@@ -66,14 +66,14 @@
     unknown = set(document).difference(_SECTIONS)
     if unknown:
         return result.Err(f'{min(unknown)}: unknown section')
-    workers = _section(times.Calls, document.get('workers', {}), 'workers')
+    workers = _section(times.CallTiming, document.get('workers', {}), 'workers')
     if isinstance(workers, result.Err):
         return workers
-    of_cell = _section(times.Cell, document.get('cell', {}), 'cell')
-    if isinstance(of_cell, result.Err):
-        return of_cell
-    cell_cfg = dataclasses.replace(of_cell.ok_value, calls=workers.ok_value)
-    return result.Ok(Policy(cell=cell_cfg))
+    of_shard = _section(times.ShardTiming, document.get('cell', {}), 'cell')
+    if isinstance(of_shard, result.Err):
+        return of_shard
+    shard_cfg = dataclasses.replace(of_shard.ok_value, calls=workers.ok_value)
+    return result.Ok(Policy(cell=shard_cfg))
 
 
 #: Fields that the platform's bounds set, and no settings file.
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -18,15 +18,15 @@
         },
         'ready': own.is_ready(),
         'draining': own.draining,
-        'owners': dict(own.owners.by_cell),
+        'owners': dict(own.owners.by_shard),
         'rooms': own.rooms.state(now),
         'links': {vm: len(of_vm) for vm, of_vm in own.links.open.items()},
         'members': sorted(own.directory.members),
         'claims': {
-            cell: dataclasses.asdict(claim)
-            for cell, claim in own.directory.claims.items()
+            shard: dataclasses.asdict(claim)
+            for shard, claim in own.directory.claims.items()
         },
         'jobs': own.board.state(),
         'kept': [kept.state(now) for kept in own.homes.keepers.values()],
-        'cells': [owned.state(now) for owned in own.holdings.cells.values()],
+        'cells': [owned.state(now) for owned in own.holdings.shards.values()],
     }
--- a/sardineproxy/process/cells/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -8,7 +8,7 @@
 
 from sardineproxy import background, clock, logs
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import (
+from sardineproxy.process.shards import (
     fences,
     health,
     held_ends,
@@ -55,7 +55,7 @@
         clock: clock.Clock,
         metrics: metrics.Metrics,
         events: Events,
-        cfg: times.Calls,
+        cfg: times.CallTiming,
         count: int = 0,
     ) -> None:
         """Start without knowledge of what runs on the worker.
--- a/sardineproxy/process/cells/backlog.py
+++ b/sardineproxy/process/shards/backlog.py
@@ -5,7 +5,7 @@
 from sardineproxy import clock, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import recall, runs, workers
+from sardineproxy.process.shards import recall, runs, workers
 from sardineproxy.request import jobs
 
 #: When to come back after a refusal for want of room, in seconds: some of the
@@ -21,13 +21,13 @@
     def __init__(
         self,
         *,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         clock: clock.Clock,
         metrics: metrics.Metrics,
         recall_s: float,
     ) -> None:
         """Start empty; ends are remembered for ``recall_s``."""
-        self._cell = cell
+        self._shard = shard
         self._clock = clock
         self._metrics = metrics
         self._recall = recall.Recall(keep_s=recall_s)
@@ -175,7 +175,7 @@
         if batch.link is not None:
             batch.link.send(
                 messages.Declined(
-                    cell=self._cell,
+                    shard=self._shard,
                     job=batch.job,
                     step=batch.step,
                     indices=tuple(indices),
@@ -215,7 +215,7 @@
         if batch.link is not None:
             batch.link.send(
                 messages.Ended(
-                    cell=self._cell,
+                    shard=self._shard,
                     job=batch.job,
                     step=batch.step,
                     index=index,
--- a/sardineproxy/process/cells/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -2,7 +2,7 @@
 
 import math
 
-from sardineproxy.process.cells import runs, workers
+from sardineproxy.process.shards import runs, workers
 
 #: Failures of this many jobs in a row, with no success between, count as the
 #: worker's own fault. One in 500 tasks fails by its own fault.
--- a/sardineproxy/process/cells/held_ends.py
+++ b/sardineproxy/process/shards/held_ends.py
@@ -9,7 +9,7 @@
 from typing import Callable
 
 from sardineproxy.connection import link
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 
 #: Returns from which local time on claims of a task's ends count, None if
 #: nobody is to be told of them yet.
--- a/sardineproxy/process/cells/lease.py
+++ b/sardineproxy/process/shards/lease.py
@@ -1,6 +1,6 @@
 """The lease of what runs on a worker, on the worker's clock and on ours."""
 
-from sardineproxy.process.cells import times
+from sardineproxy.process.shards import times
 
 _MS_PER_S = 1000
 
@@ -8,7 +8,7 @@
 class Lease:
     """Newest reading of a worker's clock, and the end of its lease."""
 
-    def __init__(self, *, cfg: times.Calls) -> None:
+    def __init__(self, *, cfg: times.CallTiming) -> None:
         """Start without a reading."""
         self._cfg = cfg
         self._clock_ms = 0
--- a/sardineproxy/process/cells/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -2,7 +2,7 @@
 
 from typing import Mapping
 
-from sardineproxy.process.cells import runs, workers
+from sardineproxy.process.shards import runs, workers
 from sardineproxy.request import jobs
 
 
--- a/sardineproxy/process/cells/ordering.py
+++ b/sardineproxy/process/shards/ordering.py
@@ -5,7 +5,7 @@
 from sardineproxy import ids, logs
 from sardineproxy.connection import messages
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import (
+from sardineproxy.process.shards import (
     agent,
     backlog,
     fences,
@@ -40,17 +40,17 @@
     def __init__(
         self,
         *,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         right: fences.Right,
         agents: Mapping[ids.WorkerId, agent.Agent],
         backlog: backlog.Backlog,
         others: rooms.Rooms,
         listing: Listing,
         metrics: metrics.Metrics,
-        cfg: times.Cell,
+        cfg: times.ShardTiming,
     ) -> None:
         """Order from ``agents``; ``others`` tells the room of other cells."""
-        self._cell = cell
+        self._shard = shard
         self._agents = agents
         self._backlog = backlog
         self._others = others
@@ -108,16 +108,16 @@
             placement.usable(self._agents.values(), now),
         )
         excess = min(mine, self._backlog.count_waiting() - free)
-        for cell, room in self._others.free(now).items():
+        for shard, room in self._others.free(now).items():
             count = min(excess, room)
-            if cell == self._cell or count <= 0:
+            if shard == self._shard or count <= 0:
                 continue
             excess -= count
             self._backlog.decline(
                 batch,
                 batch.waiting()[-count:],
                 cause='more room there',
-                other=cell,
+                other=shard,
             )
 
     def drop(self, batch: runs.Batch, cause: str) -> None:
@@ -219,4 +219,4 @@
         """Tell the keeper of a stored job that one of its tasks was ordered."""
         if batch.stored and not batch.told_begun and batch.link is not None:
             batch.told_begun = True
-            batch.link.send(messages.JobBegun(cell=self._cell, job=batch.job))
+            batch.link.send(messages.JobBegun(shard=self._shard, job=batch.job))
--- a/sardineproxy/process/cells/placement.py
+++ b/sardineproxy/process/shards/placement.py
@@ -2,7 +2,7 @@
 
 from typing import Iterable
 
-from sardineproxy.process.cells import agent, runs
+from sardineproxy.process.shards import agent, runs
 
 #: A worker that keeps all its room free counts as this much slower, so that
 #: tasks fill workers up before they open new ones.
--- a/sardineproxy/process/cells/recall.py
+++ b/sardineproxy/process/shards/recall.py
@@ -7,7 +7,7 @@
 import collections
 import dataclasses
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
 
--- a/sardineproxy/process/cells/reports.py
+++ b/sardineproxy/process/shards/reports.py
@@ -3,7 +3,7 @@
 from typing import Mapping, Protocol
 
 from sardineproxy import logs
-from sardineproxy.process.cells import (
+from sardineproxy.process.shards import (
     health,
     held_ends,
     ledger,
@@ -48,7 +48,7 @@
         health: health.Health,
         events: Events,
         orders: Orders,
-        cfg: times.Calls,
+        cfg: times.CallTiming,
     ) -> None:
         """Start without a report."""
         self._worker = worker
--- a/sardineproxy/process/cells/rooms.py
+++ b/sardineproxy/process/shards/rooms.py
@@ -26,21 +26,21 @@
 
     def __init__(self) -> None:
         """Start without figures."""
-        self._rooms: dict[ids.CellId, Room] = {}
+        self._rooms: dict[ids.ShardId, Room] = {}
 
-    def note(self, cell: ids.CellId, tasks: int, now: float) -> None:
+    def note(self, shard: ids.ShardId, tasks: int, now: float) -> None:
         """Use a figure that an owner told."""
-        self._rooms[cell] = Room(tasks=tasks, told_at=now)
+        self._rooms[shard] = Room(tasks=tasks, told_at=now)
 
-    def forget(self, cell: ids.CellId) -> None:
+    def forget(self, shard: ids.ShardId) -> None:
         """Forget a cell that has no owner."""
-        self._rooms.pop(cell, None)
+        self._rooms.pop(shard, None)
 
-    def free(self, now: float) -> dict[ids.CellId, int]:
+    def free(self, now: float) -> dict[ids.ShardId, int]:
         """Return the cells that have room, the largest first."""
         fresh = {
-            cell: room.tasks
-            for cell, room in self._rooms.items()
+            shard: room.tasks
+            for shard, room in self._rooms.items()
             if room.tasks > 0 and now - room.told_at <= FRESH_S
         }
         return dict(sorted(fresh.items(), key=lambda each: -each[1]))
@@ -48,9 +48,9 @@
     def state(self, now: float) -> dict[str, object]:
         """Return figures and ages, for the state dump."""
         return {
-            cell: {
+            shard: {
                 'tasks': room.tasks,
                 'age_s': round(now - room.told_at, 3),
             }
-            for cell, room in self._rooms.items()
+            for shard, room in self._rooms.items()
         }
--- a/sardineproxy/process/cells/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -5,7 +5,7 @@
 
 from sardineproxy import ids
 from sardineproxy.connection import link, messages
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
 
--- a/sardineproxy/process/cells/cell.py
+++ b/sardineproxy/process/shards/shard.py
@@ -6,7 +6,7 @@
 from sardineproxy import clock, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import (
+from sardineproxy.process.shards import (
     agent,
     backlog,
     fences,
@@ -26,14 +26,14 @@
 class Events(Protocol):
     """Hears of the cell's end."""
 
-    def superseded(self, cell: 'Cell') -> None:
+    def superseded(self, shard: 'ShardLeader') -> None:
         """Another process has taken the cell over."""
 
 
 class Surroundings(ordering.Listing, stored_ends.Homes, Protocol):
     """What a cell must know of the rest of its process."""
 
-    def confirmed_at(self, cell: ids.CellId, now: float) -> float:
+    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return when this process last knew that it owns a cell.
 
         Local time, in seconds: the store has answered, or all that may
@@ -41,13 +41,13 @@
         """
 
 
-class Cell:  # noqa: WPS214
+class ShardLeader:  # noqa: WPS214
     """The workers of one cell and the tasks for them."""
 
     def __init__(
         self,
         *,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         right: fences.Right,
         api: workers.WorkerApi,
         clock: clock.Clock,
@@ -55,10 +55,10 @@
         events: Events,
         others: rooms.Rooms,
         around: Surroundings,
-        cfg: times.Cell,
+        cfg: times.ShardTiming,
     ) -> None:
         """Own a cell; ``others`` tells how much room other cells have."""
-        self.cell = cell
+        self.shard = shard
         self.right = right
         self._api = api
         self._clock = clock
@@ -72,7 +72,7 @@
         #: Counts of fences of workers that have left, as one may come back.
         self._former_counts: dict[ids.WorkerId, int] = {}
         self._backlog = backlog.Backlog(
-            cell=cell, clock=clock, metrics=metrics, recall_s=cfg.recall_s
+            shard=shard, clock=clock, metrics=metrics, recall_s=cfg.recall_s
         )
         self._is_confirmed = True
         self._takeover = takeover.Takeover(
@@ -82,7 +82,7 @@
             opened_at=self._opened_at,
         )
         self._stored_ends = stored_ends.StoredEnds(
-            cell=cell,
+            shard=shard,
             agents=self._agents,
             homes=around,
             takeover=self._takeover,
@@ -90,7 +90,7 @@
             cfg=cfg,
         )
         self._ordering = ordering.Ordering(
-            cell=cell,
+            shard=shard,
             right=right,
             agents=self._agents,
             backlog=self._backlog,
@@ -203,7 +203,7 @@
     def state(self, now: float) -> dict[str, object]:
         """Return workers and queue for the state dump."""
         return {
-            'cell': self.cell,
+            'cell': self.shard,
             'epoch': self.right.epoch,
             'rank': self.right.rank,
             'workers': [each.state(now) for each in self._agents.values()],
@@ -283,7 +283,7 @@
 
         The next owner starts them elsewhere even if their worker is silent.
         """
-        unconfirmed_s = now - self._around.confirmed_at(self.cell, now)
+        unconfirmed_s = now - self._around.confirmed_at(self.shard, now)
         is_confirmed = unconfirmed_s < self._cfg.unconfirmed_s
         if is_confirmed is not self._is_confirmed:
             self._is_confirmed = is_confirmed
@@ -292,7 +292,7 @@
                 if is_confirmed
                 else 'Ownership not confirmed, runs of stored jobs may lapse.',
                 extra={
-                    'cell': self.cell,
+                    'cell': self.shard,
                     'epoch': self.right.epoch,
                     'unconfirmed_s': round(unconfirmed_s, 3),
                 },
--- a/sardineproxy/process/cells/stored_ends.py
+++ b/sardineproxy/process/shards/stored_ends.py
@@ -5,7 +5,7 @@
 
 from sardineproxy import clock, ids
 from sardineproxy.connection import link, messages
-from sardineproxy.process.cells import agent, runs, takeover, times, workers
+from sardineproxy.process.shards import agent, runs, takeover, times, workers
 from sardineproxy.process.membership import keepers
 from sardineproxy.request import jobs
 
@@ -29,15 +29,15 @@
     def __init__(
         self,
         *,
-        cell: ids.CellId,
+        shard: ids.ShardId,
         agents: Mapping[ids.WorkerId, agent.Agent],
         homes: Homes,
         takeover: takeover.Takeover,
         clock: clock.Clock,
-        cfg: times.Cell,
+        cfg: times.ShardTiming,
     ) -> None:
         """Begin with a cell that is owned from now on."""
-        self._cell = cell
+        self._shard = shard
         self._agents = agents
         self._homes = homes
         self._takeover = takeover
@@ -76,7 +76,7 @@
                 )
             ]
             for end in sorted(ends, key=lambda found: found.run):
-                source.send(_ended(self._cell, end))
+                source.send(_ended(self._shard, end))
                 is_news = end.run >= number
                 if is_news or end.how is workers.Ending.DONE:
                     left.pop(index, None)
@@ -101,7 +101,7 @@
                 keeper = self._homes.keeper_of(runs.job_of(end.task))
                 if keeper is not None:
                     each.held.claim(end.task, keeper, now)
-                    keeper.send(_ended(self._cell, end))
+                    keeper.send(_ended(self._shard, end))
 
     def is_abandoned(self, batch: runs.Batch, now: float) -> bool:
         """Tell whether nobody will ask for a batch without a coordinator."""
@@ -134,10 +134,10 @@
 )
 
 
-def _ended(cell: ids.CellId, end: workers.End) -> messages.Ended:
+def _ended(shard: ids.ShardId, end: workers.End) -> messages.Ended:
     job, step, index = runs.split_task(end.task)
     return messages.Ended(
-        cell=cell,
+        shard=shard,
         job=job,
         step=step,
         index=index,
--- a/sardineproxy/process/cells/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -9,7 +9,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.connection import link, messages
-from sardineproxy.process.cells import (
+from sardineproxy.process.shards import (
     agent,
     backlog,
     placement,
@@ -38,7 +38,7 @@
         *,
         agents: Mapping[ids.WorkerId, agent.Agent],
         backlog: backlog.Backlog,
-        cfg: times.Cell,
+        cfg: times.ShardTiming,
         opened_at: float,
     ) -> None:
         """Begin when the cell is won; times are local, in seconds."""
--- a/sardineproxy/process/cells/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Calls:
+class CallTiming:
     """Times of calls to workers."""
 
     #: Longest wait for the answer to an order. A round trip in a zone takes
@@ -58,10 +58,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Cell:
+class ShardTiming:
     """Times of a cell."""
 
-    calls: Calls = Calls()
+    calls: CallTiming = CallTiming()
 
     #: A new owner waits this long for a new list of workers. The store's
     #: answers are awaited for 0.6 s.
--- a/sardineproxy/process/cells/watch.py
+++ b/sardineproxy/process/shards/watch.py
@@ -9,7 +9,7 @@
 
 from sardineproxy import clock, logs
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import (
+from sardineproxy.process.shards import (
     health,
     lease,
     ledger,
@@ -66,7 +66,7 @@
         reports: reports.Reports,
         clock: clock.Clock,
         metrics: metrics.Metrics,
-        cfg: times.Calls,
+        cfg: times.CallTiming,
     ) -> None:
         """Start without a report; ``run`` makes the calls."""
         self._subject = subject
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -92,7 +92,7 @@
         finally:
             self._open.withdraw()
 
-    async def _run(self, home: ids.CellId) -> jobs.Outcome:
+    async def _run(self, home: ids.ShardId) -> jobs.Outcome:
         self._begin_steps(home)
         while self._open:
             left_s = self._deadline - self._clock.now()
@@ -117,7 +117,7 @@
             return 'no owner of the cell in time'
         return 'deadline passed'
 
-    def _begin_steps(self, home: ids.CellId) -> None:
+    def _begin_steps(self, home: ids.ShardId) -> None:
         """Send the tasks of steps whose earlier steps are done."""
         for number in sorted(self._todo):
             step = self.job.steps[number]
@@ -141,15 +141,15 @@
                 return self._take_declined(event)
             case open_tasks.OwnerLost():
                 self._strand(event)
-            case open_tasks.OwnerFound(cell=cell):
-                self._open.resume(cell, begun=self._has_begun)
+            case open_tasks.OwnerFound(shard=shard):
+                self._open.resume(shard, begun=self._has_begun)
             case Stalled():
                 return jobs.GivenUp(detail='process stood still')
         return None
 
     def _take_end(self, end: messages.Ended) -> jobs.Outcome | None:
         task = self._open.get((end.step, end.index))
-        if task is None or task.cell != end.cell:
+        if task is None or task.shard != end.shard:
             return None
         self._may_have_run = True
         task.number = max(task.number, end.run + 1)
@@ -176,19 +176,19 @@
     def _take_declined(
         self, declined: messages.Declined
     ) -> jobs.Outcome | None:
-        tasks = self._open.in_cell(
-            declined.step, declined.indices, declined.cell
+        tasks = self._open.in_shard(
+            declined.step, declined.indices, declined.shard
         )
         if not tasks:
             return None
         if declined.other and not any(task.was_moved for task in tasks):
-            other = ids.CellId(declined.other)
+            other = ids.ShardId(declined.other)
             if self._router.owner(other) is not None:
                 self._open.move(tasks, other, begun=self._has_begun)
                 return None
         elif any(task.was_moved for task in tasks):
             home = self._router.home()
-            if home is not None and home != declined.cell:
+            if home is not None and home != declined.shard:
                 self._open.move(tasks, home, begun=self._has_begun)
                 return None
         return self._refuse(declined, tasks)
@@ -213,10 +213,10 @@
                 'Owner lost, tasks wait for another.',
                 extra={
                     'job': self.job.job,
-                    'cell': lost.cell,
+                    'cell': lost.shard,
                     'owner': lost.source.peer.vm,
                     'tasks': [task.index for task in stranded],
                     'longest_wait_s': OWNER_WAIT_S,
                 },
             )
-        self._open.resume(lost.cell, begun=self._has_begun)
+        self._open.resume(lost.shard, begun=self._has_begun)
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -19,10 +19,10 @@
 class Router(Protocol):
     """Finds the owners of cells."""
 
-    def home(self) -> ids.CellId | None:
+    def home(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs, None if there is none."""
 
-    def owner(self, cell: ids.CellId) -> link.Link | None:
+    def owner(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
 
 
@@ -30,7 +30,7 @@
 class OwnerLost:
     """The link to a cell's owner is closed, or it gave the cell up."""
 
-    cell: ids.CellId
+    shard: ids.ShardId
     source: link.Link
 
 
@@ -38,7 +38,7 @@
 class OwnerFound:
     """A cell has an owner."""
 
-    cell: ids.CellId
+    shard: ids.ShardId
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -47,7 +47,7 @@
 
     step: int
     index: int
-    cell: ids.CellId
+    shard: ids.ShardId
 
     #: Number of its next run.
     number: int = 1
@@ -123,13 +123,13 @@
         self._open.pop(key)
         return not any(step == key[0] for step, _ in self._open)
 
-    def in_cell(
-        self, step: int, indices: Iterable[int], cell: ids.CellId
+    def in_shard(
+        self, step: int, indices: Iterable[int], shard: ids.ShardId
     ) -> list[OpenTask]:
         """Return the open tasks among ``indices`` that are in a cell."""
         found = [self._open.get((step, index)) for index in indices]
         return [
-            task for task in found if task is not None and task.cell == cell
+            task for task in found if task is not None and task.shard == shard
         ]
 
     def has_stranded(self) -> bool:
@@ -147,7 +147,7 @@
         now = self._clock.now()
         first = tasks[0]
         step = self.job.steps[first.step]
-        source = self._router.owner(first.cell)
+        source = self._router.owner(first.shard)
         for stranded in tasks:
             stranded.source = None
         if source is None:
@@ -155,7 +155,7 @@
         resumed = any(task.resumed for task in tasks)
         sent = source.send(
             messages.Submit(
-                cell=first.cell,
+                shard=first.shard,
                 job=self.job.job,
                 step=first.step,
                 route=self.route.route,
@@ -185,11 +185,11 @@
                 submitted.source = source
 
     def move(
-        self, tasks: Sequence[OpenTask], cell: ids.CellId, *, begun: bool
+        self, tasks: Sequence[OpenTask], shard: ids.ShardId, *, begun: bool
     ) -> None:
         """Send tasks to another cell, which may not send them on."""
         for task in tasks:
-            task.cell = cell
+            task.shard = shard
             task.was_moved = True
             task.is_moving = False
         self.send(tasks, firm=True, begun=begun)
@@ -199,18 +199,18 @@
         stranded = [
             task
             for task in self._open.values()
-            if task.cell == lost.cell and task.source is lost.source
+            if task.shard == lost.shard and task.source is lost.source
         ]
         for waiting in stranded:
             waiting.source = None
             waiting.resumed = True
         return stranded
 
-    def resume(self, cell: ids.CellId, *, begun: bool) -> None:
+    def resume(self, shard: ids.ShardId, *, begun: bool) -> None:
         """Ask a cell's new owner for the tasks that the former one had."""
         by_step: dict[int, list[OpenTask]] = {}
         for task in self._open.values():
-            if task.cell == cell and not task.source and not task.is_moving:
+            if task.shard == shard and not task.source and not task.is_moving:
                 by_step.setdefault(task.step, []).append(task)
         for tasks in by_step.values():
             self.send(tasks, firm=True, begun=begun)
@@ -218,13 +218,13 @@
     def withdraw(self) -> None:
         """Tell the owners that nothing more is wanted."""
         places = {
-            (task.cell, task.source)
+            (task.shard, task.source)
             for task in self._open.values()
             if task.source is not None
         }
-        for cell, source in places:
+        for shard, source in places:
             if source is not None:
-                source.send(messages.Withdraw(cell=cell, job=self.job.job))
+                source.send(messages.Withdraw(shard=shard, job=self.job.job))
         self._open.clear()
 
     def _has_others(self, tasks: Sequence[OpenTask]) -> bool:
@@ -237,9 +237,9 @@
         )
 
 
-def new_tasks(job: jobs.Job, number: int, cell: ids.CellId) -> list[OpenTask]:
+def new_tasks(job: jobs.Job, number: int, shard: ids.ShardId) -> list[OpenTask]:
     """Return the tasks of a step as they are before their first run."""
     return [
-        OpenTask(step=number, index=index, cell=cell)
+        OpenTask(step=number, index=index, shard=shard)
         for index in range(job.steps[number].count)
     ]
--- a/sardineproxy/standin/run_checks.py
+++ b/sardineproxy/standin/run_checks.py
@@ -2,7 +2,7 @@
 
 import operator
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
 
 _NEVER = float('inf')
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -7,7 +7,7 @@
 import dataclasses
 from typing import Callable
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
 _MS_PER_S = 1000
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -16,7 +16,7 @@
     submissions,
 )
 from sardineproxy.process import store
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 from tests import examples
 from tests.platform import samples
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -9,10 +9,10 @@
 
 from sardineproxy import clock, ids
 from sardineproxy.platform import http_calls, worker_http
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
 from tests.platform import worker_server
-from tests.process.cells import samples
+from tests.process.shards import samples
 
 #: Bound of calls that are answered at once, in seconds.
 LONG_S = 10
--- a/tests/platform/worker_server.py
+++ b/tests/platform/worker_server.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from sardineproxy import deployment
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
 
 #: Step in which a waiting look checks for new ends, in seconds.
--- a/tests/process/keeping/test_keeper.py
+++ b/tests/process/keeping/test_keeper.py
@@ -7,7 +7,7 @@
 
 from sardineproxy.process.keeping import keeper, table
 from tests import virtual_time
-from tests.process.cells import samples
+from tests.process.shards import samples
 from tests.process.keeping import world as worlds
 
 _Answer = keeper.KeeperAnswer
@@ -34,7 +34,7 @@
             answer = await world.owner.keeper.accept(stored)
             self.assertEqual(_Answer.ACCEPTED, answer)
             key = f'{table.JOB_PREFIX}{stored.job.job}'
-            self.assertIsNotNone(world.store.rows.get(key, part=samples.CELL))
+            self.assertIsNotNone(world.store.rows.get(key, part=samples.SHARD))
             self.assertEqual('completed', await world.settle(stored.job.job))
             self.assertEqual(3, len(world.rig.records()))
             self.assertEqual([], world.complaints())
@@ -167,7 +167,7 @@
             answer = await world.owner.keeper.ask(stored.job.job)
             self.assertEqual(_Answer.ABSENT, answer)
             key = f'{table.JOB_PREFIX}{stored.job.job}'
-            self.assertIsNone(world.store.rows.get(key, part=samples.CELL))
+            self.assertIsNone(world.store.rows.get(key, part=samples.SHARD))
 
         with_world(scenario)
 
--- a/tests/process/keeping/world.py
+++ b/tests/process/keeping/world.py
@@ -9,15 +9,15 @@
 from sardineproxy import ids
 from sardineproxy.connection import messages
 from sardineproxy.process import metrics, store
-from sardineproxy.process.cells import cell as cells
-from sardineproxy.process.cells import fences, times, workers
+from sardineproxy.process.shards import shard as shards
+from sardineproxy.process.shards import fences, times, workers
 from sardineproxy.process.keeping import guarded_rows, keeper, records, table
 from sardineproxy.process.membership import keepers
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.standin import row_store, run_checks, worker_model
 from sardineproxy.version import routes
 from tests import virtual_time
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 MAX_ATTEMPTS = 3
 
@@ -150,10 +150,12 @@
             delay_s=lambda: world.rng.uniform(0.0001, 0.003),
         )
         api.late_s = world.rng.uniform(0.5, 4)
-        self.cell: cells.Cell = world.rig.own(epoch=epoch, api=api, around=self)
+        self.shard: shards.ShardLeader = world.rig.own(
+            epoch=epoch, api=api, around=self
+        )
         self.keeper = keeper.Keeper(
             rows=table.JobTable(
-                cell=samples.CELL,
+                shard=samples.SHARD,
                 guard=guarded_rows.Guard(
                     right=fences.Right(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
@@ -173,14 +175,14 @@
 
     def kept(self, job: ids.JobId) -> keepers.Kept | None:
         vm = self.link.peer.vm
-        cells_kept = [samples.CELL] if self.keeper.is_loaded else []
-        self._keepers.note(vm, cells_kept, self.world.rig.clock.now())
-        return self._keepers.get(samples.CELL, vm)
+        shards_kept = [samples.SHARD] if self.keeper.is_loaded else []
+        self._keepers.note(vm, shards_kept, self.world.rig.clock.now())
+        return self._keepers.get(samples.SHARD, vm)
 
     def keeper_of(self, job: ids.JobId) -> Any:
         return self.link
 
-    def confirmed_at(self, cell: ids.CellId, now: float) -> float:
+    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now
 
     def listed_at(self) -> float:
@@ -189,10 +191,10 @@
     def list_answers(self) -> bool:
         return True
 
-    def home(self) -> ids.CellId | None:
-        return samples.CELL
+    def home(self) -> ids.ShardId | None:
+        return samples.SHARD
 
-    def owner(self, cell: ids.CellId) -> Any:
+    def owner(self, shard: ids.ShardId) -> Any:
         return self.link
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
@@ -205,28 +207,28 @@
     async def crash(self) -> None:
         """End without a word."""
         self.is_up = False
-        self.world.rig.superseded_cells.append(self.cell)
+        self.world.rig.superseded_shards.append(self.shard)
         await self.keeper.close()
-        await self.cell.close()
+        await self.shard.close()
 
     def relink(self) -> None:
         """Lose the link between keeper and cell, and open a new one."""
         lost = self.link
         self.link = Link(self)
-        self.cell.link_lost(lost, self.world.rig.clock.now())
+        self.shard.link_lost(lost, self.world.rig.clock.now())
         self.keeper.tell_all(
-            open_tasks.OwnerLost(cell=samples.CELL, source=lost)
+            open_tasks.OwnerLost(shard=samples.SHARD, source=lost)
         )
 
     def _take(self, message: Any) -> None:
         now = self.world.rig.clock.now()
         match message:
             case messages.Submit():
-                self.cell.submit(self.link, message, now)
+                self.shard.submit(self.link, message, now)
             case messages.Withdraw(job=job):
-                self.cell.withdraw(self.link, job)
+                self.shard.withdraw(self.link, job)
             case messages.EndsNoted():
-                self.cell.note_ends(message)
+                self.shard.note_ends(message)
             case _:
                 self.keeper.tell(self.link, message)
 
@@ -241,7 +243,7 @@
         fault_share: float = 0,
         count: int = 4,
         failing_percent: int = 0,
-        cfg: times.Cell | None = None,
+        cfg: times.ShardTiming | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.fault_share = fault_share
@@ -279,7 +281,7 @@
         for each in self.rig.models.values():
             if not each.is_up:
                 each.restart(self.rig.clock.now())
-        self.rig.list_workers(self.owner.cell, list(self.rig.models.values()))
+        self.rig.list_workers(self.owner.shard, list(self.rig.models.values()))
 
     async def settle(self, job: ids.JobId, limit_s: float = 30) -> str:
         """Wait for the end of a job; return its last state."""
--- a/tests/process/membership/test_links.py
+++ b/tests/process/membership/test_links.py
@@ -10,7 +10,7 @@
 from sardineproxy.process.membership import links
 from tests import virtual_time
 
-BEAT = messages.Beat(version=1, cells=(), pending=())
+BEAT = messages.Beat(version=1, shards=(), pending=())
 
 
 class FakeLink:
--- a/tests/process/membership/test_owners.py
+++ b/tests/process/membership/test_owners.py
@@ -4,19 +4,19 @@
 
 from sardineproxy import ids
 from sardineproxy.connection import messages
-from sardineproxy.process.cells import fences
+from sardineproxy.process.shards import fences
 from sardineproxy.process.membership import owners
 
-CELL = ids.CellId('zone-a')
+SHARD = ids.ShardId('zone-a')
 ME = ids.VmId('me')
 FIRST = ids.VmId('first')
 SECOND = ids.VmId('second')
 
 
-def beat(*rights: tuple[ids.CellId, int, int, int]) -> messages.Beat:
+def beat(*rights: tuple[ids.ShardId, int, int, int]) -> messages.Beat:
     """Return the words of a VM that owns cells."""
     return messages.Beat(
-        version=1, cells=tuple((*right, True) for right in rights), pending=()
+        version=1, shards=tuple((*right, True) for right in rights), pending=()
     )
 
 
@@ -24,7 +24,7 @@
     """Return owners after each VM has told its epoch of the cell."""
     tested = owners.Owners(me=ME)
     for vm, epoch in epochs.items():
-        tested.take(ids.VmId(vm), beat((CELL, epoch, 0, 5)), 0)
+        tested.take(ids.VmId(vm), beat((SHARD, epoch, 0, 5)), 0)
     return tested
 
 
@@ -33,34 +33,34 @@
         """Guards against tasks sent to a former owner."""
         tested = make_owners(first=3, second=2)
         tested.choose({})
-        self.assertEqual({CELL: FIRST}, tested.by_cell)
+        self.assertEqual({SHARD: FIRST}, tested.by_shard)
 
     def test_rank_decides_within_an_epoch(self) -> None:
         """Guards against two heirs that are both believed."""
         tested = owners.Owners(me=ME)
-        tested.take(FIRST, beat((CELL, 3, 1, 0)), 0)
-        tested.take(SECOND, beat((CELL, 3, 2, 0)), 0)
+        tested.take(FIRST, beat((SHARD, 3, 1, 0)), 0)
+        tested.take(SECOND, beat((SHARD, 3, 2, 0)), 0)
         tested.choose({})
-        self.assertEqual({CELL: SECOND}, tested.by_cell)
+        self.assertEqual({SHARD: SECOND}, tested.by_shard)
 
     def test_own_lower_right_is_lost(self) -> None:
         """Guards against two VMs that both order a worker."""
         change = make_owners(first=3).choose(
-            {CELL: fences.Right(epoch=2, rank=0)}
+            {SHARD: fences.Right(epoch=2, rank=0)}
         )
-        self.assertEqual({CELL: FIRST}, change.lost)
+        self.assertEqual({SHARD: FIRST}, change.lost)
 
     def test_own_higher_right_stays(self) -> None:
         """Guards against a cell that is given up to its former owner."""
         tested = make_owners(first=3)
-        change = tested.choose({CELL: fences.Right(epoch=4, rank=0)})
+        change = tested.choose({SHARD: fences.Right(epoch=4, rank=0)})
         self.assertEqual({}, change.lost)
-        self.assertEqual({CELL: ME}, tested.by_cell)
+        self.assertEqual({SHARD: ME}, tested.by_shard)
 
     def test_only_changes_are_told(self) -> None:
         """Guards against jobs that are sent again for no reason."""
         tested = make_owners(first=3)
-        self.assertEqual([CELL], tested.choose({}).found)
+        self.assertEqual([SHARD], tested.choose({}).found)
         self.assertEqual([], tested.choose({}).found)
 
     def test_cell_without_an_owner_is_forgotten_with_its_room(self) -> None:
@@ -69,14 +69,14 @@
         tested.choose({})
         tested.forget(FIRST)
         tested.choose({})
-        self.assertEqual({}, tested.by_cell)
+        self.assertEqual({}, tested.by_shard)
         self.assertEqual({}, tested.rooms.free(0))
 
     def test_one_cell_can_be_disowned(self) -> None:
         """Guards against all cells of a VM lost with one of them."""
-        other = ids.CellId('zone-b')
+        other = ids.ShardId('zone-b')
         tested = owners.Owners(me=ME)
-        tested.take(FIRST, beat((CELL, 1, 0, 0), (other, 1, 0, 0)), 0)
-        tested.forget(FIRST, CELL)
+        tested.take(FIRST, beat((SHARD, 1, 0, 0), (other, 1, 0, 0)), 0)
+        tested.forget(FIRST, SHARD)
         tested.choose({})
-        self.assertEqual({other: FIRST}, tested.by_cell)
+        self.assertEqual({other: FIRST}, tested.by_shard)
--- a/tests/process/membership/test_registry.py
+++ b/tests/process/membership/test_registry.py
@@ -11,13 +11,13 @@
 from sardineproxy.process.membership import registry
 from tests import examples
 
-CELL = ids.CellId('z')
+SHARD = ids.ShardId('z')
 
 
 def claim_row(revision: int, epoch: int) -> store.Row:
     body = json.dumps({'epoch': epoch, 'owner': ['a', '1'], 'heirs': []})
     return store.Row(
-        key=registry.cell_key(CELL), revision=revision, body=body.encode()
+        key=registry.shard_key(SHARD), revision=revision, body=body.encode()
     )
 
 
@@ -43,15 +43,15 @@
         tested = registry.Registry()
         for revision in order:
             tested.offer((claim_row(revision, epoch=revision * 10),))
-        self.assertEqual(50, tested.claims[CELL].epoch)
+        self.assertEqual(50, tested.claims[SHARD].epoch)
 
     def test_malformed_row_is_passed_over(self) -> None:
         """Guards against a process that stops over another's row."""
         tested = registry.Registry()
         tested.offer((claim_row(1, 1),))
-        bad = store.Row(key=registry.cell_key(CELL), revision=2, body=b'{')
+        bad = store.Row(key=registry.shard_key(SHARD), revision=2, body=b'{')
         tested.offer((bad,))
-        self.assertEqual(1, tested.claims[CELL].epoch)
+        self.assertEqual(1, tested.claims[SHARD].epoch)
 
     def test_removed_member_is_forgotten(self) -> None:
         """Guards against links to VMs that were removed."""
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -14,7 +14,7 @@
 from tests.platform import samples
 from tests.process.node import samples as node_samples
 
-CELL = ids.CellId('z1')
+SHARD = ids.ShardId('z1')
 
 
 def make_list() -> worker_list.WorkerList:
@@ -35,9 +35,9 @@
         tested.take((row(samples.entry()),), 10)
         tested.take((row(None),), 20)
         tested.drop_gone(sound_since=0, now=22)
-        self.assertEqual(1, len(tested.of_cell(CELL)))
+        self.assertEqual(1, len(tested.of_shard(SHARD)))
         tested.drop_gone(sound_since=0, now=23)
-        self.assertEqual([], tested.of_cell(CELL))
+        self.assertEqual([], tested.of_shard(SHARD))
 
     def test_entry_that_lapsed_in_an_outage_has_time_to_come_back(self) -> None:
         """Guards against workers given up as the store returns."""
@@ -46,10 +46,10 @@
         tested.take((row(None),), 20)
         tested.drop_gone(sound_since=None, now=40)
         tested.drop_gone(sound_since=40, now=42)
-        self.assertEqual(1, len(tested.of_cell(CELL)))
+        self.assertEqual(1, len(tested.of_shard(SHARD)))
         tested.take((row(samples.entry()),), 42)
         tested.drop_gone(sound_since=40, now=60)
-        self.assertEqual(1, len(tested.of_cell(CELL)))
+        self.assertEqual(1, len(tested.of_shard(SHARD)))
 
     def test_malformed_entry_counts_as_gone(self) -> None:
         """Guards against orders by an entry that another writer left."""
@@ -57,7 +57,7 @@
         tested.take((row(samples.entry()),), 10)
         tested.take((row({'state': 'ready'}),), 20)
         tested.drop_gone(sound_since=0, now=30)
-        self.assertEqual([], tested.of_cell(CELL))
+        self.assertEqual([], tested.of_shard(SHARD))
 
     def test_list_is_complete_once_the_store_has_answered_for_long(
         self,
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -14,7 +14,7 @@
 from sardineproxy.version import routes
 from tests import virtual_time
 from tests.platform import samples as documents
-from tests.process.cells import samples
+from tests.process.shards import samples
 
 ROUTE = routes.Route(
     route=ids.RouteId('r'),
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -5,13 +5,13 @@
 import testtools
 
 from sardineproxy import deployment, ids
-from sardineproxy.process.cells import fences
+from sardineproxy.process.shards import fences
 from sardineproxy.process.membership import registry
 from sardineproxy.process.node import claiming
 from tests import virtual_time
 from tests.process.node import samples
 
-CELL = ids.CellId('z')
+SHARD = ids.ShardId('z')
 NOBODY: frozenset[ids.VmId] = frozenset()
 
 
@@ -53,7 +53,7 @@
 
     def due(self, now: float, **changes: Any) -> bool:
         return self.claims.due(
-            CELL,
+            SHARD,
             owner=changes.get('owner'),
             in_reach=changes.get('in_reach', NOBODY),
             now=1000 + now,
@@ -61,11 +61,11 @@
 
     def stale(self, now: float, *, isolated: bool = False) -> bool:
         return self.claims.is_stale(
-            CELL, self.rights[-1], isolated=isolated, now=1000 + now
+            SHARD, self.rights[-1], isolated=isolated, now=1000 + now
         )
 
     async def claim(self, now: float = 0) -> None:
-        await self.claims.claim(CELL, 1000 + now)
+        await self.claims.claim(SHARD, 1000 + now)
 
 
 def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -115,10 +115,10 @@
     def test_workers_must_be_in_reach_for_a_while(self) -> None:
         """Guards against claims by the side that is cut off."""
         claims = Rig(make_member('a')).claims
-        self.assertFalse(claims.note_reach(CELL, reached=True, now=0))
-        self.assertFalse(claims.note_reach(CELL, reached=False, now=0.5))
-        self.assertFalse(claims.note_reach(CELL, reached=True, now=1))
-        self.assertTrue(claims.note_reach(CELL, reached=True, now=1.9))
+        self.assertFalse(claims.note_reach(SHARD, reached=True, now=0))
+        self.assertFalse(claims.note_reach(SHARD, reached=False, now=0.5))
+        self.assertFalse(claims.note_reach(SHARD, reached=True, now=1))
+        self.assertTrue(claims.note_reach(SHARD, reached=True, now=1.9))
 
 
 class TestClaim(testtools.TestCase):
--- a/tests/process/cells/samples.py
+++ b/tests/process/shards/samples.py
@@ -6,15 +6,15 @@
 from sardineproxy import deployment, ids
 from sardineproxy.connection import messages
 from sardineproxy.process import metrics
-from sardineproxy.process.cells import cell as cells
-from sardineproxy.process.cells import fences, rooms, times, workers
+from sardineproxy.process.shards import shard as shards
+from sardineproxy.process.shards import fences, rooms, times, workers
 from sardineproxy.process.membership import keepers
 from sardineproxy.request import jobs
 from sardineproxy.standin import run_checks, worker_model
 from tests import virtual_time
-from tests.process.cells import wire
+from tests.process.shards import wire
 
-CELL = ids.CellId('zone-a')
+SHARD = ids.ShardId('zone-a')
 SERVICE = ids.ServiceId('print')
 
 #: Millicores of a usual task; two fit on a usual worker.
@@ -70,7 +70,7 @@
 
 def make_submit(job: str = 'j1', count: int = 1, **changes: Any) -> Any:
     fields: dict[str, Any] = {
-        'cell': CELL,
+        'cell': SHARD,
         'job': ids.JobId(job),
         'step': 0,
         'route': ids.RouteId('r'),
@@ -116,13 +116,13 @@
     """Says of all ends that their jobs are not stored."""
 
     def __init__(self) -> None:
-        self.cells: list[cells.Cell] = []
+        self.shards: list[shards.ShardLeader] = []
 
     def send(self, message: Any) -> bool:
-        for each in self.cells:
+        for each in self.shards:
             each.note_ends(
                 messages.EndsNoted(
-                    cell=message.cell,
+                    shard=message.shard,
                     job=message.job,
                     step=message.step,
                     ends=((message.index, message.run),),
@@ -139,11 +139,11 @@
         *,
         count: int = 1,
         work_of: worker_model.WorkOf = usual_work,
-        cfg: times.Cell | None = None,
+        cfg: times.ShardTiming | None = None,
         **changes: Any,
     ) -> None:
         self.clock = virtual_time.LoopClock()
-        self.cfg = cfg or times.Cell()
+        self.cfg = cfg or times.ShardTiming()
         self.models = {
             f'w{number}': worker_model.WorkerModel(
                 worker=make_worker(f'w{number}', **changes), work_of=work_of
@@ -153,16 +153,16 @@
         self.wire = wire.Wire(models=self.models, clock=self.clock)
         self.list_is_new = True
         self.is_confirmed = True
-        self.superseded_cells: list[cells.Cell] = []
+        self.superseded_shards: list[shards.ShardLeader] = []
         self.others = rooms.Rooms()
         self.unkept = NoKeeper()
-        self.cells = self.unkept.cells
+        self.shards = self.unkept.shards
         self._tickers: list[asyncio.Task[None]] = []
 
     def listed_at(self) -> float:
         return self.clock.now() if self.list_is_new else 0
 
-    def confirmed_at(self, cell: ids.CellId, now: float) -> float:
+    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now if self.is_confirmed else 0
 
     def list_answers(self) -> bool:
@@ -174,8 +174,8 @@
     def keeper_of(self, job: ids.JobId) -> Any:
         return self.unkept
 
-    def superseded(self, lost: cells.Cell) -> None:
-        self.superseded_cells.append(lost)
+    def superseded(self, lost: shards.ShardLeader) -> None:
+        self.superseded_shards.append(lost)
 
     def own(
         self,
@@ -185,9 +185,9 @@
         complete: bool = True,
         ticks: bool = True,
         around: Any = None,
-    ) -> cells.Cell:
-        owned = cells.Cell(
-            cell=CELL,
+    ) -> shards.ShardLeader:
+        owned = shards.ShardLeader(
+            shard=SHARD,
             right=fences.Right(epoch=epoch, rank=0),
             api=api or self.wire,
             clock=self.clock,
@@ -198,14 +198,14 @@
             cfg=self.cfg,
         )
         self.list_workers(owned, list(self.models.values()), complete=complete)
-        self.cells.append(owned)
+        self.shards.append(owned)
         if ticks:
             self._tickers.append(asyncio.create_task(self._tick(owned)))
         return owned
 
     def list_workers(
         self,
-        owned: cells.Cell,
+        owned: shards.ShardLeader,
         models: list[worker_model.WorkerModel],
         *,
         complete: bool = True,
@@ -216,7 +216,7 @@
             complete=complete,
         )
 
-    async def ready(self, **kwargs: Any) -> cells.Cell:
+    async def ready(self, **kwargs: Any) -> shards.ShardLeader:
         """Own the cell and wait for the first reports."""
         owned = self.own(**kwargs)
         await asyncio.sleep(0.01)
@@ -237,8 +237,8 @@
         ]
         return found + run_checks.find_doubles(self.records())
 
-    async def _tick(self, owned: cells.Cell) -> None:
-        while owned not in self.superseded_cells:
+    async def _tick(self, owned: shards.ShardLeader) -> None:
+        while owned not in self.superseded_shards:
             owned.tick(self.clock.now())
             await asyncio.sleep(0.025)
 
--- a/tests/process/cells/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -5,10 +5,10 @@
 import testtools
 from testtools import matchers
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 from sardineproxy.standin import worker_model
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 
 def _fates(*fates: wire.Fate, kind: str = 'start'):
--- a/tests/process/cells/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -14,13 +14,13 @@
 
 from sardineproxy import ids
 from sardineproxy.connection import messages
-from sardineproxy.process.cells import cell as cells
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import shard as shards
+from sardineproxy.process.shards import workers
 from sardineproxy.request import board, coordinator, jobs
 from sardineproxy.standin import worker_model
 from sardineproxy.version import routes
 from tests import examples, virtual_time
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 #: Time from a failed answer until a client sends its job again, in seconds.
 RESEND_S = 1.3
@@ -75,15 +75,15 @@
     def __init__(self, world: 'World') -> None:
         self.world = world
         self.board = board.Board()
-        self.ends: dict[cells.Cell, _End] = {}
+        self.ends: dict[shards.ShardLeader, _End] = {}
 
-    def home(self) -> ids.CellId | None:
-        return samples.CELL if self.world.owner in self.ends else None
+    def home(self) -> ids.ShardId | None:
+        return samples.SHARD if self.world.owner in self.ends else None
 
-    def owner(self, cell: ids.CellId) -> Any:
+    def owner(self, shard: ids.ShardId) -> Any:
         return self.ends.get(self.world.owner)
 
-    def connect(self, owned: cells.Cell) -> None:
+    def connect(self, owned: shards.ShardLeader) -> None:
         near = _End(
             self.world, lambda end, message: self._to_owner(owned, end, message)
         )
@@ -91,9 +91,9 @@
         near.other = far
         far.other = near
         self.ends[owned] = near
-        self.board.owner_found(samples.CELL)
+        self.board.owner_found(samples.SHARD)
 
-    def cut(self, owned: cells.Cell) -> None:
+    def cut(self, owned: shards.ShardLeader) -> None:
         """Cut a link; both ends notice some time later."""
         near = self.ends.pop(owned, None)
         if near is None:
@@ -105,20 +105,22 @@
         loop.call_later(
             rng.uniform(0, NOTICE_S),
             self.board.owner_lost,
-            samples.CELL,
+            samples.SHARD,
             near,
         )
         loop.call_later(
             rng.uniform(0, NOTICE_S), self._notice, owned, near.other
         )
 
-    def _notice(self, owned: cells.Cell, far: Any) -> None:
+    def _notice(self, owned: shards.ShardLeader, far: Any) -> None:
         owned.link_lost(far, self.world.rig.clock.now())
 
-    def _to_owner(self, owned: cells.Cell, end: Any, message: Any) -> None:
+    def _to_owner(
+        self, owned: shards.ShardLeader, end: Any, message: Any
+    ) -> None:
         now = self.world.rig.clock.now()
-        if owned in self.world.rig.superseded_cells:
-            end.send(messages.Disowned(cell=samples.CELL))
+        if owned in self.world.rig.superseded_shards:
+            end.send(messages.Disowned(shard=samples.SHARD))
         elif isinstance(message, messages.Submit):
             owned.submit(end, message, now)
         elif isinstance(message, messages.Withdraw):
@@ -133,7 +135,7 @@
         self.fault_share = fault_share
         self.rig = samples.Rig(count=4, work_of=self.work_of)
         self.vms = [Vm(self), Vm(self)]
-        self.owner: cells.Cell
+        self.owner: shards.ShardLeader
         self.epoch = 0
         self.outcomes: list[jobs.Outcome] = []
         self.clients: set[asyncio.Task[None]] = set()
--- a/tests/process/cells/test_ordering.py
+++ b/tests/process/shards/test_ordering.py
@@ -5,9 +5,9 @@
 
 import testtools
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
-from tests.process.cells import samples
+from tests.process.shards import samples
 
 
 def long_work(task: workers.TaskName, run: int) -> worker_model.Work:
--- a/tests/process/cells/test_cell.py
+++ b/tests/process/shards/test_shard.py
@@ -6,9 +6,9 @@
 from testtools import matchers
 
 from sardineproxy import ids
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 
 def _long(task: workers.TaskName, run: int) -> worker_model.Work:
@@ -100,7 +100,7 @@
         """Guards against waiting while another cell is idle."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.CellId('zone-b'), 5, rig.clock.now())
+            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
             owned = await rig.ready()
             link = samples.FakeLink()
             owned.submit(link, samples.make_submit('j1', 5), rig.clock.now())
@@ -114,7 +114,7 @@
         """Guards against tasks sent to an owner that is lost."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.CellId('zone-b'), 5, rig.clock.now())
+            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
             owned = await rig.ready()
             await asyncio.sleep(0.6)
             link = samples.FakeLink()
@@ -127,7 +127,7 @@
         """Guards against tasks that are sent to and fro between cells."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.CellId('zone-b'), 5, rig.clock.now())
+            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
             owned = await rig.ready()
             link = samples.FakeLink()
             owned.submit(
@@ -287,7 +287,7 @@
             owned.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
             self.assertEqual({0: 'done'}, link.ends())
-            self.assertEqual([], rig.superseded_cells)
+            self.assertEqual([], rig.superseded_shards)
 
         samples.with_rig(scenario)
 
@@ -363,7 +363,7 @@
                 rig.clock.now(),
             )
             await asyncio.sleep(0.5)
-            self.assertIn(old, rig.superseded_cells)
+            self.assertIn(old, rig.superseded_shards)
             self.assertEqual([], rig.records())
 
         samples.with_rig(scenario)
--- a/tests/process/cells/wire.py
+++ b/tests/process/shards/wire.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any, Callable
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
 
 #: Step in which a waiting look checks for new ends, in seconds.
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -10,11 +10,11 @@
 from sardineproxy.connection import messages
 from sardineproxy.request import coordinator, jobs, open_tasks
 from tests import virtual_time
-from tests.process.cells import samples as cell_samples
+from tests.process.shards import samples as shard_samples
 from tests.process.node import samples
 
-HOME = ids.CellId('zone-a')
-OTHER = ids.CellId('zone-b')
+HOME = ids.ShardId('zone-a')
+OTHER = ids.ShardId('zone-b')
 
 
 class Rig:
@@ -22,13 +22,13 @@
 
     def __init__(self, count: int = 2) -> None:
         self.clock = virtual_time.LoopClock()
-        self.links: dict[ids.CellId, Any] = {
-            HOME: cell_samples.FakeLink('vm-1'),
-            OTHER: cell_samples.FakeLink('vm-2'),
+        self.links: dict[ids.ShardId, Any] = {
+            HOME: shard_samples.FakeLink('vm-1'),
+            OTHER: shard_samples.FakeLink('vm-2'),
         }
         step = jobs.Step(
             count=count,
-            shape=cell_samples.usual_work('', 1).shape,
+            shape=shard_samples.usual_work('', 1).shape,
             estimate_s=0.3,
         )
         self.tested = coordinator.Coordinator(
@@ -41,23 +41,23 @@
         )
         self.outcome = asyncio.create_task(self.tested.run())
 
-    def home(self) -> ids.CellId | None:
+    def home(self) -> ids.ShardId | None:
         return HOME if HOME in self.links else None
 
-    def owner(self, cell: ids.CellId) -> Any:
-        return self.links.get(cell)
+    def owner(self, shard: ids.ShardId) -> Any:
+        return self.links.get(shard)
 
-    def submitted(self, cell: ids.CellId = HOME) -> list[messages.Submit]:
+    def submitted(self, shard: ids.ShardId = HOME) -> list[messages.Submit]:
         return [
             message
-            for message in self.links[cell].sent
+            for message in self.links[shard].sent
             if isinstance(message, messages.Submit)
         ]
 
     async def end(self, index: int, how: str = 'done', run: int = 1) -> None:
         self.tested.tell(
             messages.Ended(
-                cell=HOME,
+                shard=HOME,
                 job=self.tested.job.job,
                 step=0,
                 index=index,
@@ -69,11 +69,11 @@
         await asyncio.sleep(0.001)
 
     async def decline(
-        self, *indices: int, cell: ids.CellId = HOME, other: str = ''
+        self, *indices: int, shard: ids.ShardId = HOME, other: str = ''
     ) -> None:
         self.tested.tell(
             messages.Declined(
-                cell=cell,
+                shard=shard,
                 job=self.tested.job.job,
                 step=0,
                 indices=indices,
@@ -87,7 +87,7 @@
 
     async def lose_owner(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.tell(open_tasks.OwnerLost(cell=HOME, source=lost))
+        self.tested.tell(open_tasks.OwnerLost(shard=HOME, source=lost))
         await asyncio.sleep(0.001)
 
 
@@ -200,10 +200,10 @@
         async def scenario(rig: Rig) -> None:
             await rig.end(0)
             await rig.lose_owner()
-            rig.links[HOME] = cell_samples.FakeLink('vm-3')
-            rig.tested.tell(open_tasks.OwnerFound(cell=HOME))
+            rig.links[HOME] = shard_samples.FakeLink('vm-3')
+            rig.tested.tell(open_tasks.OwnerFound(shard=HOME))
             await asyncio.sleep(0.001)
-            asked = cell_samples.only(rig.submitted())
+            asked = shard_samples.only(rig.submitted())
             self.assertTrue(asked.resumed)
             self.assertEqual(((1, 1),), asked.tasks)
 
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -3,7 +3,7 @@
 import math
 from typing import Iterator
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import run_checks, worker_model
 from tests.soak import fleet, trace
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -9,7 +9,7 @@
 import signal
 from typing import Awaitable, Callable
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import relay_modes, relay_server
 from tests.platform import store_server
 from tests.soak import fleet, vm, worker
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from sardineproxy import ids
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 from sardineproxy.standin import relay_server, row_store, worker_model
 from tests.platform import worker_server
-from tests.process.cells import samples
+from tests.process.shards import samples
 
 #: Time between two writes of a worker's entry, in seconds.
 BEAT_S = 1.5
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,9 +8,9 @@
 import testtools
 from testtools import matchers
 
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
-from tests.process.cells import samples
+from tests.process.shards import samples
 from tests.soak import __main__ as soak
 from tests.soak import checks, play, trace
 
