--- a/sardineproxy/process/keeping/execution.py
+++ b/sardineproxy/process/keeping/execution.py
@@ -50,8 +50,8 @@
     messages.Ended
     | messages.Declined
     | messages.JobBegun
-    | open_tasks.OwnerLost
-    | open_tasks.OwnerFound
+    | open_tasks.LeaderLost
+    | open_tasks.LeaderFound
     | Cancelled
     | _MoveStored
 )
@@ -200,10 +200,10 @@
                 self._take_declined(event)
             case messages.JobBegun():
                 self.has_begun = True
-            case open_tasks.OwnerLost(shard=shard):
+            case open_tasks.LeaderLost(shard=shard):
                 self._open.strand(event)
                 self._open.resume(shard, begun=True)
-            case open_tasks.OwnerFound(shard=shard):
+            case open_tasks.LeaderFound(shard=shard):
                 self._open.resume(shard, begun=True)
             case _MoveStored(tasks=tasks, shard=shard):
                 self._finish_move(tasks, shard)
@@ -368,7 +368,7 @@
 
     def _send_notes(self, notes: list[_Note]) -> None:
         for note in notes:
-            source = self._router.owner(note.shard)
+            source = self._router.leader(note.shard)
             if source is not None:
                 source.send(
                     messages.EndsNoted(
--- a/sardineproxy/process/keeping/homes.py
+++ b/sardineproxy/process/keeping/homes.py
@@ -38,7 +38,7 @@
     def all_shards(self) -> Iterable[ids.ShardId]:
         """Return all cells of the deployment."""
 
-    def owner(self, shard: ids.ShardId) -> link.Link | None:
+    def leader(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
 
 
@@ -145,7 +145,7 @@
                 waiting.set_result(_Answer.UNKNOWN)
 
     def tell_all(
-        self, event: open_tasks.OwnerLost | open_tasks.OwnerFound
+        self, event: open_tasks.LeaderLost | open_tasks.LeaderFound
     ) -> None:
         """Tell all stored jobs of a change of a cell's owner."""
         for each in self.keepers.values():
@@ -186,7 +186,7 @@
     async def _ask_once(
         self, shard: ids.ShardId, question: _Question
     ) -> keeper.KeeperAnswer:
-        source = self._around.owner(shard)
+        source = self._around.leader(shard)
         if source is None:
             return _Answer.UNAVAILABLE
         token = next(self._tokens)
--- a/sardineproxy/process/keeping/keeper.py
+++ b/sardineproxy/process/keeping/keeper.py
@@ -176,7 +176,7 @@
                 )
 
     def tell_all(
-        self, event: open_tasks.OwnerLost | open_tasks.OwnerFound
+        self, event: open_tasks.LeaderLost | open_tasks.LeaderFound
     ) -> None:
         """Tell all jobs of a change of a cell's owner."""
         for each in self._open.values():
--- a/sardineproxy/process/membership/keepers.py
+++ b/sardineproxy/process/membership/keepers.py
@@ -36,7 +36,7 @@
             if known_here is None or known_here.vm != vm:
                 self._by_shard[shard] = Kept(vm=vm, since=now)
 
-    def get(self, shard: ids.ShardId, owner: ids.VmId | None) -> Kept | None:
+    def get(self, shard: ids.ShardId, leader: ids.VmId | None) -> Kept | None:
         """Return what a cell's owner has said, None if nothing."""
         known = self._by_shard.get(shard)
-        return known if known is not None and known.vm == owner else None
+        return known if known is not None and known.vm == leader else None
--- a/sardineproxy/process/membership/owners.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -22,7 +22,7 @@
     found: list[ids.ShardId]
 
 
-class Owners:
+class Leaders:
     """Newest rights that VMs in reach have told, and the highest of each."""
 
     def __init__(self, *, me: ids.VmId) -> None:
@@ -92,11 +92,11 @@
             self.rooms.forget(gone)
         found = [
             owned
-            for owned, owner in self.by_shard.items()
-            if former.get(owned) != owner
+            for owned, leader in self.by_shard.items()
+            if former.get(owned) != leader
         ]
         for changed in found:
-            _log_owner(changed, *best[changed])
+            _log_leader(changed, *best[changed])
         return Change(lost=lost, found=found)
 
     def _highest_offers(
@@ -110,7 +110,7 @@
         return best
 
 
-def _log_owner(shard: ids.ShardId, right: fences.Right, vm: ids.VmId) -> None:
+def _log_leader(shard: ids.ShardId, right: fences.Right, vm: ids.VmId) -> None:
     _LOG.info(
         'Owner of cell.',
         extra={
--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -33,7 +33,7 @@
 #: Between a VM and the owners of other cells. Each beat lost costs tasks that
 #: were sent to another zone, and the time in which a zone that has lost all
 #: its VMs does no work.
-OWNER = Rhythm(beat_s=0.2, silent_s=0.7)
+LEADER = Rhythm(beat_s=0.2, silent_s=0.7)
 
 #: Between VMs that own nothing.
 FAR = Rhythm(beat_s=0.3, silent_s=1.1)
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -62,7 +62,7 @@
         self._retry_at: dict[ids.ShardId, float] = {}
         self._stale_since: dict[ids.ShardId, float] = {}
         self._signed_at: dict[ids.ShardId, float] = {}
-        self._seen_owner: set[ids.ShardId] = set()
+        self._seen_leader: set[ids.ShardId] = set()
         self._seen_revision: dict[ids.ShardId, int] = {}
         self._reached_since: dict[ids.ShardId, float] = {}
 
@@ -70,13 +70,13 @@
         self,
         shard: ids.ShardId,
         *,
-        owner: ids.VmId | None,
+        leader: ids.VmId | None,
         in_reach: frozenset[ids.VmId],
         now: float,
     ) -> bool:
         """Tell whether this process should claim a cell now."""
-        if owner is not None:
-            self._seen_owner.add(shard)
+        if leader is not None:
+            self._seen_leader.add(shard)
             self._absent_since.pop(shard, None)
             self._reached_since.pop(shard, None)
             return False
@@ -118,7 +118,7 @@
             cell=shard,
             epoch=old.epoch + 1 if old else 1,
             owner=self._process(),
-            heirs=self.heirs(shard),
+            heirs=self.successors(shard),
             revision=old.revision if old else 0,
         )
         write = registry.claim_write(claim)
@@ -147,7 +147,7 @@
         if answer.err_value.kind is not store.ErrorKind.CONFLICT:
             self._inherit(shard, old)
 
-    def heirs(self, shard: ids.ShardId) -> tuple[registry.Process, ...]:
+    def successors(self, shard: ids.ShardId) -> tuple[registry.Process, ...]:
         """Return who may follow this process as owner, in order."""
         return tuple(
             (member.vm, member.incarnation)
@@ -155,12 +155,12 @@
             if member.vm != self._me.vm
         )[: fences.MAX_HEIRS]
 
-    def heirs_of_claim(self, shard: ids.ShardId) -> list[ids.VmId]:
+    def successors_of_claim(self, shard: ids.ShardId) -> list[ids.VmId]:
         """Return the VMs that may inherit a cell by its present claim."""
         claim = self._directory.claims.get(shard)
         return [] if claim is None else [vm for vm, _ in claim.heirs]
 
-    def is_heir(self) -> bool:
+    def is_successor(self) -> bool:
         """Tell whether this VM is among the first to own its zone's cell."""
         first = self._candidates(ids.ShardId(self._me.zone))[:LINKED_CANDIDATES]
         return any(candidate.vm == self._me.vm for candidate in first)
@@ -212,7 +212,7 @@
         if claim.owner != self._process() or right.rank:
             return False
         return claim.epoch == right.epoch and (
-            set(claim.heirs) == set(self.heirs(claim.cell))
+            set(claim.heirs) == set(self.successors(claim.cell))
         )
 
     def _process(self) -> registry.Process:
@@ -231,7 +231,7 @@
         self, shard: ids.ShardId, in_reach: frozenset[ids.VmId]
     ) -> float:
         first_s = FIRST_CLAIM_S
-        if shard in self._seen_owner or shard in self._directory.claims:
+        if shard in self._seen_leader or shard in self._directory.claims:
             first_s = NEXT_CLAIM_S
         living = [
             member.vm
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -19,8 +19,8 @@
 
 #: The list of workers changes with each of their beats, so that it is asked
 #: for at intervals; a leaving worker must get no orders after 2 s.
-OWNER_ROSTER_PACE = following.Pace(wait_s=0, pause_s=0.8)
-HEIR_ROSTER_PACE = following.Pace(wait_s=0, pause_s=1.5)
+LEADER_ROSTER_PACE = following.Pace(wait_s=0, pause_s=0.8)
+SUCCESSOR_ROSTER_PACE = following.Pace(wait_s=0, pause_s=1.5)
 
 #: Pace of VMs that will not own a cell soon.
 ROSTER_PACE = following.Pace(wait_s=0, pause_s=15)
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/holdings.py
@@ -40,7 +40,7 @@
     def rooms(self) -> rooms.Rooms:
         """Return how much room other cells have."""
 
-    def owner_of(self, shard: ids.ShardId) -> ids.VmId | None:
+    def leader_of(self, shard: ids.ShardId) -> ids.VmId | None:
         """Return which VM owns a cell."""
 
     def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
@@ -229,8 +229,8 @@
             self._return_shards(now)
         in_reach = frozenset(self._links.open)
         for shard in self._around.all_shards:
-            vm = self._around.owner_of(shard)
-            if self._claims.due(shard, owner=vm, in_reach=in_reach, now=now):
+            vm = self._around.leader_of(shard)
+            if self._claims.due(shard, leader=vm, in_reach=in_reach, now=now):
                 self.start_claim(shard)
 
     def _refresh(self, now: float) -> None:
@@ -247,14 +247,16 @@
         for shard in self.shards:
             if shard == self._around.home_shard:
                 continue
-            successor = self._settled_heir(shard, now)
+            successor = self._settled_successor(shard, now)
             if successor is not None:
                 self._return_at = now + RETURN_AFTER_S
                 successor.send(messages.TakeOver(shard=shard))
 
-    def _settled_heir(self, shard: ids.ShardId, now: float) -> link.Link | None:
+    def _settled_successor(
+        self, shard: ids.ShardId, now: float
+    ) -> link.Link | None:
         """Return the link to an heir that has been in reach for a while."""
-        for vm, _ in self._claims.heirs(shard):
+        for vm, _ in self._claims.successors(shard):
             found = self._links.to(vm)
             if found is not None and now - found.opened_at > RETURN_AFTER_S:
                 return found
@@ -304,7 +306,7 @@
         )
 
     def _hand_over(self, shard: ids.ShardId) -> None:
-        for vm, _ in self._claims.heirs(shard):
+        for vm, _ in self._claims.successors(shard):
             successor = self._links.to(vm)
             if successor is not None:
                 _LOG.info('Cell handed over.', extra={'cell': shard, 'to': vm})
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -13,7 +13,7 @@
     following,
     keepers,
     links,
-    owners,
+    leaders,
     registry,
     worker_list,
 )
@@ -35,7 +35,7 @@
 #: Time between two rounds of what is due, in seconds: half a beat, and less
 #: for owners of cells, whose queues move on with time.
 TICK_S = 0.05
-OWNER_TICK_S = 0.025
+LEADER_TICK_S = 0.025
 
 #: A gap between two rounds that shows that the process stood still, in
 #: seconds. Links are given up after a silence of 0.4 s.
@@ -81,7 +81,7 @@
             directory=self.directory,
             on_directory=self._call_others,
         )
-        self.owners = owners.Owners(me=cfg.vm)
+        self.leaders = leaders.Leaders(me=cfg.vm)
         self.workers = worker_list.WorkerList(
             worker_id=outside.formats.worker_id,
             decode=outside.formats.decode_worker,
@@ -193,18 +193,18 @@
 
     def home(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs."""
-        if self.home_shard in self.owners.by_shard:
+        if self.home_shard in self.leaders.by_shard:
             return self.home_shard
         free = self.rooms.free(self._clock.now())
         return min(
-            self.owners.by_shard,
+            self.leaders.by_shard,
             key=lambda other: (-free.get(other, 0), other),
             default=None,
         )
 
-    def owner(self, shard: ids.ShardId) -> link.Link | None:
+    def leader(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
-        vm = self.owner_of(shard)
+        vm = self.leader_of(shard)
         if vm is None:
             return None
         return self._local if vm == self.cfg.vm else self.links.to(vm)
@@ -221,8 +221,8 @@
         self.holdings.link_lost(closed, self._clock.now())
         self.homes.closed(closed)
         if self.links.to(closed.peer.vm) is None:
-            self.owners.forget(closed.peer.vm)
-        self._choose_owners()
+            self.leaders.forget(closed.peer.vm)
+        self._choose_leaders()
         for shard in self.all_shards:
             self._tell_lost(shard, closed)
 
@@ -242,7 +242,7 @@
             case messages.Greeting():
                 source.abort()
             case messages.Beat() | messages.Disowned() | messages.TakeOver():
-                self._take_ownership(source, message)
+                self._receive_leaderships(source, message)
             case _:
                 self._sharing.received(source, message)
 
@@ -261,20 +261,20 @@
     @property
     def rooms(self) -> rooms.Rooms:
         """Return how much room other cells have."""
-        return self.owners.rooms
+        return self.leaders.rooms
 
-    def owner_of(self, shard: ids.ShardId) -> ids.VmId | None:
+    def leader_of(self, shard: ids.ShardId) -> ids.VmId | None:
         """Return which VM owns a cell."""
-        return self.owners.by_shard.get(shard)
+        return self.leaders.by_shard.get(shard)
 
     def kept(self, job: ids.JobId) -> keepers.Kept | None:
         """Return who keeps a stored job, None if that is not known."""
         home = self.homes.home_of(job)
-        return self.owners.keepers.get(home, self.owner_of(home))
+        return self.leaders.keepers.get(home, self.leader_of(home))
 
     def keeper_of(self, job: ids.JobId) -> link.Link | None:
         """Return the link to the owner of a stored job's home cell."""
-        return self.owner(self.homes.home_of(job))
+        return self.leader(self.homes.home_of(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
         """Return a route of the version in force, None if it was removed."""
@@ -286,7 +286,7 @@
         return (
             self.board.waiting_for(route)
             + self.homes.pending().get(route, 0)
-            + self.owners.pending(route)
+            + self.leaders.pending(route)
         )
 
     def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
@@ -303,8 +303,8 @@
 
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return when this process last knew that it owns a cell."""
-        heirs = self._claims.heirs_of_claim(shard)
-        if all(self.links.to(vm) is not None for vm in heirs):
+        successors = self._claims.successors_of_claim(shard)
+        if all(self.links.to(vm) is not None for vm in successors):
             return now
         return self._feeds.heard_at()
 
@@ -319,14 +319,14 @@
     def gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
         self._feeds.roster.poke()
-        self._choose_owners()
+        self._choose_leaders()
         self.links.send_all(self._beat(self._clock.now()))
 
     def lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
         self.links.send_all(messages.Disowned(shard=shard))
         self.links.send_all(self._beat(self._clock.now()))
-        self._choose_owners()
+        self._choose_leaders()
         self._tell_lost(shard, self._local)
 
     def state(self) -> dict[str, object]:
@@ -355,9 +355,9 @@
     def roster_pace(self) -> following.Pace:
         """Return how often the list of workers is needed."""
         if self.holdings.shards:
-            return feeds.OWNER_ROSTER_PACE
-        if self._claims.is_heir():
-            return feeds.HEIR_ROSTER_PACE
+            return feeds.LEADER_ROSTER_PACE
+        if self._claims.is_successor():
+            return feeds.SUCCESSOR_ROSTER_PACE
         return feeds.ROSTER_PACE
 
     # Internals.
@@ -366,13 +366,13 @@
         while True:
             self._tick(self._clock.now())
             await asyncio.sleep(
-                OWNER_TICK_S if self.holdings.shards else TICK_S
+                LEADER_TICK_S if self.holdings.shards else TICK_S
             )
 
     def _tick(self, now: float) -> None:
         self._check_stall(now)
         self._ticked_at = now
-        self.owners.keepers.note(self.cfg.vm, self.homes.loaded(), now)
+        self.leaders.keepers.note(self.cfg.vm, self.homes.loaded(), now)
         self.links.tick(now, self._beat(now))
         self.holdings.tick(now, may_claim=not self.draining)
 
@@ -393,10 +393,10 @@
         owns_home = self.home_shard in self.holdings.shards
         if owns_home and peer.zone == self.cfg.zone:
             return links.CLOSE
-        if self.owner_of(self.home_shard) == peer.vm:
+        if self.leader_of(self.home_shard) == peer.vm:
             return links.CLOSE
-        if self.holdings.shards or peer.vm in self.owners.by_shard.values():
-            return links.OWNER
+        if self.holdings.shards or peer.vm in self.leaders.by_shard.values():
+            return links.LEADER
         return links.FAR
 
     def _beat(self, now: float) -> messages.Beat:
@@ -406,7 +406,7 @@
             pending=tuple(self.homes.pending().items()),
         )
 
-    def _take_ownership(
+    def _receive_leaderships(
         self,
         source: link.Link,
         message: messages.Beat | messages.Disowned | messages.TakeOver,
@@ -415,8 +415,8 @@
         match message:
             case messages.Beat(version=version):
                 now = self._clock.now()
-                if self.owners.take(source.peer.vm, message, now):
-                    self._choose_owners()
+                if self.leaders.take(source.peer.vm, message, now):
+                    self._choose_leaders()
                 self._sharing.heard(
                     source,
                     version,
@@ -424,25 +424,25 @@
                     now=now,
                 )
             case messages.Disowned(shard=shard):
-                self.owners.forget(source.peer.vm, shard)
-                self._choose_owners()
+                self.leaders.forget(source.peer.vm, shard)
+                self._choose_leaders()
                 self._tell_lost(shard, source)
             case messages.TakeOver(shard=shard):
                 self.holdings.start_claim(shard)
 
-    def _choose_owners(self) -> None:
-        change = self.owners.choose(self.holdings.rights())
+    def _choose_leaders(self) -> None:
+        change = self.leaders.choose(self.holdings.rights())
         for shard, vm in change.lost.items():
             # Each loss leads to a new choice, which may have lost them all.
             if shard in self.holdings.shards:
                 self.holdings.lose(shard, f'{vm} has a higher right')
         for found in change.found:
-            self.board.owner_found(found)
-            self.homes.tell_all(open_tasks.OwnerFound(shard=found))
+            self.board.leader_found(found)
+            self.homes.tell_all(open_tasks.LeaderFound(shard=found))
 
     def _tell_lost(self, shard: ids.ShardId, source: link.Link) -> None:
-        self.board.owner_lost(shard, source)
-        self.homes.tell_all(open_tasks.OwnerLost(shard=shard, source=source))
+        self.board.leader_lost(shard, source)
+        self.homes.tell_all(open_tasks.LeaderLost(shard=shard, source=source))
 
     def _new_keeper(
         self, shard: ids.ShardId, right: fences.Right
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -18,7 +18,7 @@
         },
         'ready': own.is_ready(),
         'draining': own.draining,
-        'owners': dict(own.owners.by_shard),
+        'owners': dict(own.leaders.by_shard),
         'rooms': own.rooms.state(now),
         'links': {vm: len(of_vm) for vm, of_vm in own.links.open.items()},
         'members': sorted(own.directory.members),
--- a/sardineproxy/request/board.py
+++ b/sardineproxy/request/board.py
@@ -53,13 +53,13 @@
         if entry is not None:
             entry.coordinator.tell(message)
 
-    def owner_lost(self, shard: ids.ShardId, source: link.Link) -> None:
+    def leader_lost(self, shard: ids.ShardId, source: link.Link) -> None:
         """Tell all jobs that a cell's owner is lost."""
-        self._tell_all(open_tasks.OwnerLost(shard=shard, source=source))
+        self._tell_all(open_tasks.LeaderLost(shard=shard, source=source))
 
-    def owner_found(self, shard: ids.ShardId) -> None:
+    def leader_found(self, shard: ids.ShardId) -> None:
         """Tell all jobs that a cell has an owner."""
-        self._tell_all(open_tasks.OwnerFound(shard=shard))
+        self._tell_all(open_tasks.LeaderFound(shard=shard))
 
     def stalled(self) -> None:
         """Tell all jobs that this process stood still."""
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -12,13 +12,13 @@
 from sardineproxy.version import routes
 
 #: Longest wait for a new owner of a cell that lost its own, in seconds.
-OWNER_WAIT_S = 1.0
+LEADER_WAIT_S = 1.0
 
 #: Time that is kept for the way of the answer to the client, in seconds.
 ANSWER_S = 0.05
 
 #: When to come back after a refusal for want of an owner, in seconds.
-NO_OWNER_RETRY_S = 1.0
+NO_LEADER_RETRY_S = 1.0
 
 _LOG = logs.get_logger('job')
 
@@ -31,8 +31,8 @@
 Event = (
     messages.Ended
     | messages.Declined
-    | open_tasks.OwnerLost
-    | open_tasks.OwnerFound
+    | open_tasks.LeaderLost
+    | open_tasks.LeaderFound
     | Stalled
 )
 
@@ -85,7 +85,7 @@
         home = self._router.home()
         if home is None:
             return jobs.NotRun(
-                detail='no cell has an owner', retry_after_s=NO_OWNER_RETRY_S
+                detail='no cell has an owner', retry_after_s=NO_LEADER_RETRY_S
             )
         try:
             return await self._run(home)
@@ -109,7 +109,7 @@
 
     def _wait_s(self, left_s: float) -> float:
         if self._open.has_stranded():
-            return min(left_s, OWNER_WAIT_S)
+            return min(left_s, LEADER_WAIT_S)
         return left_s
 
     def _describe_wait(self) -> str:
@@ -139,9 +139,9 @@
                 return self._take_end(event)
             case messages.Declined():
                 return self._take_declined(event)
-            case open_tasks.OwnerLost():
+            case open_tasks.LeaderLost():
                 self._strand(event)
-            case open_tasks.OwnerFound(shard=shard):
+            case open_tasks.LeaderFound(shard=shard):
                 self._open.resume(shard, begun=self._has_begun)
             case Stalled():
                 return jobs.GivenUp(detail='process stood still')
@@ -183,7 +183,7 @@
             return None
         if declined.other and not any(task.was_moved for task in tasks):
             other = ids.ShardId(declined.other)
-            if self._router.owner(other) is not None:
+            if self._router.leader(other) is not None:
                 self._open.move(tasks, other, begun=self._has_begun)
                 return None
         elif any(task.was_moved for task in tasks):
@@ -205,7 +205,7 @@
             )
         return jobs.GivenUp(detail=f'some tasks declined: {declined.cause}')
 
-    def _strand(self, lost: open_tasks.OwnerLost) -> None:
+    def _strand(self, lost: open_tasks.LeaderLost) -> None:
         stranded = self._open.strand(lost)
         if stranded:
             self._may_have_run = True
@@ -216,7 +216,7 @@
                     'cell': lost.shard,
                     'owner': lost.source.peer.vm,
                     'tasks': [task.index for task in stranded],
-                    'longest_wait_s': OWNER_WAIT_S,
+                    'longest_wait_s': LEADER_WAIT_S,
                 },
             )
         self._open.resume(lost.shard, begun=self._has_begun)
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -22,12 +22,12 @@
     def home(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs, None if there is none."""
 
-    def owner(self, shard: ids.ShardId) -> link.Link | None:
+    def leader(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class OwnerLost:
+class LeaderLost:
     """The link to a cell's owner is closed, or it gave the cell up."""
 
     shard: ids.ShardId
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class OwnerFound:
+class LeaderFound:
     """A cell has an owner."""
 
     shard: ids.ShardId
@@ -147,7 +147,7 @@
         now = self._clock.now()
         first = tasks[0]
         step = self.job.steps[first.step]
-        source = self._router.owner(first.shard)
+        source = self._router.leader(first.shard)
         for stranded in tasks:
             stranded.source = None
         if source is None:
@@ -194,7 +194,7 @@
             task.is_moving = False
         self.send(tasks, firm=True, begun=begun)
 
-    def strand(self, lost: OwnerLost) -> list[OpenTask]:
+    def strand(self, lost: LeaderLost) -> list[OpenTask]:
         """Note that an owner is lost; return the tasks that it had."""
         stranded = [
             task
--- a/tests/process/keeping/test_model.py
+++ b/tests/process/keeping/test_model.py
@@ -72,7 +72,7 @@
         stored = worlds.make_job(number, *counts)
         answers = []
         for _ in range(2):
-            answers.append(await self.world.owner.keeper.accept(stored))
+            answers.append(await self.world.leader.keeper.accept(stored))
             if answers[-1] is not keeper.KeeperAnswer.UNKNOWN:
                 break
             await asyncio.sleep(1.3)
@@ -90,7 +90,7 @@
             case 'silent takeover':
                 world.take_over()
             case 'relink':
-                world.owner.relink()
+                world.leader.relink()
             case 'crash of a worker':
                 model.crash(world.rig.clock.now())
             case 'restart of workers':
@@ -105,7 +105,7 @@
         if running:
             job = self.world.rng.choice(running)
             self.cancelled.add(job)
-            await self.world.owner.keeper.cancel(job)
+            await self.world.leader.keeper.cancel(job)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/tests/process/keeping/world.py
+++ b/tests/process/keeping/world.py
@@ -194,7 +194,7 @@
     def home(self) -> ids.ShardId | None:
         return samples.SHARD
 
-    def owner(self, shard: ids.ShardId) -> Any:
+    def leader(self, shard: ids.ShardId) -> Any:
         return self.link
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
@@ -217,7 +217,7 @@
         self.link = Link(self)
         self.shard.link_lost(lost, self.world.rig.clock.now())
         self.keeper.tell_all(
-            open_tasks.OwnerLost(shard=samples.SHARD, source=lost)
+            open_tasks.LeaderLost(shard=samples.SHARD, source=lost)
         )
 
     def _take(self, message: Any) -> None:
@@ -252,7 +252,7 @@
         self.store = FaultyStore(self.rng, fault_share)
         self.routes = {ROUTE.route: ROUTE}
         self.epoch = 0
-        self.owner = self.take_over()
+        self.leader = self.take_over()
 
     def work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
         draw = random.Random(f'{task}.{run}').randrange(100)
@@ -269,26 +269,26 @@
     def take_over(self) -> Process:
         """Give the cell to a new process; the former one goes on."""
         self.epoch += 1
-        self.owner = Process(self, self.epoch)
-        return self.owner
+        self.leader = Process(self, self.epoch)
+        return self.leader
 
     async def replace(self) -> Process:
         """Let the owner crash, and give the cell to a new process."""
-        await self.owner.crash()
+        await self.leader.crash()
         return self.take_over()
 
     def restart_workers(self) -> None:
         for each in self.rig.models.values():
             if not each.is_up:
                 each.restart(self.rig.clock.now())
-        self.rig.list_workers(self.owner.shard, list(self.rig.models.values()))
+        self.rig.list_workers(self.leader.shard, list(self.rig.models.values()))
 
     async def settle(self, job: ids.JobId, limit_s: float = 30) -> str:
         """Wait for the end of a job; return its last state."""
         until = self.rig.clock.now() + limit_s
         answer = keeper.KeeperAnswer.UNAVAILABLE
         while self.rig.clock.now() < until:
-            answer = await self.owner.keeper.ask(job)
+            answer = await self.leader.keeper.ask(job)
             if answer.value in {'completed', 'failed', 'cancelled'}:
                 break
             await asyncio.sleep(0.05)
--- a/tests/process/membership/test_owners.py
+++ b/tests/process/membership/test_leaders.py
@@ -5,7 +5,7 @@
 from sardineproxy import ids
 from sardineproxy.connection import messages
 from sardineproxy.process.shards import fences
-from sardineproxy.process.membership import owners
+from sardineproxy.process.membership import leaders
 
 SHARD = ids.ShardId('zone-a')
 ME = ids.VmId('me')
@@ -20,9 +20,9 @@
     )
 
 
-def make_owners(**epochs: int) -> owners.Owners:
+def make_leaders(**epochs: int) -> leaders.Leaders:
     """Return owners after each VM has told its epoch of the cell."""
-    tested = owners.Owners(me=ME)
+    tested = leaders.Leaders(me=ME)
     for vm, epoch in epochs.items():
         tested.take(ids.VmId(vm), beat((SHARD, epoch, 0, 5)), 0)
     return tested
@@ -31,13 +31,13 @@
 class TestChoice(testtools.TestCase):
     def test_highest_right_wins(self) -> None:
         """Guards against tasks sent to a former owner."""
-        tested = make_owners(first=3, second=2)
+        tested = make_leaders(first=3, second=2)
         tested.choose({})
         self.assertEqual({SHARD: FIRST}, tested.by_shard)
 
     def test_rank_decides_within_an_epoch(self) -> None:
         """Guards against two heirs that are both believed."""
-        tested = owners.Owners(me=ME)
+        tested = leaders.Leaders(me=ME)
         tested.take(FIRST, beat((SHARD, 3, 1, 0)), 0)
         tested.take(SECOND, beat((SHARD, 3, 2, 0)), 0)
         tested.choose({})
@@ -45,37 +45,39 @@
 
     def test_own_lower_right_is_lost(self) -> None:
         """Guards against two VMs that both order a worker."""
-        change = make_owners(first=3).choose(
+        change = make_leaders(first=3).choose(
             {SHARD: fences.Right(epoch=2, rank=0)}
         )
         self.assertEqual({SHARD: FIRST}, change.lost)
 
     def test_own_higher_right_stays(self) -> None:
         """Guards against a cell that is given up to its former owner."""
-        tested = make_owners(first=3)
+        tested = make_leaders(first=3)
         change = tested.choose({SHARD: fences.Right(epoch=4, rank=0)})
         self.assertEqual({}, change.lost)
         self.assertEqual({SHARD: ME}, tested.by_shard)
 
     def test_only_changes_are_told(self) -> None:
         """Guards against jobs that are sent again for no reason."""
-        tested = make_owners(first=3)
+        tested = make_leaders(first=3)
         self.assertEqual([SHARD], tested.choose({}).found)
         self.assertEqual([], tested.choose({}).found)
 
-    def test_cell_without_an_owner_is_forgotten_with_its_room(self) -> None:
+    def test_shard_without_a_leader_is_forgotten_with_its_free_capacity(
+        self,
+    ) -> None:
         """Guards against tasks sent to a VM that is gone."""
-        tested = make_owners(first=3)
+        tested = make_leaders(first=3)
         tested.choose({})
         tested.forget(FIRST)
         tested.choose({})
         self.assertEqual({}, tested.by_shard)
         self.assertEqual({}, tested.rooms.free(0))
 
-    def test_one_cell_can_be_disowned(self) -> None:
+    def test_one_shard_can_be_disowned(self) -> None:
         """Guards against all cells of a VM lost with one of them."""
         other = ids.ShardId('zone-b')
-        tested = owners.Owners(me=ME)
+        tested = leaders.Leaders(me=ME)
         tested.take(FIRST, beat((SHARD, 1, 0, 0), (other, 1, 0, 0)), 0)
         tested.forget(FIRST, SHARD)
         tested.choose({})
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -54,7 +54,7 @@
     def due(self, now: float, **changes: Any) -> bool:
         return self.claims.due(
             SHARD,
-            owner=changes.get('owner'),
+            leader=changes.get('owner'),
             in_reach=changes.get('in_reach', NOBODY),
             now=1000 + now,
         )
@@ -82,11 +82,11 @@
         self.assertFalse(small.due(0.6, in_reach=reach))
         self.assertTrue(small.due(0.8, in_reach=reach))
 
-    def test_cell_with_an_owner_is_not_claimed(self) -> None:
+    def test_shard_with_a_leader_is_not_claimed(self) -> None:
         """Guards against cells that move for no reason."""
         rig = Rig(make_member('a'))
         self.assertFalse(rig.due(0))
-        self.assertFalse(rig.due(60, owner=ids.VmId('b')))
+        self.assertFalse(rig.due(60, leader=ids.VmId('b')))
         self.assertFalse(rig.due(60.01))
 
     def test_other_zone_waits_while_the_zone_has_vms(self) -> None:
@@ -102,11 +102,11 @@
         """Guards against the loss of an owner that is only cut off."""
 
         async def scenario() -> None:
-            owner = Rig(make_member('b'))
-            await owner.claim()
-            rig = Rig(make_member('a', zone='other'), owner.store)
+            leader = Rig(make_member('b'))
+            await leader.claim()
+            rig = Rig(make_member('a', zone='other'), leader.store)
             self.assertFalse(rig.due(0))
-            await owner.claim(5)
+            await leader.claim(5)
             rig.read()
             self.assertFalse(rig.due(5))
 
@@ -146,37 +146,37 @@
 
         run(scenario)
 
-    def test_heir_inherits_while_the_store_is_away(self) -> None:
+    def test_successor_takes_over_while_the_store_is_unavailable(self) -> None:
         """Guards against a zone without work during an outage."""
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
             rig.join(make_member('b'))
             await rig.claim()
-            heir = Rig(make_member('b'), rig.store)
-            heir.store.is_down = True
-            await heir.claim()
-            self.assertEqual([fences.Right(epoch=1, rank=1)], heir.rights)
+            successor = Rig(make_member('b'), rig.store)
+            successor.store.is_down = True
+            await successor.claim()
+            self.assertEqual([fences.Right(epoch=1, rank=1)], successor.rights)
 
         run(scenario)
 
-    def test_restarted_heir_does_not_inherit(self) -> None:
+    def test_restarted_successor_does_not_take_over(self) -> None:
         """Guards against a rank that two processes of one VM use."""
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
             rig.join(make_member('b'))
             await rig.claim()
-            heir = Rig(make_member('c'), rig.store)
-            heir.store.is_down = True
-            await heir.claim()
-            self.assertEqual([], heir.rights)
+            successor = Rig(make_member('c'), rig.store)
+            successor.store.is_down = True
+            await successor.claim()
+            self.assertEqual([], successor.rights)
 
         run(scenario)
 
 
 class TestRefresh(testtools.TestCase):
-    def test_row_is_written_anew_when_the_heirs_change(self) -> None:
+    def test_row_is_rewritten_when_the_successors_change(self) -> None:
         """Guards against heirs that are gone when they are needed."""
 
         async def scenario() -> None:
@@ -189,7 +189,7 @@
 
         run(scenario)
 
-    def test_isolated_owner_shows_that_it_lives(self) -> None:
+    def test_isolated_leader_shows_that_it_is_alive(self) -> None:
         """Guards against a claim by another zone on a living owner."""
 
         async def scenario() -> None:
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -78,20 +78,21 @@
         self.ends: dict[shards.ShardLeader, _End] = {}
 
     def home(self) -> ids.ShardId | None:
-        return samples.SHARD if self.world.owner in self.ends else None
+        return samples.SHARD if self.world.leader in self.ends else None
 
-    def owner(self, shard: ids.ShardId) -> Any:
-        return self.ends.get(self.world.owner)
+    def leader(self, shard: ids.ShardId) -> Any:
+        return self.ends.get(self.world.leader)
 
     def connect(self, owned: shards.ShardLeader) -> None:
         near = _End(
-            self.world, lambda end, message: self._to_owner(owned, end, message)
+            self.world,
+            lambda end, message: self._to_leader(owned, end, message),
         )
         far = _End(self.world, lambda _, message: self.board.tell(message))
         near.other = far
         far.other = near
         self.ends[owned] = near
-        self.board.owner_found(samples.SHARD)
+        self.board.leader_found(samples.SHARD)
 
     def cut(self, owned: shards.ShardLeader) -> None:
         """Cut a link; both ends notice some time later."""
@@ -104,7 +105,7 @@
         rng = self.world.rng
         loop.call_later(
             rng.uniform(0, NOTICE_S),
-            self.board.owner_lost,
+            self.board.leader_lost,
             samples.SHARD,
             near,
         )
@@ -115,7 +116,7 @@
     def _notice(self, owned: shards.ShardLeader, far: Any) -> None:
         owned.link_lost(far, self.world.rig.clock.now())
 
-    def _to_owner(
+    def _to_leader(
         self, owned: shards.ShardLeader, end: Any, message: Any
     ) -> None:
         now = self.world.rig.clock.now()
@@ -135,7 +136,7 @@
         self.fault_share = fault_share
         self.rig = samples.Rig(count=4, work_of=self.work_of)
         self.vms = [Vm(self), Vm(self)]
-        self.owner: shards.ShardLeader
+        self.leader: shards.ShardLeader
         self.epoch = 0
         self.outcomes: list[jobs.Outcome] = []
         self.clients: set[asyncio.Task[None]] = set()
@@ -161,23 +162,23 @@
             delay_s=lambda: self.rng.uniform(0.0001, 0.003),
         )
         api.late_s = self.rng.uniform(0.5, 4)
-        self.owner = self.rig.own(epoch=self.epoch, api=api)
+        self.leader = self.rig.own(epoch=self.epoch, api=api)
         for vm in self.vms:
-            vm.connect(self.owner)
+            vm.connect(self.leader)
 
     def happen(self, kind: str) -> None:
         now = self.rig.clock.now()
         model = self.rng.choice(list(self.rig.models.values()))
         match kind:
             case 'takeover':
-                old = self.owner
+                old = self.leader
                 self.take_over()
                 for vm in self.vms:
                     vm.cut(old)
             case 'silent takeover':
                 self.take_over()
             case 'cut':
-                self.rng.choice(self.vms).cut(self.owner)
+                self.rng.choice(self.vms).cut(self.leader)
             case 'reconnect':
                 self.reconnect()
             case 'crash':
@@ -185,18 +186,18 @@
             case 'restart':
                 self.restart_workers(now)
             case 'stall':
-                self.owner.doubt_all('test')
+                self.leader.doubt_all('test')
 
     def reconnect(self) -> None:
         for vm in self.vms:
-            if self.owner not in vm.ends:
-                vm.connect(self.owner)
+            if self.leader not in vm.ends:
+                vm.connect(self.leader)
 
     def restart_workers(self, now: float) -> None:
         for each in self.rig.models.values():
             if not each.is_up:
                 each.restart(now)
-        self.owner.set_workers(
+        self.leader.set_workers(
             [each.worker for each in self.rig.models.values()], complete=True
         )
 
--- a/tests/process/shards/test_ordering.py
+++ b/tests/process/shards/test_ordering.py
@@ -15,7 +15,7 @@
 
 
 class TestConfirmation(testtools.TestCase):
-    def test_stored_runs_lapse_while_another_owner_may_exist(self) -> None:
+    def test_stored_runs_expire_while_another_leader_may_exist(self) -> None:
         """Guards against two runs, one by an owner that is cut off."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -36,7 +36,7 @@
 
         samples.with_rig(scenario, work_of=long_work)
 
-    def test_other_runs_go_on_while_another_owner_may_exist(self) -> None:
+    def test_other_runs_go_on_while_another_leader_may_exist(self) -> None:
         """Guards against outages for jobs that need not be kept."""
 
         async def scenario(rig: samples.Rig) -> None:
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -96,7 +96,7 @@
 
         samples.with_rig(scenario)
 
-    def test_tasks_without_room_go_to_a_cell_that_has_some(self) -> None:
+    def test_tasks_without_free_capacity_go_to_another_shard(self) -> None:
         """Guards against waiting while another cell is idle."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -224,7 +224,7 @@
 
         samples.with_rig(scenario)
 
-    def test_new_owner_waits_for_the_list_of_workers(self) -> None:
+    def test_new_leader_waits_for_the_list_of_workers(self) -> None:
         """Guards against starts on workers that have said that they leave.
 
         In a sweep of 30 VMs a VM that read the list every 15 s won a cell, and
@@ -244,7 +244,7 @@
 
         samples.with_rig(scenario)
 
-    def test_new_owner_works_without_the_store(self) -> None:
+    def test_new_leader_works_without_the_store(self) -> None:
         """Guards against a zone without work while the store is silent."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -273,7 +273,7 @@
 
         samples.with_rig(scenario)
 
-    def test_worker_that_comes_back_knows_the_same_owner(self) -> None:
+    def test_returning_worker_knows_the_same_leader(self) -> None:
         """Guards against a lower fence after a worker was away."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -327,7 +327,7 @@
 
 
 class TestTakeover(testtools.TestCase):
-    def test_new_owner_takes_over_what_runs(self) -> None:
+    def test_new_leader_takes_over_what_runs(self) -> None:
         """Guards against lost work when an owner dies."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -351,7 +351,7 @@
 
         samples.with_rig(scenario, work_of=_long)
 
-    def test_old_owner_is_fenced(self) -> None:
+    def test_old_leader_is_fenced(self) -> None:
         """Guards against two owners that order on one worker."""
 
         async def scenario(rig: samples.Rig) -> None:
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -44,7 +44,7 @@
     def home(self) -> ids.ShardId | None:
         return HOME if HOME in self.links else None
 
-    def owner(self, shard: ids.ShardId) -> Any:
+    def leader(self, shard: ids.ShardId) -> Any:
         return self.links.get(shard)
 
     def submitted(self, shard: ids.ShardId = HOME) -> list[messages.Submit]:
@@ -85,9 +85,9 @@
         )
         await asyncio.sleep(0.001)
 
-    async def lose_owner(self) -> None:
+    async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.tell(open_tasks.OwnerLost(shard=HOME, source=lost))
+        self.tested.tell(open_tasks.LeaderLost(shard=HOME, source=lost))
         await asyncio.sleep(0.001)
 
 
@@ -193,15 +193,15 @@
         with_rig(scenario)
 
 
-class TestLostOwner(testtools.TestCase):
-    def test_new_owner_is_asked_for_what_the_former_one_had(self) -> None:
+class TestLostLeader(testtools.TestCase):
+    def test_new_leader_is_asked_for_what_the_former_one_had(self) -> None:
         """Guards against second runs after a takeover."""
 
         async def scenario(rig: Rig) -> None:
             await rig.end(0)
-            await rig.lose_owner()
+            await rig.lose_leader()
             rig.links[HOME] = shard_samples.FakeLink('vm-3')
-            rig.tested.tell(open_tasks.OwnerFound(shard=HOME))
+            rig.tested.tell(open_tasks.LeaderFound(shard=HOME))
             await asyncio.sleep(0.001)
             asked = shard_samples.only(rig.submitted())
             self.assertTrue(asked.resumed)
@@ -209,12 +209,12 @@
 
         with_rig(scenario)
 
-    def test_job_without_an_owner_is_given_up_in_time(self) -> None:
+    def test_job_without_a_leader_is_given_up_in_time(self) -> None:
         """Guards against requests held until their deadline."""
 
         async def scenario(rig: Rig) -> None:
             begin = rig.clock.now()
-            await rig.lose_owner()
+            await rig.lose_leader()
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
             self.assertThat(rig.clock.now() - begin, matchers.LessThan(1.1))
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -50,7 +50,7 @@
             'freeze': self._freeze,
             'reload': self._reload,
             'kill all': self._kill_all,
-            'kill owner': self._kill_owner,
+            'kill owner': self._kill_leader,
             'configuration': self._configuration,
             'store fails': self._store_fails,
             'store slow': self._store_slow,
@@ -113,7 +113,7 @@
     async def _kill(self, for_s: float) -> None:
         await self._down(self._any_vm(), for_s)
 
-    async def _kill_owner(self, for_s: float) -> None:
+    async def _kill_leader(self, for_s: float) -> None:
         """Kill the VM that wrote a claim last."""
         claims = self._fleet.rows.read('sardineproxy', start='cell/').rows
         newest = max(
