--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -6,7 +6,7 @@
 from sardineproxy import ids, logs
 from sardineproxy.connection import messages
 from sardineproxy.process.shards import fences, rooms
-from sardineproxy.process.membership import keepers
+from sardineproxy.process.membership import loaded_shards
 
 _LOG = logs.get_logger('owners')
 
@@ -36,7 +36,7 @@
         self.rooms = rooms.Rooms()
 
         #: Which owners know the stored jobs of their cells.
-        self.keepers = keepers.Keepers()
+        self.loaded_shards = loaded_shards.LoadedShards()
 
         #: Stored jobs that have not begun, by VM that owns their cells.
         self._pending: dict[ids.VmId, tuple[messages.Pending, ...]] = {}
@@ -47,7 +47,7 @@
         for shard, epoch, rank, free, _ in beat.shards:
             rights[shard] = fences.Right(epoch=epoch, rank=rank)
             self.rooms.note(shard, free, now)
-        self.keepers.note(
+        self.loaded_shards.update(
             vm, (offer[0] for offer in beat.shards if offer[-1]), now
         )
         self._pending[vm] = beat.pending
@@ -60,7 +60,7 @@
         if shard is None:
             self._offers.pop(vm, None)
             self._pending.pop(vm, None)
-            self.keepers.note(vm, (), 0)
+            self.loaded_shards.update(vm, (), 0)
         else:
             self._offers.get(vm, {}).pop(shard, None)
 
--- a/sardineproxy/process/membership/keepers.py
+++ b/sardineproxy/process/membership/loaded_shards.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Kept:
+class LoadedShard:
     """A VM knows all stored jobs of a cell, and has asked for their tasks."""
 
     vm: ids.VmId
@@ -16,14 +16,14 @@
     since: float
 
 
-class Keepers:
+class LoadedShards:
     """Newest words of owners about the stored jobs of their cells."""
 
     def __init__(self) -> None:
         """Start without words."""
-        self._by_shard: dict[ids.ShardId, Kept] = {}
+        self._by_shard: dict[ids.ShardId, LoadedShard] = {}
 
-    def note(
+    def update(
         self, vm: ids.VmId, shards: Iterable[ids.ShardId], now: float
     ) -> None:
         """Note of which cells a VM knows all stored jobs."""
@@ -34,9 +34,11 @@
         for shard in kept:
             known_here = self._by_shard.get(shard)
             if known_here is None or known_here.vm != vm:
-                self._by_shard[shard] = Kept(vm=vm, since=now)
+                self._by_shard[shard] = LoadedShard(vm=vm, since=now)
 
-    def get(self, shard: ids.ShardId, leader: ids.VmId | None) -> Kept | None:
+    def get(
+        self, shard: ids.ShardId, leader: ids.VmId | None
+    ) -> LoadedShard | None:
         """Return what a cell's owner has said, None if nothing."""
         known = self._by_shard.get(shard)
         return known if known is not None and known.vm == leader else None
--- a/sardineproxy/process/membership/following.py
+++ b/sardineproxy/process/membership/table_follower.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Pace:
+class PollTiming:
     """How often a table is asked for, in seconds."""
 
     #: Longest wait of the store for a change.
@@ -37,7 +37,7 @@
         *,
         table: str,
         source: store.Store,
-        pace: Callable[[], Pace],
+        timing: Callable[[], PollTiming],
         clock: clock.Clock,
         rng: random.Random,
         metrics: metrics.Metrics,
@@ -46,7 +46,7 @@
         """Call ``on_rows`` with each batch of changed rows."""
         self._table = table
         self._store = source
-        self._pace = pace
+        self._timing = timing
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
@@ -54,13 +54,13 @@
         self._rows: dict[str, store.Row] = {}
         self._revision: int | None = None
         self._failures = 0
-        self._lost_at: float | None = None
+        self._outage_since: float | None = None
 
         #: Time of the newest answer, and since when no call has failed; None
         #: before the first answer and during a failure.
         self.answered_at: float | None = None
-        self.sound_since: float | None = None
-        self._poked = asyncio.Event()
+        self.healthy_since: float | None = None
+        self._poll_requested = asyncio.Event()
 
     @property
     def rows(self) -> Mapping[str, store.Row]:
@@ -68,42 +68,44 @@
         return self._rows
 
     @property
-    def is_known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Tell whether the table was read at least once."""
         return self._revision is not None
 
-    def poke(self) -> None:
+    def poll_now(self) -> None:
         """End the present pause."""
-        self._poked.set()
+        self._poll_requested.set()
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            answer = await self._ask()
-            self._note(answer)
+            answer = await self._fetch_changes()
+            self._record_outcome(answer)
             if isinstance(answer, result.Ok):
-                self._take(answer.ok_value)
-            await self._rest(answer)
+                self._apply(answer.ok_value)
+            await self._pause(answer)
 
-    async def _ask(self) -> result.Result[store.Rows, store.StoreError]:
+    async def _fetch_changes(
+        self,
+    ) -> result.Result[store.Rows, store.StoreError]:
         self._metrics.count('store_calls_total', table=self._table)
         if self._revision is None:
-            return await self._read()
+            return await self._fetch_all()
         # After a failure an answer is wanted at once: it shows the store back.
         answer = await self._store.changes(
             self._table,
             after=self._revision,
-            wait_s=0 if self._failures else self._pace().wait_s,
+            wait_s=0 if self._failures else self._timing().wait_s,
         )
         if isinstance(answer, result.Err):
             if answer.err_value.kind is store.ErrorKind.HISTORY_LOST:
                 _LOG.info(
                     'History lost, reading all.', extra={'table': self._table}
                 )
-                return await self._read()
+                return await self._fetch_all()
         return answer
 
-    async def _read(self) -> result.Result[store.Rows, store.StoreError]:
+    async def _fetch_all(self) -> result.Result[store.Rows, store.StoreError]:
         """Read the whole table; what is missing from it was removed."""
         answer = await self._store.read(self._table)
         if isinstance(answer, result.Err):
@@ -120,7 +122,7 @@
             )
         )
 
-    def _take(self, changed: store.Rows) -> None:
+    def _apply(self, changed: store.Rows) -> None:
         for row in changed.rows:
             if row.body is None:
                 self._rows.pop(row.key, None)
@@ -131,7 +133,7 @@
         if changed.rows or is_first:
             self._on_rows(changed.rows)
 
-    def _note(
+    def _record_outcome(
         self, answer: result.Result[store.Rows, store.StoreError]
     ) -> None:
         """Log when the store is lost and when it is back."""
@@ -139,22 +141,22 @@
         if isinstance(answer, result.Ok):
             self._failures = 0
             self.answered_at = now
-            if self.sound_since is None:
-                self.sound_since = now
-            if self._lost_at is not None:
+            if self.healthy_since is None:
+                self.healthy_since = now
+            if self._outage_since is not None:
                 _LOG.info(
                     'Store regained.',
                     extra={
                         'table': self._table,
-                        'away_s': round(now - self._lost_at, 3),
+                        'away_s': round(now - self._outage_since, 3),
                     },
                 )
-                self._lost_at = None
+                self._outage_since = None
             return
         self._failures += 1
-        self.sound_since = None
-        if self._lost_at is None:
-            self._lost_at = now
+        self.healthy_since = None
+        if self._outage_since is None:
+            self._outage_since = now
             _LOG.warning(
                 'Store lost.',
                 extra={
@@ -163,10 +165,10 @@
                 },
             )
 
-    async def _rest(
+    async def _pause(
         self, answer: result.Result[store.Rows, store.StoreError]
     ) -> None:
-        pause_s = self._pace().pause_s
+        pause_s = self._timing().pause_s
         if isinstance(answer, result.Err):
             longest = min(
                 BACK_OFF_MIN_S * 2 ** min(self._failures, 8), BACK_OFF_MAX_S
@@ -177,7 +179,7 @@
         # A poke that came while the store was asked ends this pause as well.
         try:
             async with asyncio.timeout(pause_s):
-                await self._poked.wait()
+                await self._poll_requested.wait()
         except TimeoutError:
             return
-        self._poked.clear()
+        self._poll_requested.clear()
--- a/sardineproxy/process/membership/worker_list.py
+++ b/sardineproxy/process/membership/worker_list.py
@@ -7,7 +7,7 @@
 from sardineproxy import ids, logs
 from sardineproxy.process import store
 from sardineproxy.process.shards import workers
-from sardineproxy.process.membership import following
+from sardineproxy.process.membership import table_follower
 
 #: Time for which a worker stays listed here after its entry is gone, and for
 #: which the store must have answered before its list counts as complete, in
@@ -48,16 +48,16 @@
                 self._gone_at.pop(worker_id, None)
                 self._workers[worker_id] = decoded.ok_value
 
-    def drop_gone(self, sound_since: float | None, now: float) -> None:
+    def drop_gone(self, healthy_since: float | None, now: float) -> None:
         """Forget workers whose entries have been gone for long.
 
         Entries may lapse while the store is away; ``sound_since`` tells since
         when it has answered, None if it does not.
         """
-        if sound_since is None:
+        if healthy_since is None:
             return
         for worker_id, gone_at in list(self._gone_at.items()):
-            if now - max(gone_at, sound_since) >= LINGER_S:
+            if now - max(gone_at, healthy_since) >= LINGER_S:
                 self._gone_at.pop(worker_id)
                 self._workers.pop(worker_id, None)
 
@@ -76,11 +76,11 @@
         self._gone_at.setdefault(worker_id, now)
 
 
-def is_complete(source: following.TableFollower, now: float) -> bool:
+def is_complete(source: table_follower.TableFollower, now: float) -> bool:
     """Tell whether no worker can be missing from the list."""
-    if source.answered_at is None or source.sound_since is None:
+    if source.answered_at is None or source.healthy_since is None:
         return False
     return (
         now - source.answered_at < LINGER_S
-        and now - source.sound_since >= LINGER_S
+        and now - source.healthy_since >= LINGER_S
     )
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -8,7 +8,11 @@
 
 from sardineproxy import clock, logs
 from sardineproxy.process import metrics, store
-from sardineproxy.process.membership import following, registry, worker_list
+from sardineproxy.process.membership import (
+    table_follower,
+    registry,
+    worker_list,
+)
 
 #: Longest wait for a change of the configuration, as a part of the time in
 #: which it must be in force even if one answer is lost.
@@ -19,11 +23,11 @@
 
 #: The list of workers changes with each of their beats, so that it is asked
 #: for at intervals; a leaving worker must get no orders after 2 s.
-LEADER_ROSTER_PACE = following.Pace(wait_s=0, pause_s=0.8)
-SUCCESSOR_ROSTER_PACE = following.Pace(wait_s=0, pause_s=1.5)
+LEADER_ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=0.8)
+SUCCESSOR_ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=1.5)
 
 #: Pace of VMs that will not own a cell soon.
-ROSTER_PACE = following.Pace(wait_s=0, pause_s=15)
+ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=15)
 
 #: Shortest and longest pause before a registration is tried again, in seconds.
 REGISTER_RETRY_MIN_S = 0.3
@@ -44,7 +48,7 @@
     def take_roster(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
 
-    def roster_pace(self) -> following.Pace:
+    def roster_pace(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
 
 
@@ -80,16 +84,16 @@
             (roster_table, reader.take_roster, reader.roster_pace),
         )
         followers = [
-            following.TableFollower(
+            table_follower.TableFollower(
                 table=table,
                 source=source,
-                pace=pace,
+                timing=timing,
                 clock=clock,
                 rng=rng,
                 metrics=metrics,
                 on_rows=on_rows,
             )
-            for table, on_rows, pace in tables
+            for table, on_rows, timing in tables
         ]
         self.configuration = followers[0]
         self.directory = followers[1]
@@ -108,7 +112,7 @@
 
     def knows_configuration_source(self) -> bool:
         """Tell whether the store answers about the configuration."""
-        return self.configuration.sound_since is not None
+        return self.configuration.healthy_since is not None
 
     def knows_all_workers(self) -> bool:
         """Tell whether no worker can be missing from the list."""
@@ -127,7 +131,7 @@
 
     def list_answers(self) -> bool:
         """Tell whether the store answers about the list of workers."""
-        return self.roster.sound_since is not None
+        return self.roster.healthy_since is not None
 
     async def _register(self, member: registry.Member) -> None:
         """Write this process's member row; repeat until it is there."""
@@ -146,7 +150,7 @@
             )
 
 
-def _steady(wait_s: float) -> Callable[[], following.Pace]:
+def _steady(wait_s: float) -> Callable[[], table_follower.PollTiming]:
     """Return a pace that does not change."""
-    pace = following.Pace(wait_s=wait_s, pause_s=0)
-    return lambda: pace
+    timing = table_follower.PollTiming(wait_s=wait_s, pause_s=0)
+    return lambda: timing
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -10,8 +10,8 @@
 from sardineproxy.process.shards import fences, rooms, workers
 from sardineproxy.process.keeping import guarded_rows, homes, keeper
 from sardineproxy.process.membership import (
-    following,
-    keepers,
+    table_follower,
+    loaded_shards,
     links,
     leaders,
     registry,
@@ -267,10 +267,10 @@
         """Return which VM owns a cell."""
         return self.leaders.by_shard.get(shard)
 
-    def kept(self, job: ids.JobId) -> keepers.Kept | None:
+    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         """Return who keeps a stored job, None if that is not known."""
         home = self.homes.home_of(job)
-        return self.leaders.keepers.get(home, self.leader_of(home))
+        return self.leaders.loaded_shards.get(home, self.leader_of(home))
 
     def keeper_of(self, job: ids.JobId) -> link.Link | None:
         """Return the link to the owner of a stored job's home cell."""
@@ -318,7 +318,7 @@
 
     def gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
-        self._feeds.roster.poke()
+        self._feeds.roster.poll_now()
         self._choose_leaders()
         self.links.send_all(self._beat(self._clock.now()))
 
@@ -349,10 +349,10 @@
         """Use changed entries of workers."""
         now = self._clock.now()
         self.workers.take(rows, now)
-        self.workers.drop_gone(self._feeds.roster.sound_since, now)
+        self.workers.drop_gone(self._feeds.roster.healthy_since, now)
         self.holdings.give_workers()
 
-    def roster_pace(self) -> following.Pace:
+    def roster_pace(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
         if self.holdings.shards:
             return feeds.LEADER_ROSTER_PACE
@@ -372,7 +372,7 @@
     def _tick(self, now: float) -> None:
         self._check_stall(now)
         self._ticked_at = now
-        self.leaders.keepers.note(self.cfg.vm, self.homes.loaded(), now)
+        self.leaders.loaded_shards.update(self.cfg.vm, self.homes.loaded(), now)
         self.links.tick(now, self._beat(now))
         self.holdings.tick(now, may_claim=not self.draining)
 
--- a/sardineproxy/process/shards/stored_ends.py
+++ b/sardineproxy/process/shards/stored_ends.py
@@ -6,14 +6,14 @@
 from sardineproxy import clock, ids
 from sardineproxy.connection import link, messages
 from sardineproxy.process.shards import agent, runs, takeover, times, workers
-from sardineproxy.process.membership import keepers
+from sardineproxy.process.membership import loaded_shards
 from sardineproxy.request import jobs
 
 
 class Homes(Protocol):
     """Knows where stored jobs are kept."""
 
-    def kept(self, job: ids.JobId) -> keepers.Kept | None:
+    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         """Return who keeps a job, and has asked for its tasks.
 
         None while there may be a keeper that has not asked yet.
--- a/tests/process/keeping/world.py
+++ b/tests/process/keeping/world.py
@@ -12,7 +12,7 @@
 from sardineproxy.process.shards import shard as shards
 from sardineproxy.process.shards import fences, times, workers
 from sardineproxy.process.keeping import guarded_rows, keeper, records, table
-from sardineproxy.process.membership import keepers
+from sardineproxy.process.membership import loaded_shards
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.standin import row_store, run_checks, worker_model
 from sardineproxy.version import routes
@@ -170,13 +170,13 @@
             metrics=metrics.Metrics(),
             states_s=120,
         )
-        self._keepers = keepers.Keepers()
+        self._keepers = loaded_shards.LoadedShards()
         self.keeper.start()
 
-    def kept(self, job: ids.JobId) -> keepers.Kept | None:
+    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
         shards_kept = [samples.SHARD] if self.keeper.is_loaded else []
-        self._keepers.note(vm, shards_kept, self.world.rig.clock.now())
+        self._keepers.update(vm, shards_kept, self.world.rig.clock.now())
         return self._keepers.get(samples.SHARD, vm)
 
     def keeper_of(self, job: ids.JobId) -> Any:
--- a/tests/process/membership/test_following.py
+++ b/tests/process/membership/test_table_follower.py
@@ -8,7 +8,7 @@
 from testtools import matchers
 
 from sardineproxy.process import metrics, store
-from sardineproxy.process.membership import following
+from sardineproxy.process.membership import table_follower
 from tests import virtual_time
 from tests.process.node import samples
 
@@ -19,10 +19,10 @@
     def __init__(self) -> None:
         self.store = samples.MemoryStore()
         self.seen: list[store.Row] = []
-        self.follower = following.TableFollower(
+        self.follower = table_follower.TableFollower(
             table='t',
             source=self.store,
-            pace=lambda: following.Pace(wait_s=0, pause_s=0.5),
+            timing=lambda: table_follower.PollTiming(wait_s=0, pause_s=0.5),
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
             metrics=metrics.Metrics(),
@@ -76,12 +76,12 @@
 
         async def scenario(rig: Rig) -> None:
             await asyncio.sleep(1)
-            self.assertIsNotNone(rig.follower.sound_since)
+            self.assertIsNotNone(rig.follower.healthy_since)
             rig.store.is_down = True
             await asyncio.sleep(1)
             before = rig.store.calls
             await asyncio.sleep(30)
-            self.assertIsNone(rig.follower.sound_since)
+            self.assertIsNone(rig.follower.healthy_since)
             self.assertThat(rig.store.calls - before, matchers.LessThan(70))
             rig.store.is_down = False
             rig.store.rows.put('t/a', b'1')
@@ -96,7 +96,7 @@
         async def scenario(rig: Rig) -> None:
             await asyncio.sleep(0.1)
             rig.store.rows.put('t/a', b'1')
-            rig.follower.poke()
+            rig.follower.poll_now()
             await asyncio.sleep(0.01)
             self.assertEqual(['t/a'], rig.keys())
 
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -9,7 +9,7 @@
 from sardineproxy import ids
 from sardineproxy.platform import roster
 from sardineproxy.process import metrics, store
-from sardineproxy.process.membership import following, worker_list
+from sardineproxy.process.membership import table_follower, worker_list
 from tests import virtual_time
 from tests.platform import samples
 from tests.process.node import samples as node_samples
@@ -34,9 +34,9 @@
         tested = make_list()
         tested.take((row(samples.entry()),), 10)
         tested.take((row(None),), 20)
-        tested.drop_gone(sound_since=0, now=22)
+        tested.drop_gone(healthy_since=0, now=22)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
-        tested.drop_gone(sound_since=0, now=23)
+        tested.drop_gone(healthy_since=0, now=23)
         self.assertEqual([], tested.of_shard(SHARD))
 
     def test_entry_that_lapsed_in_an_outage_has_time_to_come_back(self) -> None:
@@ -44,11 +44,11 @@
         tested = make_list()
         tested.take((row(samples.entry()),), 10)
         tested.take((row(None),), 20)
-        tested.drop_gone(sound_since=None, now=40)
-        tested.drop_gone(sound_since=40, now=42)
+        tested.drop_gone(healthy_since=None, now=40)
+        tested.drop_gone(healthy_since=40, now=42)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
         tested.take((row(samples.entry()),), 42)
-        tested.drop_gone(sound_since=40, now=60)
+        tested.drop_gone(healthy_since=40, now=60)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
 
     def test_malformed_entry_counts_as_gone(self) -> None:
@@ -56,7 +56,7 @@
         tested = make_list()
         tested.take((row(samples.entry()),), 10)
         tested.take((row({'state': 'ready'}),), 20)
-        tested.drop_gone(sound_since=0, now=30)
+        tested.drop_gone(healthy_since=0, now=30)
         self.assertEqual([], tested.of_shard(SHARD))
 
     def test_list_is_complete_once_the_store_has_answered_for_long(
@@ -64,11 +64,11 @@
     ) -> None:
         """Guards against a new owner that misses a worker with runs."""
 
-        async def main() -> following.TableFollower:
-            return following.TableFollower(
+        async def main() -> table_follower.TableFollower:
+            return table_follower.TableFollower(
                 table='servers',
                 source=node_samples.MemoryStore(),
-                pace=lambda: following.Pace(wait_s=0, pause_s=1),
+                timing=lambda: table_follower.PollTiming(wait_s=0, pause_s=1),
                 clock=virtual_time.LoopClock(),
                 rng=random.Random(1),
                 metrics=metrics.Metrics(),
@@ -77,7 +77,7 @@
 
         source = virtual_time.run(main)
         self.assertFalse(worker_list.is_complete(source, 10))
-        source.sound_since = 10
+        source.healthy_since = 10
         source.answered_at = 11
         self.assertFalse(worker_list.is_complete(source, 11))
         source.answered_at = 13
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -8,7 +8,7 @@
 from sardineproxy.process import metrics
 from sardineproxy.process.shards import shard as shards
 from sardineproxy.process.shards import fences, rooms, times, workers
-from sardineproxy.process.membership import keepers
+from sardineproxy.process.membership import loaded_shards
 from sardineproxy.request import jobs
 from sardineproxy.standin import run_checks, worker_model
 from tests import virtual_time
@@ -168,8 +168,8 @@
     def list_answers(self) -> bool:
         return True
 
-    def kept(self, job: ids.JobId) -> keepers.Kept | None:
-        return keepers.Kept(vm=ids.VmId('vm-1'), since=0)
+    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
+        return loaded_shards.LoadedShard(vm=ids.VmId('vm-1'), since=0)
 
     def keeper_of(self, job: ids.JobId) -> Any:
         return self.unkept
