--- a/sardineproxy/platform/front_http.py
+++ b/sardineproxy/platform/front_http.py
@@ -8,7 +8,7 @@
 
 from sardineproxy import deployment, ids, logs
 from sardineproxy.platform import submissions
-from sardineproxy.process.keeping import keeper
+from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
 
@@ -54,12 +54,12 @@
 
     async def keep_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
 
     async def ask_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
 
     def waiting_for(self, route: routes.Route) -> int:
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -10,7 +10,7 @@
 
 from sardineproxy import ids
 from sardineproxy.platform import fields, roster
-from sardineproxy.process.keeping import keeper
+from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.request import jobs
 
 #: Largest body of a job, in bytes; the sheets say 262,144.
@@ -165,11 +165,11 @@
 #: States of a stored job that a client is told.
 _STATES = frozenset(
     (
-        keeper.KeeperAnswer.QUEUED,
-        keeper.KeeperAnswer.RUNNING,
-        keeper.KeeperAnswer.COMPLETED,
-        keeper.KeeperAnswer.FAILED,
-        keeper.KeeperAnswer.CANCELLED,
+        job_manager.JobReply.QUEUED,
+        job_manager.JobReply.RUNNING,
+        job_manager.JobReply.COMPLETED,
+        job_manager.JobReply.FAILED,
+        job_manager.JobReply.CANCELLED,
     )
 )
 
@@ -178,24 +178,24 @@
 NO_KEEPER_RETRY_S = 1.0
 
 
-def encode_acceptance(answer: keeper.KeeperAnswer) -> Reply:
+def encode_acceptance(answer: job_manager.JobReply) -> Reply:
     """Encode the answer to a job that is to be stored."""
     match answer:
-        case keeper.KeeperAnswer.ACCEPTED:
+        case job_manager.JobReply.ACCEPTED:
             return Reply(status=200, body=b'{"state":"queued"}')
-        case keeper.KeeperAnswer.UNKNOWN:
+        case job_manager.JobReply.UNKNOWN:
             return Reply(status=504)
         case _:
             return refusal(NO_KEEPER_RETRY_S)
 
 
-def encode_state(answer: keeper.KeeperAnswer) -> Reply:
+def encode_state(answer: job_manager.JobReply) -> Reply:
     """Encode the answer to a question for a stored job, or its cancelling."""
     if answer in _STATES:
         return Reply(status=200, body=b'{"state":"%s"}' % answer.value.encode())
-    if answer is keeper.KeeperAnswer.ABSENT:
+    if answer is job_manager.JobReply.ABSENT:
         return NO_JOB
-    if answer is keeper.KeeperAnswer.UNKNOWN:
+    if answer is job_manager.JobReply.UNKNOWN:
         return Reply(status=504)
     return refusal(NO_KEEPER_RETRY_S)
 
--- a/sardineproxy/process/node/environment.py
+++ b/sardineproxy/process/node/environment.py
@@ -7,7 +7,12 @@
 from sardineproxy import clock, ids
 from sardineproxy.process import metrics, store
 from sardineproxy.process.shards import workers
-from sardineproxy.process.keeping import execution, guarded_rows, keeper, table
+from sardineproxy.process.stored_jobs import (
+    execution,
+    fenced_rows,
+    job_manager,
+    job_table,
+)
 from sardineproxy.process.membership import worker_list
 from sardineproxy.version import in_force
 
@@ -40,13 +45,13 @@
     outside: Outside,
     *,
     shard: ids.ShardId,
-    guard: guarded_rows.Guard,
+    guard: fenced_rows.Writer,
     router: execution.Router,
     states_s: float,
-) -> keeper.Keeper:
+) -> job_manager.JobManager:
     """Return the keeper of a cell that this process owns from now on."""
-    return keeper.Keeper(
-        rows=table.JobTable(
+    return job_manager.JobManager(
+        rows=job_table.JobTable(
             shard=shard,
             guard=guard,
             store=outside.store,
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/holdings.py
@@ -9,7 +9,7 @@
 from sardineproxy.process import metrics
 from sardineproxy.process.shards import shard as shards
 from sardineproxy.process.shards import fences, rooms, times, workers
-from sardineproxy.process.keeping import homes, keeper
+from sardineproxy.process.stored_jobs import job_service, job_manager
 from sardineproxy.process.membership import links
 from sardineproxy.process.node import claiming
 
@@ -67,7 +67,7 @@
     clock: clock.Clock
     metrics: metrics.Metrics
     cfg: times.ShardTiming
-    new_keeper: Callable[[ids.ShardId, fences.Right], keeper.Keeper]
+    new_keeper: Callable[[ids.ShardId, fences.Right], job_manager.JobManager]
 
 
 class Holdings:  # noqa: WPS214
@@ -80,7 +80,7 @@
         claims: claiming.Claiming,
         links: links.Links,
         around: Surroundings,
-        homes: homes.Homes,
+        homes: job_service.JobService,
         tasks: background.Tasks,
     ) -> None:
         """Start without cells."""
--- a/sardineproxy/process/node/intake.py
+++ b/sardineproxy/process/node/intake.py
@@ -2,7 +2,7 @@
 
 from sardineproxy import clock, ids, logs
 from sardineproxy.process import metrics
-from sardineproxy.process.keeping import homes, keeper, records
+from sardineproxy.process.stored_jobs import job_service, job_manager, records
 from sardineproxy.request import board, coordinator, jobs, open_tasks
 from sardineproxy.version import in_force, routes
 
@@ -19,7 +19,7 @@
     def __init__(
         self,
         *,
-        homes: homes.Homes,
+        homes: job_service.JobService,
         board: board.Board,
         router: open_tasks.Router,
         versions: in_force.InForce,
@@ -67,7 +67,7 @@
 
     async def keep(
         self, job: jobs.Job, route: routes.Route, wait_s: float
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
         now = self._clock.now()
         answer = await self._homes.keep(
@@ -81,7 +81,7 @@
 
     async def ask(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
         now = self._clock.now()
         answer = await self._homes.ask(job, wait_s, cancel=cancel)
@@ -93,7 +93,7 @@
         self,
         text: str,
         job: ids.JobId,
-        answer: keeper.KeeperAnswer,
+        answer: job_manager.JobReply,
         asked_at: float,
     ) -> None:
         self._metrics.count(
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -8,7 +8,11 @@
 from sardineproxy.connection import link, messages
 from sardineproxy.process import store
 from sardineproxy.process.shards import fences, rooms, workers
-from sardineproxy.process.keeping import guarded_rows, homes, keeper
+from sardineproxy.process.stored_jobs import (
+    fenced_rows,
+    job_service,
+    job_manager,
+)
 from sardineproxy.process.membership import (
     table_follower,
     loaded_shards,
@@ -102,7 +106,7 @@
             cores=cfg.cores,
         )
         self._outside = outside
-        self.homes = homes.Homes(around=self, clock=self._clock)
+        self.homes = job_service.JobService(around=self, clock=self._clock)
         self._claims = claiming.Claiming(
             store=outside.store,
             directory=self.directory,
@@ -446,12 +450,12 @@
 
     def _new_keeper(
         self, shard: ids.ShardId, right: fences.Right
-    ) -> keeper.Keeper:
+    ) -> job_manager.JobManager:
         """Return the keeper of a cell that this process owns now."""
         return environment.new_keeper(
             self._outside,
             shard=shard,
-            guard=guarded_rows.Guard(
+            guard=fenced_rows.Writer(
                 right=right, incarnation=self.me.incarnation
             ),
             router=self,
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -18,7 +18,7 @@
     worker_http,
 )
 from sardineproxy.process import metrics
-from sardineproxy.process.keeping import keeper
+from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.process.node import environment, node, policy
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
@@ -184,13 +184,13 @@
 
     async def keep_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
         return await self._own.intake.keep(job, route, wait_s)
 
     async def ask_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
         return await self._own.intake.ask(job, wait_s, cancel=cancel)
 
--- a/sardineproxy/process/keeping/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -7,21 +7,21 @@
 
 from sardineproxy import clock, ids, logs
 from sardineproxy.connection import messages
-from sardineproxy.process.keeping import records, table
+from sardineproxy.process.stored_jobs import records, job_table
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.version import routes
 
 #: Ends of tasks whose job goes on wait this long for others to join their
 #: commit, in seconds. A shorter wait means more calls to the store, a longer
 #: one more looks at workers.
-PROGRESS_WITHIN_S = 0.025
+PROGRESS_COMMIT_DELAY_S = 0.025
 
 #: The same for the end of a job, which clients wait for.
-END_WITHIN_S = 0.005
+FINAL_COMMIT_DELAY_S = 0.005
 
 #: Deadline of a job from its acceptance, in seconds. No client waits for its
 #: end, and the owners of cells do not give it up.
-UNLIMITED_S = 1e6
+NO_DEADLINE_S = 1e6
 
 _LOG = logs.get_logger('jobs')
 
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Cancelled:
+class CancelRequested:
     """The client cancels the job."""
 
 
@@ -52,7 +52,7 @@
     | messages.JobBegun
     | open_tasks.LeaderLost
     | open_tasks.LeaderFound
-    | Cancelled
+    | CancelRequested
     | _MoveStored
 )
 
@@ -74,10 +74,10 @@
         self,
         *,
         stored: records.StoredJob,
-        progress: records.Progress,
+        progress: records.JobProgress,
         home: ids.ShardId,
         router: Router,
-        rows: table.JobTable,
+        rows: job_table.JobTable,
         clock: clock.Clock,
         on_end: Callable[[records.StoredJob], None],
         resumed: bool,
@@ -104,7 +104,7 @@
             clock=clock,
             times=open_tasks.Times(
                 arrived_at=now - max(0, clock.wall() - stored.accepted_at),
-                deadline=now + UNLIMITED_S,
+                deadline=now + NO_DEADLINE_S,
             ),
         )
         self._todo = set(range(len(stored.job.steps)))
@@ -147,16 +147,16 @@
         )
         notes = self._take_notes()
         is_stored = await self._rows.put(
-            f'{table.JOB_PREFIX}{ended.job.job}',
+            f'{job_table.JOB_PREFIX}{ended.job.job}',
             records.encode_job(ended),
-            within_s=END_WITHIN_S,
+            within_s=FINAL_COMMIT_DELAY_S,
         )
         if is_stored:
             # Not before: the next keeper would start done tasks again.
             self._rows.put(
-                f'{table.PROGRESS_PREFIX}{ended.job.job}',
+                f'{job_table.PROGRESS_PREFIX}{ended.job.job}',
                 None,
-                within_s=PROGRESS_WITHIN_S,
+                within_s=PROGRESS_COMMIT_DELAY_S,
             )
             self.stored = ended
             self._send_notes([*notes, *self._late_notes()])
@@ -186,7 +186,7 @@
                     return None
                 case messages.Ended() if self._take_end(event):
                     return records.JobState.FAILED
-                case Cancelled():
+                case CancelRequested():
                     return records.JobState.CANCELLED
                 case _:
                     self._take(event)
@@ -337,9 +337,9 @@
 
     def _put_progress(self) -> asyncio.Future[bool]:
         return self._rows.put(
-            f'{table.PROGRESS_PREFIX}{self.stored.job.job}',
+            f'{job_table.PROGRESS_PREFIX}{self.stored.job.job}',
             records.encode_progress(self._progress),
-            within_s=PROGRESS_WITHIN_S,
+            within_s=PROGRESS_COMMIT_DELAY_S,
         )
 
     def _tell_stored(
--- a/sardineproxy/process/keeping/guarded_rows.py
+++ b/sardineproxy/process/stored_jobs/fenced_rows.py
@@ -20,12 +20,12 @@
 #: Table of stored jobs in the platform's store, in one part for each cell.
 TABLE = 'sardineproxy_jobs'
 
-GUARD_KEY = f'{TABLE}/guard'
+WRITER_KEY = f'{TABLE}/guard'
 
 _LOG = logs.get_logger('jobs')
 
 
-class Sent(enum.Enum):
+class WriteOutcome(enum.Enum):
     """What became of a call."""
 
     DONE = 'done'
@@ -39,25 +39,25 @@
 
 
 #: New contents of rows by key, None for rows that are to be removed.
-Changes = Mapping[str, bytes | None]
+RowChanges = Mapping[str, bytes | None]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Guard:
+class Writer:
     """Who writes the rows."""
 
     right: fences.Right
     incarnation: ids.Incarnation
 
 
-class GuardedRows:
+class FencedRows:
     """Calls to the store for the rows of one cell."""
 
     def __init__(
         self,
         *,
         shard: ids.ShardId,
-        guard: Guard,
+        guard: Writer,
         store: store.Store,
         metrics: metrics.Metrics,
     ) -> None:
@@ -72,21 +72,21 @@
         #: Calls in a row that did not succeed.
         self.failures = 0
 
-    async def take(self) -> Sent:
+    async def take(self) -> WriteOutcome:
         """Become the writer of the rows."""
         self._count_call()
-        found = await self._store.get(GUARD_KEY, part=self.shard)
+        found = await self._store.get(WRITER_KEY, part=self.shard)
         if isinstance(found, result.Err):
             self._note_failure(found.err_value)
-            return Sent.UNKNOWN
+            return WriteOutcome.UNKNOWN
         row = found.ok_value
         if row is not None:
             self._guard_revision = row.revision
             guard = _decode_guard(row)
             if guard == self.guard:
-                return Sent.DONE
+                return WriteOutcome.DONE
             if guard.right > self.guard.right:
-                return Sent.SUPERSEDED
+                return WriteOutcome.SUPERSEDED
         return await self._write_guard()
 
     async def read(self) -> tuple[store.Row, ...] | None:
@@ -100,12 +100,12 @@
         self._revisions = {row.key: row.revision for row in rows}
         return rows
 
-    async def send(self, changes: Changes) -> Sent:
+    async def send(self, changes: RowChanges) -> WriteOutcome:
         """Change rows; after UNKNOWN the same changes may be sent again."""
         self._count_call()
         answer = await self._store.transact(
             conditions=(
-                self._condition(GUARD_KEY, self._guard_revision),
+                self._condition(WRITER_KEY, self._guard_revision),
                 *(
                     self._condition(key, self._revisions.get(key, 0))
                     for key in changes
@@ -125,23 +125,23 @@
         if isinstance(answer, result.Ok):
             self.failures = 0
             self._note_revisions(changes, answer.ok_value)
-            return Sent.DONE
+            return WriteOutcome.DONE
         self._note_failure(answer.err_value)
         match answer.err_value.kind:
             case store.ErrorKind.CONFLICT:
                 return await self._explain_conflict(changes)
             case store.ErrorKind.UNAVAILABLE:
-                return Sent.NOT_SENT
+                return WriteOutcome.NOT_SENT
             case _:
-                return Sent.UNKNOWN
+                return WriteOutcome.UNKNOWN
 
-    async def _write_guard(self) -> Sent:
+    async def _write_guard(self) -> WriteOutcome:
         self._count_call()
         answer = await self._store.transact(
-            conditions=(self._condition(GUARD_KEY, self._guard_revision),),
+            conditions=(self._condition(WRITER_KEY, self._guard_revision),),
             writes=(
                 store.Write(
-                    key=GUARD_KEY,
+                    key=WRITER_KEY,
                     part=self.shard,
                     body=_encode_guard(self.guard),
                 ),
@@ -149,28 +149,28 @@
         )
         if isinstance(answer, result.Err):
             self._note_failure(answer.err_value)
-            return Sent.UNKNOWN
+            return WriteOutcome.UNKNOWN
         self.failures = 0
         self._guard_revision = answer.ok_value
-        return Sent.DONE
+        return WriteOutcome.DONE
 
-    async def _explain_conflict(self, changes: Changes) -> Sent:
+    async def _explain_conflict(self, changes: RowChanges) -> WriteOutcome:
         """Tell who wrote what is in the way of a call.
 
         While the guard is that of this owner, it was an earlier call for the
         same changes whose answer was lost.
         """
-        guard = await self._get(GUARD_KEY)
+        guard = await self._get(WRITER_KEY)
         if guard is None:
-            return Sent.UNKNOWN
+            return WriteOutcome.UNKNOWN
         if guard.revision != self._guard_revision:
-            return Sent.SUPERSEDED
+            return WriteOutcome.SUPERSEDED
         written = [key for key, body in changes.items() if body is not None]
         row = await self._get(written[0]) if written else guard
         if row is None:
-            return Sent.UNKNOWN
+            return WriteOutcome.UNKNOWN
         self._note_revisions(changes, row.revision)
-        return Sent.DONE
+        return WriteOutcome.DONE
 
     async def _get(self, key: str) -> store.Row | None:
         """Return a row, None if the store does not tell it."""
@@ -184,7 +184,7 @@
     def _condition(self, key: str, revision: int) -> store.Condition:
         return store.Condition(key=key, part=self.shard, revision=revision)
 
-    def _note_revisions(self, changes: Changes, revision: int) -> None:
+    def _note_revisions(self, changes: RowChanges, revision: int) -> None:
         for key, body in changes.items():
             if body is None:
                 self._revisions.pop(key, None)
@@ -208,16 +208,16 @@
         )
 
 
-def _encode_guard(guard: Guard) -> bytes:
+def _encode_guard(guard: Writer) -> bytes:
     packed: bytes = msgpack.packb(
         [guard.right.epoch, guard.right.rank, guard.incarnation]
     )
     return packed
 
 
-def _decode_guard(row: store.Row) -> Guard:
+def _decode_guard(row: store.Row) -> Writer:
     epoch, rank, incarnation = msgpack.unpackb(row.body or b'')
-    return Guard(
+    return Writer(
         right=fences.Right(epoch=epoch, rank=rank),
         incarnation=ids.Incarnation(incarnation),
     )
--- a/sardineproxy/process/keeping/keeper.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -10,7 +10,7 @@
 from sardineproxy import background, clock, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import metrics, store
-from sardineproxy.process.keeping import execution, records, table
+from sardineproxy.process.stored_jobs import execution, records, job_table
 from sardineproxy.request import open_tasks
 
 #: Most stored jobs of a cell that have not ended, as a bound on memory: some
@@ -42,7 +42,7 @@
 _LOG = logs.get_logger('jobs')
 
 
-class KeeperAnswer(enum.Enum):
+class JobReply(enum.Enum):
     """What a keeper answers about a job."""
 
     #: The job is stored, now or since an earlier request.
@@ -66,13 +66,13 @@
     CANCELLED = 'cancelled'
 
 
-class Keeper:
+class JobManager:
     """Accepts, carries out and cancels the stored jobs of a cell."""
 
     def __init__(
         self,
         *,
-        rows: table.JobTable,
+        rows: job_table.JobTable,
         router: execution.Router,
         clock: clock.Clock,
         metrics: metrics.Metrics,
@@ -116,43 +116,43 @@
             if not each.has_begun
         )
 
-    async def accept(self, stored: records.StoredJob) -> KeeperAnswer:
+    async def accept(self, stored: records.StoredJob) -> JobReply:
         """Store a job, unless it is stored already."""
         job = stored.job.job
         if not self.is_loaded:
-            return KeeperAnswer.UNAVAILABLE
+            return JobReply.UNAVAILABLE
         if job in self._open or job in self._ended:
-            return KeeperAnswer.ACCEPTED
+            return JobReply.ACCEPTED
         if job not in self._accepting:
             if len(self._open) >= MAX_OPEN_JOBS:
-                return KeeperAnswer.REFUSED
+                return JobReply.REFUSED
             self._accepting[job] = self._store(stored)
         return await self._await_stored(job, self._accepting[job])
 
-    async def ask(self, job: ids.JobId) -> KeeperAnswer:
+    async def ask(self, job: ids.JobId) -> JobReply:
         """Return the state of a job as it is stored."""
         if not self.is_loaded:
-            return KeeperAnswer.UNAVAILABLE
+            return JobReply.UNAVAILABLE
         known = self._open.get(job)
         if known is not None:
             return await self._tell_state(known)
         ended = self._ended.get(job)
         if ended is not None:
-            return KeeperAnswer(ended.state.value)
+            return JobReply(ended.state.value)
         if job in self._accepting:
-            return KeeperAnswer.UNKNOWN
-        return KeeperAnswer.ABSENT
+            return JobReply.UNKNOWN
+        return JobReply.ABSENT
 
-    async def cancel(self, job: ids.JobId) -> KeeperAnswer:
+    async def cancel(self, job: ids.JobId) -> JobReply:
         """Cancel a job that has not ended; return its state then."""
         known = self._open.get(job)
         if known is None:
             return await self.ask(job)
-        known.tell(execution.Cancelled())
+        known.tell(execution.CancelRequested())
         await asyncio.wait((known.ended,), timeout=STORE_WAIT_S)
         if known.ended.done() and known.ended.result():
-            return KeeperAnswer(known.state().value)
-        return KeeperAnswer.UNKNOWN
+            return JobReply(known.state().value)
+        return JobReply.UNKNOWN
 
     def tell(
         self,
@@ -197,12 +197,12 @@
 
     # Internals.
 
-    async def _tell_state(self, known: execution.Execution) -> KeeperAnswer:
+    async def _tell_state(self, known: execution.Execution) -> JobReply:
         if known.state() is records.JobState.RUNNING:
             await asyncio.wait((known.ended,), timeout=CHANGE_WAIT_S)
         if known.is_ending:
             await asyncio.wait((known.ended,), timeout=END_WAIT_S)
-        return KeeperAnswer(known.state().value)
+        return JobReply(known.state().value)
 
     async def _run(self) -> None:
         found = await self._rows.open()
@@ -215,13 +215,13 @@
     def _load(self, found: Iterable[store.Row]) -> None:
         """Take over the jobs that are stored."""
         progress = {
-            row.key.removeprefix(table.PROGRESS_PREFIX): row
+            row.key.removeprefix(job_table.PROGRESS_PREFIX): row
             for row in found
-            if row.key.startswith(table.PROGRESS_PREFIX)
+            if row.key.startswith(job_table.PROGRESS_PREFIX)
         }
         for row in found:
-            if row.key.startswith(table.JOB_PREFIX):
-                name = row.key.removeprefix(table.JOB_PREFIX)
+            if row.key.startswith(job_table.JOB_PREFIX):
+                name = row.key.removeprefix(job_table.JOB_PREFIX)
                 self._load_job(row, progress.get(name))
         self._is_loaded = True
         _LOG.info(
@@ -246,7 +246,7 @@
         if stored.state.is_final:
             self._ended[stored.job.job] = stored
             return
-        progress = records.Progress()
+        progress = records.JobProgress()
         if of_tasks is not None:
             known = records.decode_progress(of_tasks.body or b'')
             if isinstance(known, result.Err):
@@ -261,7 +261,7 @@
     def _carry_out(
         self,
         stored: records.StoredJob,
-        progress: records.Progress,
+        progress: records.JobProgress,
         *,
         resumed: bool,
     ) -> None:
@@ -292,7 +292,7 @@
     def _store(self, stored: records.StoredJob) -> asyncio.Future[bool]:
         job = stored.job.job
         done = self._rows.put(
-            f'{table.JOB_PREFIX}{job}',
+            f'{job_table.JOB_PREFIX}{job}',
             records.encode_job(stored),
             within_s=ACCEPT_WITHIN_S,
         )
@@ -301,25 +301,23 @@
             self._accepting.pop(job, None)
             if not done.cancelled() and done.result():
                 self._metrics.count('stored_jobs_total')
-                self._carry_out(stored, records.Progress(), resumed=False)
+                self._carry_out(stored, records.JobProgress(), resumed=False)
 
         done.add_done_callback(begin)
         return done
 
     async def _await_stored(
         self, job: ids.JobId, done: asyncio.Future[bool]
-    ) -> KeeperAnswer:
+    ) -> JobReply:
         await asyncio.wait((done,), timeout=STORE_WAIT_S)
         if done.cancelled():
-            return KeeperAnswer.REFUSED
+            return JobReply.REFUSED
         if done.done():
             # An owner that was replaced cannot tell what the store has.
-            return (
-                KeeperAnswer.ACCEPTED if done.result() else KeeperAnswer.UNKNOWN
-            )
-        if self._rows.withdraw(f'{table.JOB_PREFIX}{job}'):
-            return KeeperAnswer.REFUSED
-        return KeeperAnswer.UNKNOWN
+            return JobReply.ACCEPTED if done.result() else JobReply.UNKNOWN
+        if self._rows.withdraw(f'{job_table.JOB_PREFIX}{job}'):
+            return JobReply.REFUSED
+        return JobReply.UNKNOWN
 
     async def _keep_tidy(self) -> None:
         """Remove the states of jobs that nobody asks for any more."""
@@ -333,11 +331,11 @@
             ]
             for job in old:
                 self._ended.pop(job)
-                for prefix in (table.JOB_PREFIX, table.PROGRESS_PREFIX):
+                for prefix in (job_table.JOB_PREFIX, job_table.PROGRESS_PREFIX):
                     self._rows.put(
                         f'{prefix}{job}',
                         None,
-                        within_s=execution.PROGRESS_WITHIN_S,
+                        within_s=execution.PROGRESS_COMMIT_DELAY_S,
                     )
             if old:
                 _LOG.info(
--- a/sardineproxy/process/keeping/homes.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -10,10 +10,10 @@
 from sardineproxy import background, clock, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import rendezvous
-from sardineproxy.process.keeping import keeper, records
+from sardineproxy.process.stored_jobs import job_manager, records
 from sardineproxy.request import open_tasks
 
-_Answer = keeper.KeeperAnswer
+_Answer = job_manager.JobReply
 
 #: Longest wait for an owner of a job's home cell and its answer, in seconds.
 #: A lost owner is replaced within a second.
@@ -46,7 +46,7 @@
 _Question = Callable[[ids.ShardId, int], messages.Message]
 
 
-class Homes:
+class JobService:
     """The keepers of this process, and questions to those of others."""
 
     def __init__(self, *, around: Surroundings, clock: clock.Clock) -> None:
@@ -57,7 +57,7 @@
         self._asked: dict[int, asyncio.Future[_Answer]] = {}
         self._links: dict[int, link.Link] = {}
         self._tasks = background.Tasks()
-        self.keepers: dict[ids.ShardId, keeper.Keeper] = {}
+        self.keepers: dict[ids.ShardId, job_manager.JobManager] = {}
 
     async def close(self) -> None:
         """Stop answering; keepers stay as they are stored."""
@@ -69,7 +69,7 @@
         """Return the cell that keeps a job, the same at all VMs."""
         return rendezvous.rank(job, self._around.all_shards)[0]
 
-    def add(self, kept: keeper.Keeper) -> None:
+    def add(self, kept: job_manager.JobManager) -> None:
         """Keep the jobs of a cell that this process owns now."""
         self.keepers[kept.shard] = kept
         kept.start()
@@ -84,7 +84,7 @@
 
     async def keep(
         self, stored: records.StoredJob, wait_s: float
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Store a job at its home."""
         body = records.encode_job(stored)
         return await self._ask_home(
@@ -97,7 +97,7 @@
 
     async def ask(
         self, job: ids.JobId, wait_s: float, *, cancel: bool = False
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Return a job's state, or cancel it."""
         return await self._ask_home(
             job,
@@ -162,7 +162,7 @@
 
     async def _ask_home(
         self, job: ids.JobId, wait_s: float, question: _Question
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Ask the home's owner, and the next one if it is lost.
 
         The answer is UNKNOWN if an owner was asked and did not answer.
@@ -185,7 +185,7 @@
 
     async def _ask_once(
         self, shard: ids.ShardId, question: _Question
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         source = self._around.leader(shard)
         if source is None:
             return _Answer.UNAVAILABLE
@@ -214,7 +214,7 @@
 
     async def _find_answer(
         self, asked: messages.KeepJob | messages.AskJob
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         kept = self.keepers.get(asked.shard)
         if kept is None:
             return _Answer.UNAVAILABLE
--- a/sardineproxy/process/keeping/table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -7,10 +7,10 @@
 
 from sardineproxy import background, clock, ids, logs
 from sardineproxy.process import metrics, store
-from sardineproxy.process.keeping import guarded_rows
+from sardineproxy.process.stored_jobs import fenced_rows
 
-JOB_PREFIX = f'{guarded_rows.TABLE}/job/'
-PROGRESS_PREFIX = f'{guarded_rows.TABLE}/progress/'
+JOB_PREFIX = f'{fenced_rows.TABLE}/job/'
+PROGRESS_PREFIX = f'{fenced_rows.TABLE}/progress/'
 
 #: Most rows of one commit. The store takes 100 entries: a condition and a
 #: change for each row, and the condition on the guard.
@@ -29,7 +29,7 @@
 
 _LOG = logs.get_logger('jobs')
 
-_Sent = guarded_rows.Sent
+_Sent = fenced_rows.WriteOutcome
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -52,7 +52,7 @@
         self,
         *,
         shard: ids.ShardId,
-        guard: guarded_rows.Guard,
+        guard: fenced_rows.Writer,
         store: store.Store,
         clock: clock.Clock,
         rng: random.Random,
@@ -61,7 +61,7 @@
         """Prepare; ``open`` must end well before anything is written."""
         self.shard = shard
         self.epoch = guard.right.epoch
-        self._rows = guarded_rows.GuardedRows(
+        self._rows = fenced_rows.FencedRows(
             shard=shard, guard=guard, store=store, metrics=metrics
         )
         self._clock = clock
@@ -214,7 +214,7 @@
                 self._return(batch)
         self._wake.set()
 
-    async def _send_until_sure(self, batch: _Batch) -> guarded_rows.Sent:
+    async def _send_until_sure(self, batch: _Batch) -> fenced_rows.WriteOutcome:
         changes = {key: change.body for key, change in batch.items()}
         may_be_stored = False
         while True:
--- a/sardineproxy/process/keeping/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -12,7 +12,7 @@
 from sardineproxy.version import routes
 
 #: First item of each row; rows with another one are not understood.
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 class JobState(enum.Enum):
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Progress:
+class JobProgress:
     """Which tasks of a job have ended well or failed, and where they are."""
 
     done: set[open_tasks.TaskKey] = dataclasses.field(default_factory=set)
@@ -103,7 +103,7 @@
     route = stored.route
     packed: bytes = msgpack.packb(
         [
-            FORMAT,
+            FORMAT_VERSION,
             stored.job.job,
             stored.job.payload,
             [_pack_step(step) for step in stored.job.steps],
@@ -133,11 +133,11 @@
         return result.Err(f'not a stored job: {exc}')
 
 
-def encode_progress(progress: Progress) -> bytes:
+def encode_progress(progress: JobProgress) -> bytes:
     """Return the row of a job's progress."""
     packed: bytes = msgpack.packb(
         [
-            FORMAT,
+            FORMAT_VERSION,
             sorted(progress.done),
             [
                 (*key, task.failures, task.number)
@@ -149,12 +149,12 @@
     return packed
 
 
-def decode_progress(body: bytes) -> result.Result[Progress, str]:
+def decode_progress(body: bytes) -> result.Result[JobProgress, str]:
     """Read the row of a job's progress; the error is one sentence."""
     try:
         done, failed, moved = _unpack(body)
         return result.Ok(
-            Progress(
+            JobProgress(
                 done={(int(step), int(index)) for step, index in done},
                 failed={
                     (int(step), int(index)): TaskProgress(
@@ -174,7 +174,7 @@
 
 def _unpack(body: bytes) -> list[Any]:
     document = msgpack.unpackb(body)
-    if not isinstance(document, list) or document[:1] != [FORMAT]:
+    if not isinstance(document, list) or document[:1] != [FORMAT_VERSION]:
         raise ValueError('unknown format')
     return document[1:]
 
--- a/tests/platform/test_front_http.py
+++ b/tests/platform/test_front_http.py
@@ -9,7 +9,7 @@
 
 from sardineproxy import deployment, ids
 from sardineproxy.platform import configuration, front_http
-from sardineproxy.process.keeping import keeper
+from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
 from tests.platform import samples
@@ -31,7 +31,7 @@
         self.ready = True
         self.recovering = False
         self.outcome: jobs.Outcome = jobs.Completed()
-        self.answer = keeper.KeeperAnswer.ABSENT
+        self.answer = job_manager.JobReply.ABSENT
         self.asked: list[tuple[ids.JobId, bool]] = []
         self.waits: list[float] = []
         self.cancelled = 0
@@ -60,12 +60,12 @@
 
     async def keep_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         return self.answer
 
     async def ask_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         self.asked.append((job, cancel))
         return self.answer
 
@@ -207,7 +207,7 @@
         """Guards against refusals of jobs that may be stored."""
 
         async def scenario(rig: Rig) -> None:
-            answers = keeper.KeeperAnswer
+            answers = job_manager.JobReply
             for answer, accepted, asked in (
                 (answers.REFUSED, 503, 503),
                 (answers.UNAVAILABLE, 503, 503),
--- a/tests/process/keeping/world.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -11,7 +11,12 @@
 from sardineproxy.process import metrics, store
 from sardineproxy.process.shards import shard as shards
 from sardineproxy.process.shards import fences, times, workers
-from sardineproxy.process.keeping import guarded_rows, keeper, records, table
+from sardineproxy.process.stored_jobs import (
+    fenced_rows,
+    job_manager,
+    records,
+    job_table,
+)
 from sardineproxy.process.membership import loaded_shards
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.standin import row_store, run_checks, worker_model
@@ -138,7 +143,7 @@
 class Process:
     """An owner of the cell with its keeper."""
 
-    def __init__(self, world: 'World', epoch: int) -> None:
+    def __init__(self, world: 'Cluster', epoch: int) -> None:
         self.world = world
         self.epoch = epoch
         self.is_up = True
@@ -153,10 +158,10 @@
         self.shard: shards.ShardLeader = world.rig.own(
             epoch=epoch, api=api, around=self
         )
-        self.keeper = keeper.Keeper(
-            rows=table.JobTable(
+        self.keeper = job_manager.JobManager(
+            rows=job_table.JobTable(
                 shard=samples.SHARD,
-                guard=guarded_rows.Guard(
+                guard=fenced_rows.Writer(
                     right=fences.Right(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
                 ),
@@ -233,7 +238,7 @@
                 self.keeper.tell(self.link, message)
 
 
-class World:
+class Cluster:
     """What several processes in turn see."""
 
     def __init__(
@@ -286,7 +291,7 @@
     async def settle(self, job: ids.JobId, limit_s: float = 30) -> str:
         """Wait for the end of a job; return its last state."""
         until = self.rig.clock.now() + limit_s
-        answer = keeper.KeeperAnswer.UNAVAILABLE
+        answer = job_manager.JobReply.UNAVAILABLE
         while self.rig.clock.now() < until:
             answer = await self.leader.keeper.ask(job)
             if answer.value in {'completed', 'failed', 'cancelled'}:
--- a/tests/process/keeping/test_keeper.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -5,20 +5,20 @@
 
 import testtools
 
-from sardineproxy.process.keeping import keeper, table
+from sardineproxy.process.stored_jobs import job_manager, job_table
 from tests import virtual_time
 from tests.process.shards import samples
-from tests.process.keeping import world as worlds
+from tests.process.stored_jobs import cluster as worlds
 
-_Answer = keeper.KeeperAnswer
+_Answer = job_manager.JobReply
 
 
 def with_world(
-    scenario: Callable[[worlds.World], Coroutine[Any, Any, None]],
+    scenario: Callable[[worlds.Cluster], Coroutine[Any, Any, None]],
     **settings: Any,
 ) -> None:
     async def main() -> None:
-        world = worlds.World(**settings)
+        world = worlds.Cluster(**settings)
         await asyncio.sleep(0.1)
         await scenario(world)
 
@@ -29,11 +29,11 @@
     def test_accepted_job_is_stored_and_completes(self) -> None:
         """Guards against an answer for a job that nobody keeps."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 3)
             answer = await world.leader.keeper.accept(stored)
             self.assertEqual(_Answer.ACCEPTED, answer)
-            key = f'{table.JOB_PREFIX}{stored.job.job}'
+            key = f'{job_table.JOB_PREFIX}{stored.job.job}'
             self.assertIsNotNone(world.store.rows.get(key, part=samples.SHARD))
             self.assertEqual('completed', await world.settle(stored.job.job))
             self.assertEqual(3, len(world.rig.records()))
@@ -44,7 +44,7 @@
     def test_many_jobs_at_once_are_all_accepted(self) -> None:
         """Guards against commits that the store refuses for their size."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             answers = await asyncio.gather(
                 *(
                     world.leader.keeper.accept(worlds.make_job(number, 1))
@@ -58,7 +58,7 @@
     def test_same_id_remains_one_job(self) -> None:
         """Guards against a second run for a request that came twice."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             answers = await asyncio.gather(
                 *(world.leader.keeper.accept(stored) for _ in range(3))
@@ -75,7 +75,7 @@
     def test_step_waits_for_earlier_ones(self) -> None:
         """Guards against tasks whose input does not exist yet."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 2, 3, 1)
             await world.leader.keeper.accept(stored)
             self.assertEqual('completed', await world.settle(stored.job.job))
@@ -95,7 +95,7 @@
     def test_task_that_fails_too_often_fails_the_job(self) -> None:
         """Guards against attempts beyond the route's limit."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             await world.leader.keeper.accept(stored)
             self.assertEqual('failed', await world.settle(stored.job.job))
@@ -106,7 +106,7 @@
     def test_cancelled_job_stops_and_starts_no_more(self) -> None:
         """Guards against work for a job that was called off."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 30)
             await world.leader.keeper.accept(stored)
             await asyncio.sleep(0.03)
@@ -124,7 +124,7 @@
     def test_job_is_refused_while_the_store_is_away(self) -> None:
         """Guards against a refused job that runs later."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             world.store.is_down = True
             answer = await world.leader.keeper.accept(stored)
@@ -140,7 +140,7 @@
     def test_ends_are_acknowledged_once_they_are_stored(self) -> None:
         """Guards against done tasks that a new owner does not know."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
             await world.leader.keeper.accept(stored)
             world.store.is_down = True
@@ -159,14 +159,14 @@
     def test_states_are_removed_when_nobody_asks_any_more(self) -> None:
         """Guards against a table that grows without end."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             await world.leader.keeper.accept(stored)
             await world.settle(stored.job.job)
             await asyncio.sleep(150)
             answer = await world.leader.keeper.ask(stored.job.job)
             self.assertEqual(_Answer.ABSENT, answer)
-            key = f'{table.JOB_PREFIX}{stored.job.job}'
+            key = f'{job_table.JOB_PREFIX}{stored.job.job}'
             self.assertIsNone(world.store.rows.get(key, part=samples.SHARD))
 
         with_world(scenario)
@@ -176,7 +176,7 @@
     def test_next_leader_continues_the_running_tasks(self) -> None:
         """Guards against accepted jobs that end with their process."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 6)
             await world.leader.keeper.accept(stored)
             await asyncio.sleep(0.15)
@@ -190,7 +190,7 @@
     def test_ended_job_is_known_to_the_next_leader(self) -> None:
         """Guards against states that are lost with a process."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             await world.leader.keeper.accept(stored)
             await world.settle(stored.job.job)
@@ -204,7 +204,7 @@
     def test_former_leader_stores_nothing_more(self) -> None:
         """Guards against two owners that both accept jobs of a cell."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             former = world.leader
             world.take_over()
             await asyncio.sleep(0.2)
@@ -220,7 +220,7 @@
     def test_done_task_is_not_repeated_after_a_crash(self) -> None:
         """Guards against a second original of what an owner saw done."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
             await world.leader.keeper.accept(stored)
             # The ends are known to the owner and listed, but not stored.
@@ -238,10 +238,10 @@
     def test_progress_stays_until_the_end_of_the_job_is_stored(self) -> None:
         """Guards against done tasks of a job that is stored as running."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
             await world.leader.keeper.accept(stored)
-            world.store.refused_prefix = table.JOB_PREFIX
+            world.store.refused_prefix = job_table.JOB_PREFIX
             await asyncio.sleep(3)
             await world.replace()
             await asyncio.sleep(1)
@@ -251,13 +251,13 @@
             self.assertEqual([], world.complaints())
 
         # Each row goes into a commit of its own, as in a commit that is full.
-        self.patch(table, 'MAX_ROWS', 1)
+        self.patch(job_table, 'MAX_ROWS', 1)
         with_world(scenario)
 
     def test_failures_count_across_leaders(self) -> None:
         """Guards against attempts beyond the limit after a crash."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 2)
             await world.leader.keeper.accept(stored)
             for _ in range(3):
@@ -271,7 +271,7 @@
     def test_lost_link_to_the_keeper_does_not_stop_its_runs(self) -> None:
         """Guards against work thrown away for a reset connection."""
 
-        async def scenario(world: worlds.World) -> None:
+        async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
             await world.leader.keeper.accept(stored)
             await asyncio.sleep(0.1)
--- a/tests/process/keeping/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies
 
 from sardineproxy import ids
-from sardineproxy.process.keeping import keeper
+from sardineproxy.process.stored_jobs import job_manager
 from tests import examples, virtual_time
-from tests.process.keeping import world as worlds
+from tests.process.stored_jobs import cluster as worlds
 
 JOBS = 30
 
@@ -45,7 +45,7 @@
 class Play:
     """Six seconds of jobs and faults."""
 
-    def __init__(self, world: worlds.World) -> None:
+    def __init__(self, world: worlds.Cluster) -> None:
         self.world = world
         self.accepted: set[ids.JobId] = set()
         self.refused: set[ids.JobId] = set()
@@ -73,12 +73,12 @@
         answers = []
         for _ in range(2):
             answers.append(await self.world.leader.keeper.accept(stored))
-            if answers[-1] is not keeper.KeeperAnswer.UNKNOWN:
+            if answers[-1] is not job_manager.JobReply.UNKNOWN:
                 break
             await asyncio.sleep(1.3)
-        if answers[-1] is keeper.KeeperAnswer.ACCEPTED:
+        if answers[-1] is job_manager.JobReply.ACCEPTED:
             self.accepted.add(stored.job.job)
-        elif keeper.KeeperAnswer.UNKNOWN not in answers:
+        elif job_manager.JobReply.UNKNOWN not in answers:
             self.refused.add(stored.job.job)
 
     async def _happen(self, kind: str) -> None:
@@ -125,7 +125,7 @@
     seed: int, fault_share: float, events: list[tuple[float, str]]
 ) -> Report:
     """Play, end all faults, and wait for the ends of accepted jobs."""
-    world = worlds.World(seed, fault_share=fault_share, failing_percent=10)
+    world = worlds.Cluster(seed, fault_share=fault_share, failing_percent=10)
     played = Play(world)
     loop = asyncio.get_running_loop()
     for at, kind in events:
