--- a/sardineproxy/process/node/environment.py
+++ b/sardineproxy/process/node/environment.py
@@ -41,11 +41,11 @@
     registry: metrics.Metrics
 
 
-def new_keeper(
+def new_job_manager(
     outside: Outside,
     *,
     shard: ids.ShardId,
-    guard: fenced_rows.Writer,
+    writer: fenced_rows.Writer,
     router: execution.Router,
     states_s: float,
 ) -> job_manager.JobManager:
@@ -53,7 +53,7 @@
     return job_manager.JobManager(
         rows=job_table.JobTable(
             shard=shard,
-            guard=guard,
+            writer=writer,
             store=outside.store,
             clock=outside.clock,
             rng=outside.rng,
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/holdings.py
@@ -67,7 +67,9 @@
     clock: clock.Clock
     metrics: metrics.Metrics
     cfg: times.ShardTiming
-    new_keeper: Callable[[ids.ShardId, fences.Right], job_manager.JobManager]
+    new_job_manager: Callable[
+        [ids.ShardId, fences.Right], job_manager.JobManager
+    ]
 
 
 class Holdings:  # noqa: WPS214
@@ -80,12 +82,12 @@
         claims: claiming.Claiming,
         links: links.Links,
         around: Surroundings,
-        homes: job_service.JobService,
+        job_service: job_service.JobService,
         tasks: background.Tasks,
     ) -> None:
         """Start without cells."""
         self._tools = tools
-        self._homes = homes
+        self._job_service = job_service
         self._claims = claims
         self._links = links
         self._around = around
@@ -114,7 +116,7 @@
                 owned.right.epoch,
                 owned.right.rank,
                 owned.free_tasks(now),
-                self._homes.keepers[owned.shard].is_loaded,
+                self._job_service.managers[owned.shard].is_loaded,
             )
             for owned in self.shards.values()
         )
@@ -187,7 +189,7 @@
             cfg=self._tools.cfg,
         )
         self.shards[shard] = owned
-        self._homes.add(self._tools.new_keeper(shard, right))
+        self._job_service.add_manager(self._tools.new_job_manager(shard, right))
         self._give_workers(owned)
         self._around.gained(shard)
 
@@ -203,7 +205,7 @@
                 'cause': cause,
             },
         )
-        self._homes.drop(shard)
+        self._job_service.remove_manager(shard)
         self._tasks.spawn(lost.close())
         self._around.lost(shard)
 
--- a/sardineproxy/process/node/intake.py
+++ b/sardineproxy/process/node/intake.py
@@ -19,7 +19,7 @@
     def __init__(
         self,
         *,
-        homes: job_service.JobService,
+        job_service: job_service.JobService,
         board: board.Board,
         router: open_tasks.Router,
         versions: in_force.InForce,
@@ -27,7 +27,7 @@
         metrics: metrics.Metrics,
     ) -> None:
         """Run jobs on ``board``."""
-        self._homes = homes
+        self._job_service = job_service
         self._board = board
         self._router = router
         self._versions = versions
@@ -70,7 +70,7 @@
     ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
         now = self._clock.now()
-        answer = await self._homes.keep(
+        answer = await self._job_service.store(
             records.StoredJob(
                 job=job, route=route, accepted_at=self._clock.wall()
             ),
@@ -84,7 +84,7 @@
     ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
         now = self._clock.now()
-        answer = await self._homes.ask(job, wait_s, cancel=cancel)
+        answer = await self._job_service.query(job, wait_s, cancel=cancel)
         text = 'Job cancelled.' if cancel else 'State asked.'
         self._note_question(text, job, answer, now)
         return answer
@@ -104,7 +104,7 @@
             extra={
                 'job': job,
                 'answer': answer.value,
-                'home': self._homes.home_of(job),
+                'home': self._job_service.home_shard(job),
                 'version': self._versions.number,
                 'took_s': round(self._clock.now() - asked_at, 4),
             },
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -106,7 +106,9 @@
             cores=cfg.cores,
         )
         self._outside = outside
-        self.homes = job_service.JobService(around=self, clock=self._clock)
+        self.job_service = job_service.JobService(
+            directory=self, clock=self._clock
+        )
         self._claims = claiming.Claiming(
             store=outside.store,
             directory=self.directory,
@@ -119,12 +121,12 @@
                 clock=self._clock,
                 metrics=self.metrics,
                 cfg=rules.cell,
-                new_keeper=self._new_keeper,
+                new_job_manager=self._new_job_manager,
             ),
             claims=self._claims,
             links=self.links,
             around=self,
-            homes=self.homes,
+            job_service=self.job_service,
             tasks=self._tasks,
         )
         self._feeds = feeds.Feeds(
@@ -138,7 +140,7 @@
             metrics=self.metrics,
         )
         self.intake = intake.Intake(
-            homes=self.homes,
+            job_service=self.job_service,
             board=self.board,
             router=self,
             versions=self.versions,
@@ -165,7 +167,7 @@
     async def close(self) -> None:
         """Stop everything."""
         await self._tasks.close()
-        await self.homes.close()
+        await self.job_service.close()
         await self.holdings.close()
         await self.links.close()
 
@@ -223,7 +225,7 @@
     def closed(self, closed: link.Link) -> None:
         """Forget what the link told."""
         self.holdings.link_lost(closed, self._clock.now())
-        self.homes.closed(closed)
+        self.job_service.closed(closed)
         if self.links.to(closed.peer.vm) is None:
             self.leaders.forget(closed.peer.vm)
         self._choose_leaders()
@@ -232,7 +234,7 @@
 
     def received(self, source: link.Link, message: messages.Message) -> None:
         """Act on a message."""
-        if self.homes.received(source, message):
+        if self.job_service.handle_message(source, message):
             return
         match message:
             case messages.EndsNoted():
@@ -273,12 +275,12 @@
 
     def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         """Return who keeps a stored job, None if that is not known."""
-        home = self.homes.home_of(job)
+        home = self.job_service.home_shard(job)
         return self.leaders.loaded_shards.get(home, self.leader_of(home))
 
     def keeper_of(self, job: ids.JobId) -> link.Link | None:
         """Return the link to the owner of a stored job's home cell."""
-        return self.leader(self.homes.home_of(job))
+        return self.leader(self.job_service.home_shard(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
         """Return a route of the version in force, None if it was removed."""
@@ -289,7 +291,7 @@
         """Return how many jobs of a route have not begun."""
         return (
             self.board.waiting_for(route)
-            + self.homes.pending().get(route, 0)
+            + self.job_service.pending().get(route, 0)
             + self.leaders.pending(route)
         )
 
@@ -376,7 +378,9 @@
     def _tick(self, now: float) -> None:
         self._check_stall(now)
         self._ticked_at = now
-        self.leaders.loaded_shards.update(self.cfg.vm, self.homes.loaded(), now)
+        self.leaders.loaded_shards.update(
+            self.cfg.vm, self.job_service.loaded_shards(), now
+        )
         self.links.tick(now, self._beat(now))
         self.holdings.tick(now, may_claim=not self.draining)
 
@@ -407,7 +411,7 @@
         return messages.Beat(
             version=self.versions.number,
             shards=self.holdings.offers(now),
-            pending=tuple(self.homes.pending().items()),
+            pending=tuple(self.job_service.pending().items()),
         )
 
     def _receive_leaderships(
@@ -442,20 +446,22 @@
                 self.holdings.lose(shard, f'{vm} has a higher right')
         for found in change.found:
             self.board.leader_found(found)
-            self.homes.tell_all(open_tasks.LeaderFound(shard=found))
+            self.job_service.broadcast(open_tasks.LeaderFound(shard=found))
 
     def _tell_lost(self, shard: ids.ShardId, source: link.Link) -> None:
         self.board.leader_lost(shard, source)
-        self.homes.tell_all(open_tasks.LeaderLost(shard=shard, source=source))
+        self.job_service.broadcast(
+            open_tasks.LeaderLost(shard=shard, source=source)
+        )
 
-    def _new_keeper(
+    def _new_job_manager(
         self, shard: ids.ShardId, right: fences.Right
     ) -> job_manager.JobManager:
         """Return the keeper of a cell that this process owns now."""
-        return environment.new_keeper(
+        return environment.new_job_manager(
             self._outside,
             shard=shard,
-            guard=fenced_rows.Writer(
+            writer=fenced_rows.Writer(
                 right=right, incarnation=self.me.incarnation
             ),
             router=self,
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -27,6 +27,6 @@
             for shard, claim in own.directory.claims.items()
         },
         'jobs': own.board.state(),
-        'kept': [kept.state(now) for kept in own.homes.keepers.values()],
+        'kept': [kept.state(now) for kept in own.job_service.managers.values()],
         'cells': [owned.state(now) for owned in own.holdings.shards.values()],
     }
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _MoveStored:
+class _ShardChangeStored:
     """The new cell of tasks is stored, so that they can be sent there."""
 
     tasks: tuple[open_tasks.OpenTask, ...]
@@ -53,12 +53,12 @@
     | open_tasks.LeaderLost
     | open_tasks.LeaderFound
     | CancelRequested
-    | _MoveStored
+    | _ShardChangeStored
 )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Note:
+class _Completion:
     """An end that its worker may forget once it is stored."""
 
     shard: ids.ShardId
@@ -79,7 +79,7 @@
         router: Router,
         rows: job_table.JobTable,
         clock: clock.Clock,
-        on_end: Callable[[records.StoredJob], None],
+        on_finished: Callable[[records.StoredJob], None],
         resumed: bool,
     ) -> None:
         """Prepare a job that is stored; ``begin`` sends its first tasks.
@@ -94,8 +94,8 @@
         self._router = router
         self._rows = rows
         self._clock = clock
-        self._on_end = on_end
-        self._inbox: asyncio.Queue[Event] = asyncio.Queue()
+        self._on_end = on_finished
+        self._events: asyncio.Queue[Event] = asyncio.Queue()
         now = clock.now()
         self._open = open_tasks.OpenTasks(
             job=stored.job,
@@ -107,36 +107,36 @@
                 deadline=now + NO_DEADLINE_S,
             ),
         )
-        self._todo = set(range(len(stored.job.steps)))
+        self._waiting_steps = set(range(len(stored.job.steps)))
         self._done_steps: set[int] = set()
 
         #: Ends that were counted since the last change was handed over.
-        self._notes: list[_Note] = []
+        self._unacknowledged: list[_Completion] = []
 
         #: True once the job has ended and its end is on its way to the store.
-        self.is_ending = False
+        self.is_finishing = False
 
         #: Set once the end of the job is stored.
-        self.ended: asyncio.Future[bool] = (
+        self.finished: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Send the first tasks."""
-        self._begin_steps()
+        self._start_ready_steps()
 
-    def tell(self, event: Event) -> None:
+    def post_event(self, event: Event) -> None:
         """Hand in an event."""
-        self._inbox.put_nowait(event)
+        self._events.put_nowait(event)
 
     async def run(self) -> None:
         """Carry the job out until its end is stored."""
         state = await self._run()
         if state is None:
             return
-        self.is_ending = True
+        self.is_finishing = True
         self._open.withdraw()
-        ended = self.stored.end(state, self._clock.wall())
+        ended = self.stored.finish(state, self._clock.wall())
         _LOG.info(
             'Job ends.',
             extra={
@@ -145,24 +145,24 @@
                 'age_s': round(ended.ended_at - ended.accepted_at, 4),
             },
         )
-        notes = self._take_notes()
+        completions = self._pop_unacknowledged()
         is_stored = await self._rows.put(
             f'{job_table.JOB_PREFIX}{ended.job.job}',
             records.encode_job(ended),
-            within_s=FINAL_COMMIT_DELAY_S,
+            max_delay_s=FINAL_COMMIT_DELAY_S,
         )
         if is_stored:
             # Not before: the next keeper would start done tasks again.
             self._rows.put(
                 f'{job_table.PROGRESS_PREFIX}{ended.job.job}',
                 None,
-                within_s=PROGRESS_COMMIT_DELAY_S,
+                max_delay_s=PROGRESS_COMMIT_DELAY_S,
             )
             self.stored = ended
-            self._send_notes([*notes, *self._late_notes()])
+            self._acknowledge([*completions, *self._drain_completions()])
             self._on_end(ended)
-        if not self.ended.done():
-            self.ended.set_result(is_stored)
+        if not self.finished.done():
+            self.finished.set_result(is_stored)
 
     def state(self) -> records.JobState:
         """Return the state as it is stored."""
@@ -174,9 +174,9 @@
 
     async def _run(self) -> records.JobState | None:
         """Return how the job ends; None if another keeper has it."""
-        while self._open or self._todo:
-            event = await self._inbox.get()
-            self._use_route()
+        while self._open or self._waiting_steps:
+            event = await self._events.get()
+            self._refresh_route()
             match event:
                 case messages.Ended(how=jobs.TaskEnd.REPLACED.value):
                     _LOG.info(
@@ -184,20 +184,20 @@
                         extra={'job': self.stored.job.job},
                     )
                     return None
-                case messages.Ended() if self._take_end(event):
+                case messages.Ended() if self._handle_completion(event):
                     return records.JobState.FAILED
                 case CancelRequested():
                     return records.JobState.CANCELLED
                 case _:
-                    self._take(event)
+                    self._handle_event(event)
             self._store_progress()
         return records.JobState.COMPLETED
 
-    def _take(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         """Act on an event that does not end the job."""
         match event:
             case messages.Declined():
-                self._take_declined(event)
+                self._handle_declined(event)
             case messages.JobBegun():
                 self.has_begun = True
             case open_tasks.LeaderLost(shard=shard):
@@ -205,24 +205,24 @@
                 self._open.resume(shard, begun=True)
             case open_tasks.LeaderFound(shard=shard):
                 self._open.resume(shard, begun=True)
-            case _MoveStored(tasks=tasks, shard=shard):
-                self._finish_move(tasks, shard)
+            case _ShardChangeStored(tasks=tasks, shard=shard):
+                self._send_to_new_shard(tasks, shard)
 
-    def _use_route(self) -> None:
+    def _refresh_route(self) -> None:
         """Use the route as the version in force has it."""
         newest = self._router.route(self.stored.route.route)
         if newest is not None:
             self._open.route = newest
 
-    def _begin_steps(self) -> None:
+    def _start_ready_steps(self) -> None:
         """Send the tasks of steps whose earlier steps are done."""
-        for number in sorted(self._todo):
+        for number in sorted(self._waiting_steps):
             step = self.stored.job.steps[number]
             if not self._done_steps.issuperset(step.after):
                 continue
-            self._todo.discard(number)
+            self._waiting_steps.discard(number)
             tasks = [
-                self._restore(task)
+                self._restore_progress(task)
                 for task in open_tasks.new_tasks(
                     self.stored.job, number, self._home
                 )
@@ -230,7 +230,7 @@
             ]
             if not tasks:
                 self._done_steps.add(number)
-                self._begin_steps()
+                self._start_ready_steps()
                 return
             self._open.add(tasks)
             shards = {task.shard for task in tasks}
@@ -241,43 +241,45 @@
                     begun=self._resumed,
                 )
 
-    def _restore(self, task: open_tasks.OpenTask) -> open_tasks.OpenTask:
+    def _restore_progress(
+        self, task: open_tasks.OpenTask
+    ) -> open_tasks.OpenTask:
         """Give a task what is known of its former runs."""
-        known = self._progress.failed.get(task.key)
-        if known is not None:
-            task.number = known.number
+        task_progress = self._progress.failed.get(task.key)
+        if task_progress is not None:
+            task.number = task_progress.number
         task.shard = self._progress.moved.get(task.key, self._home)
         task.was_moved = task.shard != self._home
         task.resumed = self._resumed
         return task
 
-    def _take_end(self, end: messages.Ended) -> bool:
+    def _handle_completion(self, end: messages.Ended) -> bool:
         """Count an end; tell whether the job has failed by it."""
         self.has_begun = True
         key = (end.step, end.index)
         how = jobs.TaskEnd(end.how)
         if how is jobs.TaskEnd.LATE:
-            self._send_again(key)
+            self._retry(key)
             return False
-        self._notes.append(_note(end))
-        if self._progress.is_counted(key, end.run):
+        self._unacknowledged.append(_to_completion(end))
+        if self._progress.is_recorded(key, end.run):
             # Its worker has not heard so.
             return False
         if how is jobs.TaskEnd.DONE:
-            self._note_done(key)
+            self._record_success(key)
             return False
-        return self._take_failure(key, end.run)
+        return self._record_failure(key, end.run)
 
-    def _note_done(self, key: open_tasks.TaskKey) -> None:
+    def _record_success(self, key: open_tasks.TaskKey) -> None:
         """Count a good end, also of a task that a former keeper sent."""
-        self._progress.count_done(key)
+        self._progress.record_success(key)
         if self._open.get(key) is not None and self._open.end(key):
             self._done_steps.add(key[0])
-            self._begin_steps()
+            self._start_ready_steps()
 
-    def _take_failure(self, key: open_tasks.TaskKey, run: int) -> bool:
-        failures = self._progress.count_failure(key, run)
-        most = self._open.route.max_attempts
+    def _record_failure(self, key: open_tasks.TaskKey, run: int) -> bool:
+        failures = self._progress.record_failure(key, run)
+        max_attempts = self._open.route.max_attempts
         _LOG.info(
             'Task failed.',
             extra={
@@ -285,21 +287,21 @@
                 'task': key,
                 'run': run,
                 'failures': failures,
-                'most': most,
+                'most': max_attempts,
             },
         )
-        if failures >= most:
+        if failures >= max_attempts:
             return True
-        self._send_again(key)
+        self._retry(key)
         return False
 
-    def _send_again(self, key: open_tasks.TaskKey) -> None:
+    def _retry(self, key: open_tasks.TaskKey) -> None:
         task = self._open.get(key)
         if task is not None:
-            self._restore(task)
+            self._restore_progress(task)
             self._open.send([task], firm=True, begun=True)
 
-    def _take_declined(self, declined: messages.Declined) -> None:
+    def _handle_declined(self, declined: messages.Declined) -> None:
         """Send tasks to a cell that has more room, once that is stored.
 
         The next keeper must ask for them there.
@@ -314,71 +316,77 @@
             self._progress.moved[task.key] = other
             task.source = None
             task.is_moving = True
-        moved = _MoveStored(tasks=tuple(tasks), shard=other)
+        moved = _ShardChangeStored(tasks=tuple(tasks), shard=other)
         self._put_progress().add_done_callback(
-            functools.partial(self._tell_stored, moved)
+            functools.partial(self._post_if_stored, moved)
         )
 
-    def _finish_move(
+    def _send_to_new_shard(
         self, tasks: tuple[open_tasks.OpenTask, ...], shard: ids.ShardId
     ) -> None:
-        left = [task for task in tasks if self._open.get(task.key) is task]
-        if left:
-            self._open.move(left, shard, begun=self.has_begun)
+        remaining = [task for task in tasks if self._open.get(task.key) is task]
+        if remaining:
+            self._open.move(remaining, shard, begun=self.has_begun)
 
     def _store_progress(self) -> None:
         """Store what changed, and let workers forget the ends of it."""
-        if not self._notes or not (self._open or self._todo):
+        if not self._unacknowledged or not (self._open or self._waiting_steps):
             return
-        notes = self._take_notes()
+        completions = self._pop_unacknowledged()
         self._put_progress().add_done_callback(
-            functools.partial(self._noted, notes)
+            functools.partial(self._acknowledge_if_stored, completions)
         )
 
     def _put_progress(self) -> asyncio.Future[bool]:
         return self._rows.put(
             f'{job_table.PROGRESS_PREFIX}{self.stored.job.job}',
             records.encode_progress(self._progress),
-            within_s=PROGRESS_COMMIT_DELAY_S,
+            max_delay_s=PROGRESS_COMMIT_DELAY_S,
         )
 
-    def _tell_stored(
-        self, event: _MoveStored, done: asyncio.Future[bool]
+    def _post_if_stored(
+        self, event: _ShardChangeStored, done: asyncio.Future[bool]
     ) -> None:
         if not done.cancelled() and done.result():
-            self.tell(event)
+            self.post_event(event)
 
-    def _late_notes(self) -> list[_Note]:
+    def _drain_completions(self) -> list[_Completion]:
         """Return the ends that came while the job's end was stored."""
-        events = [self._inbox.get_nowait() for _ in range(self._inbox.qsize())]
+        events = [
+            self._events.get_nowait() for _ in range(self._events.qsize())
+        ]
         return [
-            _note(event)
+            _to_completion(event)
             for event in events
             if isinstance(event, messages.Ended)
         ]
 
-    def _take_notes(self) -> list[_Note]:
-        notes = self._notes
-        self._notes = []
-        return notes
+    def _pop_unacknowledged(self) -> list[_Completion]:
+        completions = self._unacknowledged
+        self._unacknowledged = []
+        return completions
 
-    def _noted(self, notes: list[_Note], done: asyncio.Future[bool]) -> None:
+    def _acknowledge_if_stored(
+        self, completions: list[_Completion], done: asyncio.Future[bool]
+    ) -> None:
         if not done.cancelled() and done.result():
-            self._send_notes(notes)
+            self._acknowledge(completions)
 
-    def _send_notes(self, notes: list[_Note]) -> None:
-        for note in notes:
-            source = self._router.leader(note.shard)
+    def _acknowledge(self, completions: list[_Completion]) -> None:
+        for completion in completions:
+            source = self._router.leader(completion.shard)
             if source is not None:
                 source.send(
                     messages.EndsNoted(
-                        shard=note.shard,
+                        shard=completion.shard,
                         job=self.stored.job.job,
-                        step=note.step,
-                        ends=((note.index, note.run),),
+                        step=completion.step,
+                        ends=((completion.index, completion.run),),
                     )
                 )
 
 
-def _note(end: messages.Ended) -> _Note:
-    return _Note(shard=end.shard, step=end.step, index=end.index, run=end.run)
+def _to_completion(end: messages.Ended) -> _Completion:
+    return _Completion(
+        shard=end.shard, step=end.step, index=end.index, run=end.run
+    )
--- a/sardineproxy/process/stored_jobs/fenced_rows.py
+++ b/sardineproxy/process/stored_jobs/fenced_rows.py
@@ -31,7 +31,7 @@
     DONE = 'done'
 
     #: It had no effect and never will have.
-    NOT_SENT = 'not_sent'
+    NOT_APPLIED = 'not_sent'
     UNKNOWN = 'unknown'
 
     #: A newer owner writes the rows.
@@ -57,55 +57,55 @@
         self,
         *,
         shard: ids.ShardId,
-        guard: Writer,
+        writer: Writer,
         store: store.Store,
         metrics: metrics.Metrics,
     ) -> None:
         """Prepare; ``take`` comes before all else."""
         self.shard = shard
-        self.guard = guard
+        self.writer = writer
         self._store = store
         self._metrics = metrics
-        self._guard_revision = 0
+        self._writer_revision = 0
         self._revisions: dict[str, int] = {}
 
         #: Calls in a row that did not succeed.
-        self.failures = 0
+        self.consecutive_failures = 0
 
-    async def take(self) -> WriteOutcome:
+    async def acquire(self) -> WriteOutcome:
         """Become the writer of the rows."""
         self._count_call()
         found = await self._store.get(WRITER_KEY, part=self.shard)
         if isinstance(found, result.Err):
-            self._note_failure(found.err_value)
+            self._record_failure(found.err_value)
             return WriteOutcome.UNKNOWN
         row = found.ok_value
         if row is not None:
-            self._guard_revision = row.revision
-            guard = _decode_guard(row)
-            if guard == self.guard:
+            self._writer_revision = row.revision
+            writer = _decode_writer(row)
+            if writer == self.writer:
                 return WriteOutcome.DONE
-            if guard.right > self.guard.right:
+            if writer.right > self.writer.right:
                 return WriteOutcome.SUPERSEDED
-        return await self._write_guard()
+        return await self._store_writer()
 
     async def read(self) -> tuple[store.Row, ...] | None:
         """Return all rows, None if the store does not tell them."""
         self._count_call()
         answer = await self._store.read(TABLE, part=self.shard)
         if isinstance(answer, result.Err):
-            self._note_failure(answer.err_value)
+            self._record_failure(answer.err_value)
             return None
         rows = answer.ok_value.rows
         self._revisions = {row.key: row.revision for row in rows}
         return rows
 
-    async def send(self, changes: RowChanges) -> WriteOutcome:
+    async def commit(self, changes: RowChanges) -> WriteOutcome:
         """Change rows; after UNKNOWN the same changes may be sent again."""
         self._count_call()
         answer = await self._store.transact(
             conditions=(
-                self._condition(WRITER_KEY, self._guard_revision),
+                self._condition(WRITER_KEY, self._writer_revision),
                 *(
                     self._condition(key, self._revisions.get(key, 0))
                     for key in changes
@@ -123,53 +123,53 @@
             ),
         )
         if isinstance(answer, result.Ok):
-            self.failures = 0
-            self._note_revisions(changes, answer.ok_value)
+            self.consecutive_failures = 0
+            self._record_revisions(changes, answer.ok_value)
             return WriteOutcome.DONE
-        self._note_failure(answer.err_value)
+        self._record_failure(answer.err_value)
         match answer.err_value.kind:
             case store.ErrorKind.CONFLICT:
-                return await self._explain_conflict(changes)
+                return await self._resolve_conflict(changes)
             case store.ErrorKind.UNAVAILABLE:
-                return WriteOutcome.NOT_SENT
+                return WriteOutcome.NOT_APPLIED
             case _:
                 return WriteOutcome.UNKNOWN
 
-    async def _write_guard(self) -> WriteOutcome:
+    async def _store_writer(self) -> WriteOutcome:
         self._count_call()
         answer = await self._store.transact(
-            conditions=(self._condition(WRITER_KEY, self._guard_revision),),
+            conditions=(self._condition(WRITER_KEY, self._writer_revision),),
             writes=(
                 store.Write(
                     key=WRITER_KEY,
                     part=self.shard,
-                    body=_encode_guard(self.guard),
+                    body=_encode_writer(self.writer),
                 ),
             ),
         )
         if isinstance(answer, result.Err):
-            self._note_failure(answer.err_value)
+            self._record_failure(answer.err_value)
             return WriteOutcome.UNKNOWN
-        self.failures = 0
-        self._guard_revision = answer.ok_value
+        self.consecutive_failures = 0
+        self._writer_revision = answer.ok_value
         return WriteOutcome.DONE
 
-    async def _explain_conflict(self, changes: RowChanges) -> WriteOutcome:
+    async def _resolve_conflict(self, changes: RowChanges) -> WriteOutcome:
         """Tell who wrote what is in the way of a call.
 
         While the guard is that of this owner, it was an earlier call for the
         same changes whose answer was lost.
         """
-        guard = await self._get(WRITER_KEY)
-        if guard is None:
+        writer_row = await self._get(WRITER_KEY)
+        if writer_row is None:
             return WriteOutcome.UNKNOWN
-        if guard.revision != self._guard_revision:
+        if writer_row.revision != self._writer_revision:
             return WriteOutcome.SUPERSEDED
         written = [key for key, body in changes.items() if body is not None]
-        row = await self._get(written[0]) if written else guard
+        row = await self._get(written[0]) if written else writer_row
         if row is None:
             return WriteOutcome.UNKNOWN
-        self._note_revisions(changes, row.revision)
+        self._record_revisions(changes, row.revision)
         return WriteOutcome.DONE
 
     async def _get(self, key: str) -> store.Row | None:
@@ -177,14 +177,14 @@
         self._count_call()
         answer = await self._store.get(key, part=self.shard)
         if isinstance(answer, result.Err):
-            self._note_failure(answer.err_value)
+            self._record_failure(answer.err_value)
             return None
         return answer.ok_value
 
     def _condition(self, key: str, revision: int) -> store.Condition:
         return store.Condition(key=key, part=self.shard, revision=revision)
 
-    def _note_revisions(self, changes: RowChanges, revision: int) -> None:
+    def _record_revisions(self, changes: RowChanges, revision: int) -> None:
         for key, body in changes.items():
             if body is None:
                 self._revisions.pop(key, None)
@@ -194,28 +194,28 @@
     def _count_call(self) -> None:
         self._metrics.count('store_calls_total', table=TABLE)
 
-    def _note_failure(self, error: store.StoreError) -> None:
-        self.failures += 1
+    def _record_failure(self, error: store.StoreError) -> None:
+        self.consecutive_failures += 1
         _LOG.info(
             'Store did not answer well.',
             extra={
                 'cell': self.shard,
-                'epoch': self.guard.right.epoch,
+                'epoch': self.writer.right.epoch,
                 'kind': error.kind.value,
                 'cause': error.detail,
-                'failures': self.failures,
+                'failures': self.consecutive_failures,
             },
         )
 
 
-def _encode_guard(guard: Writer) -> bytes:
+def _encode_writer(writer: Writer) -> bytes:
     packed: bytes = msgpack.packb(
-        [guard.right.epoch, guard.right.rank, guard.incarnation]
+        [writer.right.epoch, writer.right.rank, writer.incarnation]
     )
     return packed
 
 
-def _decode_guard(row: store.Row) -> Writer:
+def _decode_writer(row: store.Row) -> Writer:
     epoch, rank, incarnation = msgpack.unpackb(row.body or b'')
     return Writer(
         right=fences.Right(epoch=epoch, rank=rank),
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -18,26 +18,26 @@
 MAX_OPEN_JOBS = 5000
 
 #: An accepted job is on its way to the store after this time, in seconds.
-ACCEPT_WITHIN_S = 0.002
+ACCEPT_COMMIT_DELAY_S = 0.002
 
 #: Longest wait for the store before a job is refused or said to be unknown,
 #: in seconds. A commit takes 16 ms, a slow store 0.6 s.
-STORE_WAIT_S = 1.0
+STORE_TIMEOUT_S = 1.0
 
 #: Wait of a question for a change of a job that runs, in seconds. Clients ask
 #: as a job should end, and again a quarter of a second later; the end of a
 #: run is known here up to a pause between looks after it.
-CHANGE_WAIT_S = 0.04
+RUNNING_QUERY_WAIT_S = 0.04
 
 #: Wait of a question for the state of a job whose end is being stored, in
 #: seconds. A commit takes 16 ms; in most cases the new state is told.
-END_WAIT_S = 0.1
+FINISHING_QUERY_WAIT_S = 0.1
 
 #: States are kept this much longer than they are asked for, in seconds.
-TIDY_SLACK_S = 10.0
+CLEANUP_SLACK_S = 10.0
 
 #: Time between two searches for states that can be removed, in seconds.
-TIDY_PERIOD_S = 5.0
+CLEANUP_PERIOD_S = 5.0
 
 _LOG = logs.get_logger('jobs')
 
@@ -87,10 +87,10 @@
         self._router = router
         self._clock = clock
         self._metrics = metrics
-        self._status_s = states_s
+        self._states_s = states_s
         self._open: dict[ids.JobId, execution.Execution] = {}
-        self._ended: dict[ids.JobId, records.StoredJob] = {}
-        self._accepting: dict[ids.JobId, asyncio.Future[bool]] = {}
+        self._finished: dict[ids.JobId, records.StoredJob] = {}
+        self._storing: dict[ids.JobId, asyncio.Future[bool]] = {}
         self._tasks = background.Tasks()
         self._is_loaded = False
 
@@ -121,48 +121,48 @@
         job = stored.job.job
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
-        if job in self._open or job in self._ended:
+        if job in self._open or job in self._finished:
             return JobReply.ACCEPTED
-        if job not in self._accepting:
+        if job not in self._storing:
             if len(self._open) >= MAX_OPEN_JOBS:
                 return JobReply.REFUSED
-            self._accepting[job] = self._store(stored)
-        return await self._await_stored(job, self._accepting[job])
+            self._storing[job] = self._store(stored)
+        return await self._wait_stored(job, self._storing[job])
 
-    async def ask(self, job: ids.JobId) -> JobReply:
+    async def query(self, job: ids.JobId) -> JobReply:
         """Return the state of a job as it is stored."""
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
-        known = self._open.get(job)
-        if known is not None:
-            return await self._tell_state(known)
-        ended = self._ended.get(job)
+        running = self._open.get(job)
+        if running is not None:
+            return await self._query_execution(running)
+        ended = self._finished.get(job)
         if ended is not None:
             return JobReply(ended.state.value)
-        if job in self._accepting:
+        if job in self._storing:
             return JobReply.UNKNOWN
         return JobReply.ABSENT
 
     async def cancel(self, job: ids.JobId) -> JobReply:
         """Cancel a job that has not ended; return its state then."""
-        known = self._open.get(job)
-        if known is None:
-            return await self.ask(job)
-        known.tell(execution.CancelRequested())
-        await asyncio.wait((known.ended,), timeout=STORE_WAIT_S)
-        if known.ended.done() and known.ended.result():
-            return JobReply(known.state().value)
+        running = self._open.get(job)
+        if running is None:
+            return await self.query(job)
+        running.post_event(execution.CancelRequested())
+        await asyncio.wait((running.finished,), timeout=STORE_TIMEOUT_S)
+        if running.finished.done() and running.finished.result():
+            return JobReply(running.state().value)
         return JobReply.UNKNOWN
 
-    def tell(
+    def handle_message(
         self,
         source: link.Link,
         message: messages.Ended | messages.Declined | messages.JobBegun,
     ) -> None:
         """Hand a message to its job."""
-        known = self._open.get(message.job)
-        if known is not None:
-            known.tell(message)
+        running = self._open.get(message.job)
+        if running is not None:
+            running.post_event(message)
         elif isinstance(message, messages.Ended):
             # Nothing of the job will start any more, or it is not stored.
             if self.is_loaded:
@@ -175,41 +175,45 @@
                     )
                 )
 
-    def tell_all(
+    def broadcast(
         self, event: open_tasks.LeaderLost | open_tasks.LeaderFound
     ) -> None:
         """Tell all jobs of a change of a cell's owner."""
         for each in self._open.values():
-            each.tell(event)
+            each.post_event(event)
 
     def state(self, now: float) -> dict[str, object]:
         """Return what is kept, for the state dump."""
         return {
             'cell': self.shard,
             'loaded': self._is_loaded,
-            'unstored_s': round(self._rows.unstored_s(now), 3),
+            'unstored_s': round(self._rows.oldest_unstored_s(now), 3),
             'superseded': self._rows.is_superseded,
             'open': {
                 job: each.state().value for job, each in self._open.items()
             },
-            'ended': len(self._ended),
+            'ended': len(self._finished),
         }
 
     # Internals.
 
-    async def _tell_state(self, known: execution.Execution) -> JobReply:
-        if known.state() is records.JobState.RUNNING:
-            await asyncio.wait((known.ended,), timeout=CHANGE_WAIT_S)
-        if known.is_ending:
-            await asyncio.wait((known.ended,), timeout=END_WAIT_S)
-        return JobReply(known.state().value)
+    async def _query_execution(self, running: execution.Execution) -> JobReply:
+        if running.state() is records.JobState.RUNNING:
+            await asyncio.wait(
+                (running.finished,), timeout=RUNNING_QUERY_WAIT_S
+            )
+        if running.is_finishing:
+            await asyncio.wait(
+                (running.finished,), timeout=FINISHING_QUERY_WAIT_S
+            )
+        return JobReply(running.state().value)
 
     async def _run(self) -> None:
         found = await self._rows.open()
         if found is None:
             return
         self._load(found)
-        self._tasks.spawn(self._keep_tidy())
+        self._tasks.spawn(self._clean_up())
         await self._rows.run()
 
     def _load(self, found: Iterable[store.Row]) -> None:
@@ -230,7 +234,7 @@
                 'cell': self.shard,
                 'epoch': self._rows.epoch,
                 'open': len(self._open),
-                'ended': len(self._ended),
+                'ended': len(self._finished),
             },
         )
 
@@ -244,7 +248,7 @@
             return
         stored = decoded.ok_value
         if stored.state.is_final:
-            self._ended[stored.job.job] = stored
+            self._finished[stored.job.job] = stored
             return
         progress = records.JobProgress()
         if of_tasks is not None:
@@ -256,9 +260,9 @@
                 )
                 return
             progress = known.ok_value
-        self._carry_out(stored, progress, resumed=True)
+        self._start_execution(stored, progress, resumed=True)
 
-    def _carry_out(
+    def _start_execution(
         self,
         stored: records.StoredJob,
         progress: records.JobProgress,
@@ -272,14 +276,14 @@
             router=self._router,
             rows=self._rows,
             clock=self._clock,
-            on_end=self._note_end,
+            on_finished=self._record_finished,
             resumed=resumed,
         )
         self._open[stored.job.job] = started
-        started.begin()
+        started.start()
         self._tasks.spawn(started.run())
 
-    def _note_end(self, ended: records.StoredJob) -> None:
+    def _record_finished(self, ended: records.StoredJob) -> None:
         self._metrics.count('stored_jobs_ended_total', state=ended.state.value)
         self._metrics.observe(
             'stored_job_seconds',
@@ -287,29 +291,31 @@
             state=ended.state.value,
         )
         self._open.pop(ended.job.job)
-        self._ended[ended.job.job] = ended
+        self._finished[ended.job.job] = ended
 
     def _store(self, stored: records.StoredJob) -> asyncio.Future[bool]:
         job = stored.job.job
         done = self._rows.put(
             f'{job_table.JOB_PREFIX}{job}',
             records.encode_job(stored),
-            within_s=ACCEPT_WITHIN_S,
+            max_delay_s=ACCEPT_COMMIT_DELAY_S,
         )
 
         def begin(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
-            self._accepting.pop(job, None)
+            self._storing.pop(job, None)
             if not done.cancelled() and done.result():
                 self._metrics.count('stored_jobs_total')
-                self._carry_out(stored, records.JobProgress(), resumed=False)
+                self._start_execution(
+                    stored, records.JobProgress(), resumed=False
+                )
 
         done.add_done_callback(begin)
         return done
 
-    async def _await_stored(
+    async def _wait_stored(
         self, job: ids.JobId, done: asyncio.Future[bool]
     ) -> JobReply:
-        await asyncio.wait((done,), timeout=STORE_WAIT_S)
+        await asyncio.wait((done,), timeout=STORE_TIMEOUT_S)
         if done.cancelled():
             return JobReply.REFUSED
         if done.done():
@@ -319,23 +325,23 @@
             return JobReply.REFUSED
         return JobReply.UNKNOWN
 
-    async def _keep_tidy(self) -> None:
+    async def _clean_up(self) -> None:
         """Remove the states of jobs that nobody asks for any more."""
         while True:
-            await asyncio.sleep(TIDY_PERIOD_S)
-            oldest = self._clock.wall() - self._status_s - TIDY_SLACK_S
+            await asyncio.sleep(CLEANUP_PERIOD_S)
+            oldest = self._clock.wall() - self._states_s - CLEANUP_SLACK_S
             old = [
                 job
-                for job, ended in self._ended.items()
+                for job, ended in self._finished.items()
                 if ended.ended_at < oldest
             ]
             for job in old:
-                self._ended.pop(job)
+                self._finished.pop(job)
                 for prefix in (job_table.JOB_PREFIX, job_table.PROGRESS_PREFIX):
                     self._rows.put(
                         f'{prefix}{job}',
                         None,
-                        within_s=execution.PROGRESS_COMMIT_DELAY_S,
+                        max_delay_s=execution.PROGRESS_COMMIT_DELAY_S,
                     )
             if old:
                 _LOG.info(
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -29,20 +29,20 @@
 
 _LOG = logs.get_logger('jobs')
 
-_Sent = fenced_rows.WriteOutcome
+_Outcome = fenced_rows.WriteOutcome
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Change:
+class _PendingWrite:
     body: bytes | None
     done: asyncio.Future[bool]
 
     #: Local times at which it was made and must be sent, in seconds.
-    made_at: float
-    send_at: float
+    created_at: float
+    due_at: float
 
 
-_Batch = dict[str, _Change]
+_Batch = dict[str, _PendingWrite]
 
 
 class JobTable:
@@ -52,7 +52,7 @@
         self,
         *,
         shard: ids.ShardId,
-        guard: fenced_rows.Writer,
+        writer: fenced_rows.Writer,
         store: store.Store,
         clock: clock.Clock,
         rng: random.Random,
@@ -60,16 +60,16 @@
     ) -> None:
         """Prepare; ``open`` must end well before anything is written."""
         self.shard = shard
-        self.epoch = guard.right.epoch
+        self.epoch = writer.right.epoch
         self._rows = fenced_rows.FencedRows(
-            shard=shard, guard=guard, store=store, metrics=metrics
+            shard=shard, writer=writer, store=store, metrics=metrics
         )
         self._clock = clock
         self._rng = rng
         self._metrics = metrics
         self._waiting: _Batch = {}
-        self._under_way: _Batch = {}
-        self._commits = 0
+        self._in_flight: _Batch = {}
+        self._active_commits = 0
         self._wake = asyncio.Event()
         self._tasks = background.Tasks()
 
@@ -82,35 +82,35 @@
         Repeats until the store answers; None if a newer owner writes.
         """
         while not self.is_superseded:
-            sent = await self._rows.take()
-            if sent is _Sent.SUPERSEDED:
-                self._supersede()
-            if sent is _Sent.DONE:
+            outcome = await self._rows.acquire()
+            if outcome is _Outcome.SUPERSEDED:
+                self._mark_superseded()
+            if outcome is _Outcome.DONE:
                 # What the former owner wrote is known from here on.
                 rows = await self._rows.read()
                 if rows is not None:
                     return rows
-            await asyncio.sleep(self._pause_s())
+            await asyncio.sleep(self._backoff_s())
         return None
 
     async def close(self) -> None:
         """Stop all commits; what they do to the store is not known."""
         await self._tasks.close()
 
-    def unstored_s(self, now: float) -> float:
+    def oldest_unstored_s(self, now: float) -> float:
         """Return for how long the oldest change has not been stored."""
-        made_at = min(
+        created_at = min(
             (
-                change.made_at
-                for changes in (self._waiting, self._under_way)
+                change.created_at
+                for changes in (self._waiting, self._in_flight)
                 for change in changes.values()
             ),
             default=now,
         )
-        return now - made_at
+        return now - created_at
 
     def put(
-        self, key: str, body: bytes | None, *, within_s: float
+        self, key: str, body: bytes | None, *, max_delay_s: float
     ) -> asyncio.Future[bool]:
         """Write or remove a row; the newest contents of a key count.
 
@@ -122,14 +122,14 @@
         known = self._waiting.get(key)
         if known is not None:
             known.body = body
-            known.send_at = min(known.send_at, now + within_s)
+            known.due_at = min(known.due_at, now + max_delay_s)
             self._wake.set()
             return known.done
-        change = _Change(
+        change = _PendingWrite(
             body=body,
             done=asyncio.get_running_loop().create_future(),
-            made_at=now,
-            send_at=now + within_s,
+            created_at=now,
+            due_at=now + max_delay_s,
         )
         if self.is_superseded:
             change.done.set_result(False)
@@ -149,17 +149,17 @@
     async def run(self) -> None:
         """Commit changes until another owner has taken the table over."""
         while not self.is_superseded:
-            await self._until_due()
-            batch = self._take_batch()
+            await self._wait_until_due()
+            batch = self._next_batch()
             if batch:
-                self._commits += 1
-                self._under_way.update(batch)
+                self._active_commits += 1
+                self._in_flight.update(batch)
                 self._tasks.spawn(self._commit(batch))
 
-    async def _until_due(self) -> None:
+    async def _wait_until_due(self) -> None:
         while not self.is_superseded:
             self._wake.clear()
-            left_s = self._until_next_s(self._clock.now())
+            left_s = self._next_due_in_s(self._clock.now())
             if left_s is not None and left_s <= 0:
                 return
             try:
@@ -168,23 +168,23 @@
             except TimeoutError:
                 return
 
-    def _until_next_s(self, now: float) -> float | None:
+    def _next_due_in_s(self, now: float) -> float | None:
         """Return how long nothing is to be sent, None if nothing waits."""
-        if self._commits >= MAX_COMMITS:
+        if self._active_commits >= MAX_COMMITS:
             return None
         times = (
-            change.send_at
+            change.due_at
             for key, change in self._waiting.items()
-            if key not in self._under_way
+            if key not in self._in_flight
         )
         first = min(times, default=None)
         return None if first is None else first - now
 
-    def _take_batch(self) -> _Batch:
+    def _next_batch(self) -> _Batch:
         batch: _Batch = {}
         size = 0
         for key, change in self._waiting.items():
-            if key in self._under_way:
+            if key in self._in_flight:
                 continue
             size += len(change.body or b'')
             if batch and (len(batch) >= MAX_ROWS or size > MAX_BYTES):
@@ -197,54 +197,61 @@
     async def _commit(self, batch: _Batch) -> None:
         """Send a batch until it is stored or certainly was not sent."""
         began_at = self._clock.now()
-        sent = await self._send_until_sure(batch)
+        outcome = await self._commit_until_resolved(batch)
         self._metrics.observe(
-            'commit_seconds', self._clock.now() - began_at, outcome=sent.value
+            'commit_seconds',
+            self._clock.now() - began_at,
+            outcome=outcome.value,
         )
-        self._commits -= 1
+        self._active_commits -= 1
         for key in batch:
-            self._under_way.pop(key)
-        match sent:
-            case _Sent.DONE:
-                _settle(batch.values(), stored=True)
-            case _Sent.SUPERSEDED:
-                _settle(batch.values(), stored=False)
-                self._supersede()
+            self._in_flight.pop(key)
+        match outcome:
+            case _Outcome.DONE:
+                _resolve(batch.values(), stored=True)
+            case _Outcome.SUPERSEDED:
+                _resolve(batch.values(), stored=False)
+                self._mark_superseded()
             case _:
-                self._return(batch)
+                self._requeue(batch)
         self._wake.set()
 
-    async def _send_until_sure(self, batch: _Batch) -> fenced_rows.WriteOutcome:
+    async def _commit_until_resolved(
+        self, batch: _Batch
+    ) -> fenced_rows.WriteOutcome:
         changes = {key: change.body for key, change in batch.items()}
         may_be_stored = False
         while True:
-            sent = await self._rows.send(changes)
-            is_over = sent in {_Sent.DONE, _Sent.SUPERSEDED}
-            if is_over or (sent is _Sent.NOT_SENT and not may_be_stored):
-                return sent
+            outcome = await self._rows.commit(changes)
+            is_over = outcome in {_Outcome.DONE, _Outcome.SUPERSEDED}
+            if is_over or (
+                outcome is _Outcome.NOT_APPLIED and not may_be_stored
+            ):
+                return outcome
             # The same call again: one of them takes effect.
             may_be_stored = True
-            await asyncio.sleep(self._pause_s())
+            await asyncio.sleep(self._backoff_s())
 
-    def _return(self, batch: _Batch) -> None:
+    def _requeue(self, batch: _Batch) -> None:
         """Let changes wait again, unless newer ones of their rows do."""
-        send_at = self._clock.now() + self._pause_s()
+        due_at = self._clock.now() + self._backoff_s()
         for key, change in batch.items():
             newer = self._waiting.get(key)
             if newer is None:
-                change.send_at = send_at
+                change.due_at = due_at
                 self._waiting[key] = change
             else:
-                newer.send_at = send_at
-                _follow(change, newer)
+                newer.due_at = due_at
+                _resolve_with(change, newer)
 
-    def _pause_s(self) -> float:
+    def _backoff_s(self) -> float:
         longest = min(
-            BACK_OFF_MIN_S * 2 ** min(self._rows.failures, 8), BACK_OFF_MAX_S
+            BACK_OFF_MIN_S * 2 ** min(self._rows.consecutive_failures, 8),
+            BACK_OFF_MAX_S,
         )
         return longest * self._rng.uniform(0.5, 1)
 
-    def _supersede(self) -> None:
+    def _mark_superseded(self) -> None:
         if self.is_superseded:
             return
         self.is_superseded = True
@@ -252,17 +259,17 @@
             'Another owner writes the jobs.',
             extra={'cell': self.shard, 'epoch': self.epoch},
         )
-        _settle(self._waiting.values(), stored=False)
+        _resolve(self._waiting.values(), stored=False)
         self._waiting.clear()
 
 
-def _settle(changes: Iterable[_Change], *, stored: bool) -> None:
+def _resolve(changes: Iterable[_PendingWrite], *, stored: bool) -> None:
     for change in changes:
         if not change.done.done():
             change.done.set_result(stored)
 
 
-def _follow(change: _Change, newer: _Change) -> None:
+def _resolve_with(change: _PendingWrite, newer: _PendingWrite) -> None:
     """End an older change of a row as the newer one ends."""
 
     def settle(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -46,7 +46,7 @@
     ended_at: float = 0
     state: JobState = JobState.QUEUED
 
-    def end(self, state: JobState, wall: float) -> 'StoredJob':
+    def finish(self, state: JobState, wall: float) -> 'StoredJob':
         """Return the job without what is needed only while it runs."""
         return dataclasses.replace(
             self,
@@ -80,22 +80,24 @@
         default_factory=dict
     )
 
-    def is_counted(self, key: open_tasks.TaskKey, run: int) -> bool:
+    def is_recorded(self, key: open_tasks.TaskKey, run: int) -> bool:
         """Tell whether the end of a task's run was counted before."""
-        known = self.failed.get(key)
-        return key in self.done or (known is not None and run < known.number)
+        task_progress = self.failed.get(key)
+        return key in self.done or (
+            task_progress is not None and run < task_progress.number
+        )
 
-    def count_done(self, key: open_tasks.TaskKey) -> None:
+    def record_success(self, key: open_tasks.TaskKey) -> None:
         """Count a good end."""
         self.done.add(key)
         self.failed.pop(key, None)
 
-    def count_failure(self, key: open_tasks.TaskKey, run: int) -> int:
+    def record_failure(self, key: open_tasks.TaskKey, run: int) -> int:
         """Count a failed run; return how many there are of the task."""
-        known = self.failed.setdefault(key, TaskProgress())
-        known.failures += 1
-        known.number = run + 1
-        return known.failures
+        task_progress = self.failed.setdefault(key, TaskProgress())
+        task_progress.failures += 1
+        task_progress.number = run + 1
+        return task_progress.failures
 
 
 def encode_job(stored: StoredJob) -> bytes:
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -158,10 +158,10 @@
         self.shard: shards.ShardLeader = world.rig.own(
             epoch=epoch, api=api, around=self
         )
-        self.keeper = job_manager.JobManager(
+        self.manager = job_manager.JobManager(
             rows=job_table.JobTable(
                 shard=samples.SHARD,
-                guard=fenced_rows.Writer(
+                writer=fenced_rows.Writer(
                     right=fences.Right(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
                 ),
@@ -176,11 +176,11 @@
             states_s=120,
         )
         self._keepers = loaded_shards.LoadedShards()
-        self.keeper.start()
+        self.manager.start()
 
     def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
-        shards_kept = [samples.SHARD] if self.keeper.is_loaded else []
+        shards_kept = [samples.SHARD] if self.manager.is_loaded else []
         self._keepers.update(vm, shards_kept, self.world.rig.clock.now())
         return self._keepers.get(samples.SHARD, vm)
 
@@ -213,7 +213,7 @@
         """End without a word."""
         self.is_up = False
         self.world.rig.superseded_shards.append(self.shard)
-        await self.keeper.close()
+        await self.manager.close()
         await self.shard.close()
 
     def relink(self) -> None:
@@ -221,7 +221,7 @@
         lost = self.link
         self.link = Link(self)
         self.shard.link_lost(lost, self.world.rig.clock.now())
-        self.keeper.tell_all(
+        self.manager.broadcast(
             open_tasks.LeaderLost(shard=samples.SHARD, source=lost)
         )
 
@@ -235,7 +235,7 @@
             case messages.EndsNoted():
                 self.shard.note_ends(message)
             case _:
-                self.keeper.tell(self.link, message)
+                self.manager.handle_message(self.link, message)
 
 
 class Cluster:
@@ -293,7 +293,7 @@
         until = self.rig.clock.now() + limit_s
         answer = job_manager.JobReply.UNAVAILABLE
         while self.rig.clock.now() < until:
-            answer = await self.leader.keeper.ask(job)
+            answer = await self.leader.manager.query(job)
             if answer.value in {'completed', 'failed', 'cancelled'}:
                 break
             await asyncio.sleep(0.05)
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -31,7 +31,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 3)
-            answer = await world.leader.keeper.accept(stored)
+            answer = await world.leader.manager.accept(stored)
             self.assertEqual(_Answer.ACCEPTED, answer)
             key = f'{job_table.JOB_PREFIX}{stored.job.job}'
             self.assertIsNotNone(world.store.rows.get(key, part=samples.SHARD))
@@ -47,7 +47,7 @@
         async def scenario(world: worlds.Cluster) -> None:
             answers = await asyncio.gather(
                 *(
-                    world.leader.keeper.accept(worlds.make_job(number, 1))
+                    world.leader.manager.accept(worlds.make_job(number, 1))
                     for number in range(120)
                 )
             )
@@ -61,11 +61,11 @@
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             answers = await asyncio.gather(
-                *(world.leader.keeper.accept(stored) for _ in range(3))
+                *(world.leader.manager.accept(stored) for _ in range(3))
             )
             self.assertEqual([_Answer.ACCEPTED] * 3, answers)
             await world.settle(stored.job.job)
-            answer = await world.leader.keeper.accept(stored)
+            answer = await world.leader.manager.accept(stored)
             self.assertEqual(_Answer.ACCEPTED, answer)
             await asyncio.sleep(2)
             self.assertEqual(1, len(world.rig.records()))
@@ -77,7 +77,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 2, 3, 1)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             self.assertEqual('completed', await world.settle(stored.job.job))
             spans: dict[str, list[tuple[float, float]]] = {}
             for record in world.rig.records():
@@ -97,7 +97,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             self.assertEqual('failed', await world.settle(stored.job.job))
             self.assertEqual(worlds.MAX_ATTEMPTS, len(world.rig.records()))
 
@@ -108,9 +108,9 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 30)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             await asyncio.sleep(0.03)
-            answer = await world.leader.keeper.cancel(stored.job.job)
+            answer = await world.leader.manager.cancel(stored.job.job)
             self.assertEqual(_Answer.CANCELLED, answer)
             await asyncio.sleep(0.05)
             before = len(world.rig.records())
@@ -127,12 +127,12 @@
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
             world.store.is_down = True
-            answer = await world.leader.keeper.accept(stored)
+            answer = await world.leader.manager.accept(stored)
             self.assertEqual(_Answer.REFUSED, answer)
             world.store.is_down = False
             await asyncio.sleep(5)
             self.assertEqual([], world.rig.records())
-            answer = await world.leader.keeper.ask(stored.job.job)
+            answer = await world.leader.manager.query(stored.job.job)
             self.assertEqual(_Answer.ABSENT, answer)
 
         with_world(scenario)
@@ -142,7 +142,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             world.store.is_down = True
             await asyncio.sleep(3)
             records = world.rig.records()
@@ -161,10 +161,10 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             await world.settle(stored.job.job)
             await asyncio.sleep(150)
-            answer = await world.leader.keeper.ask(stored.job.job)
+            answer = await world.leader.manager.query(stored.job.job)
             self.assertEqual(_Answer.ABSENT, answer)
             key = f'{job_table.JOB_PREFIX}{stored.job.job}'
             self.assertIsNone(world.store.rows.get(key, part=samples.SHARD))
@@ -178,7 +178,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 6)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             await asyncio.sleep(0.15)
             await world.replace()
             self.assertEqual('completed', await world.settle(stored.job.job))
@@ -192,11 +192,11 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 1)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             await world.settle(stored.job.job)
             await world.replace()
             await asyncio.sleep(0.2)
-            answer = await world.leader.keeper.ask(stored.job.job)
+            answer = await world.leader.manager.query(stored.job.job)
             self.assertEqual(_Answer.COMPLETED, answer)
 
         with_world(scenario)
@@ -208,9 +208,9 @@
             former = world.leader
             world.take_over()
             await asyncio.sleep(0.2)
-            answer = await former.keeper.accept(worlds.make_job(1, 1))
+            answer = await former.manager.accept(worlds.make_job(1, 1))
             self.assertEqual(_Answer.UNKNOWN, answer)
-            answer = await former.keeper.accept(worlds.make_job(2, 1))
+            answer = await former.manager.accept(worlds.make_job(2, 1))
             self.assertEqual(_Answer.UNAVAILABLE, answer)
             await asyncio.sleep(2)
             self.assertEqual([], world.rig.records())
@@ -222,7 +222,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             # The ends are known to the owner and listed, but not stored.
             world.store.is_down = True
             await asyncio.sleep(1.2)
@@ -240,7 +240,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             world.store.refused_prefix = job_table.JOB_PREFIX
             await asyncio.sleep(3)
             await world.replace()
@@ -259,7 +259,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 2)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             for _ in range(3):
                 await asyncio.sleep(0.12)
                 await world.replace()
@@ -273,7 +273,7 @@
 
         async def scenario(world: worlds.Cluster) -> None:
             stored = worlds.make_job(1, 4)
-            await world.leader.keeper.accept(stored)
+            await world.leader.manager.accept(stored)
             await asyncio.sleep(0.1)
             world.leader.relink()
             self.assertEqual('completed', await world.settle(stored.job.job))
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -72,7 +72,7 @@
         stored = worlds.make_job(number, *counts)
         answers = []
         for _ in range(2):
-            answers.append(await self.world.leader.keeper.accept(stored))
+            answers.append(await self.world.leader.manager.accept(stored))
             if answers[-1] is not job_manager.JobReply.UNKNOWN:
                 break
             await asyncio.sleep(1.3)
@@ -105,7 +105,7 @@
         if running:
             job = self.world.rng.choice(running)
             self.cancelled.add(job)
-            await self.world.leader.keeper.cancel(job)
+            await self.world.leader.manager.cancel(job)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
