--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -7,7 +7,7 @@
 from sardineproxy import ids
 from sardineproxy.bench import slopes_fit, slopes_samples
 from sardineproxy.connection import frames
-from sardineproxy.process import exchange, gossip, parts, slots, views
+from sardineproxy.process import exchange, gossip, components, slots, views
 from sardineproxy.version import codec, versions
 
 CONTRACTS = (100, 370, 1000)
@@ -105,7 +105,7 @@
     )
     built = _build_parts()
 
-    def take() -> parts.Parts:  # noqa: WPS430
+    def take() -> components.Components:  # noqa: WPS430
         built.versions.offer(payload)
         return built
 
@@ -163,7 +163,7 @@
         )
     )
 
-    def take() -> parts.Parts:  # noqa: WPS430
+    def take() -> components.Components:  # noqa: WPS430
         for payload in payloads:
             built.versions.offer(payload)
         return built
@@ -171,7 +171,7 @@
     return slopes_fit.heap_bytes(take)
 
 
-def _build_ahead() -> tuple[parts.Parts, bytes]:
+def _build_ahead() -> tuple[components.Components, bytes]:
     """Return parts at version 2, and the change that leads there."""
     built = _build_parts()
     first = _snapshot(TARGET)
@@ -183,11 +183,11 @@
     return built, payload
 
 
-def _build_parts() -> parts.Parts:
+def _build_parts() -> components.Components:
     """Return all parts of an entry process, with a zone's division."""
-    built = parts.build(
+    built = components.build(
         cfg=slopes_samples.entry_settings(),
-        outside=parts.Outside(
+        outside=components.Dependencies(
             clock=slopes_samples.system_clock(),
             rng=random.Random(1),
             platform=slopes_samples.MemoryPlatform(
--- a/sardineproxy/bench/slopes_http.py
+++ b/sardineproxy/bench/slopes_http.py
@@ -19,7 +19,7 @@
 from aiohttp import web
 
 from sardineproxy.bench import slopes_fit, slopes_net, slopes_samples
-from sardineproxy.process import entry, parts
+from sardineproxy.process import entry, components
 
 #: Requests on their way at once.
 AT_ONCE = 8
@@ -213,7 +213,7 @@
 
 async def _start_entry(port: int) -> tuple[entry.EntryProcess, int]:
     """Start an entry process that owns all slots, and return its port."""
-    outside = parts.Outside(
+    outside = components.Dependencies(
         clock=slopes_samples.system_clock(),
         rng=random.Random(1),
         platform=slopes_samples.MemoryPlatform(
--- a/sardineproxy/bench/slopes_listing.py
+++ b/sardineproxy/bench/slopes_listing.py
@@ -6,7 +6,7 @@
 
 from sardineproxy import json_text
 from sardineproxy.bench import slopes_fit, slopes_samples
-from sardineproxy.process import listing, parts, platform
+from sardineproxy.process import listing, components, platform
 
 #: The last one is the target's number of workers.
 VMS = (100, 1000, 9700)
@@ -100,7 +100,7 @@
     text = _render(count)
     built = _build_parts()
 
-    def take() -> parts.Parts:  # noqa: WPS430
+    def take() -> components.Components:  # noqa: WPS430
         built.directory.offer(_decode(text))
         return built
 
@@ -113,11 +113,11 @@
     return slopes_fit.heap_peak_bytes(lambda: _decode(text))
 
 
-def _build_parts() -> parts.Parts:
+def _build_parts() -> components.Components:
     """Return all parts of an entry process, of which none runs."""
-    return parts.build(
+    return components.build(
         cfg=slopes_samples.entry_settings(),
-        outside=parts.Outside(
+        outside=components.Dependencies(
             clock=slopes_samples.system_clock(),
             rng=random.Random(1),
             platform=slopes_samples.MemoryPlatform(
--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -30,7 +30,7 @@
 
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Parse the command line; the error is one sentence."""
-    values = _define()
+    values = _define_flags()
     asked = command_line.read(values, argv, USAGE)
     if isinstance(asked, result.Err):
         return asked
@@ -46,7 +46,7 @@
     )
 
 
-def _define() -> flags.FlagValues:
+def _define_flags() -> flags.FlagValues:
     values = command_line.new_flags()
     flags.DEFINE_string(
         'settings',
--- a/sardineproxy/process/parts.py
+++ b/sardineproxy/process/components.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Outside:
+class Dependencies:
     """What the outside world provides, replaced by tests."""
 
     clock: clock.Clock
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Parts:
+class Components:
     """All parts of one entry process."""
 
     incarnation: ids.Incarnation
@@ -65,7 +65,7 @@
     peers: peers.Peers
 
 
-class _LateForwarder:
+class _DeferredForwarder:
     """Forwarder that is set after its users are built.
 
     Submissions forward through the peers, and the peers hand forwarded
@@ -105,7 +105,7 @@
     )
 
 
-def build(*, cfg: settings.Settings, outside: Outside) -> Parts:
+def build(*, cfg: settings.Settings, outside: Dependencies) -> Components:
     """Build all parts; nothing runs and no port is open yet."""
     incarnation = ids.Incarnation(secrets.token_hex(INCARNATION_BYTES))
     registry = outside.registry
@@ -139,7 +139,7 @@
         metrics=registry,
         cfg=dispatcher.Config(),
     )
-    forwarder = _LateForwarder()
+    forwarder = _DeferredForwarder()
     accepted = submissions.Submissions(
         clock=outside.clock,
         rng=outside.rng,
@@ -174,7 +174,7 @@
         listen=outside.listen,
     )
     forwarder.target = peer_streams
-    parts = Parts(
+    parts = Components(
         incarnation=incarnation,
         metrics=registry,
         directory=vm_directory,
@@ -186,7 +186,7 @@
         submissions=accepted,
         peers=peer_streams,
     )
-    _connect(parts)
+    _subscribe(parts)
     return parts
 
 
@@ -224,17 +224,17 @@
     )
 
 
-def _connect(parts: Parts) -> None:
+def _subscribe(parts: Components) -> None:
     """Subscribe each part to what it follows."""
     parts.versions.in_force.subscribe(
-        lambda version: _put_in_force(parts, version)
+        lambda version: _apply_version(parts, version)
     )
     parts.peers.live_vms.subscribe(parts.submissions.set_live_vms)
     parts.dispatcher.backlog.subscribe(parts.peers.on_backlog)
     parts.slots.changed.subscribe(lambda _: parts.dispatcher.wake())
 
 
-def _put_in_force(parts: Parts, version: versions.Version | None) -> None:
+def _apply_version(parts: Components, version: versions.Version | None) -> None:
     parts.submissions.set_version(version)
     if version is None:
         return
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -10,7 +10,7 @@
 
 from sardineproxy import clock, exit_status, logs
 from sardineproxy.connection import admin, caller
-from sardineproxy.process import metrics, parts, settings
+from sardineproxy.process import metrics, components, settings
 
 _LOG = logs.get_logger('entry')
 
@@ -22,13 +22,16 @@
     """One entry process on an entry VM."""
 
     def __init__(
-        self, *, cfg: settings.Settings, outside: parts.Outside | None = None
+        self,
+        *,
+        cfg: settings.Settings,
+        outside: components.Dependencies | None = None,
     ) -> None:
         """Prepare the process; without ``outside`` it uses real ones."""
         self._cfg = cfg
         self._outside = outside
         self._session: aiohttp.ClientSession | None = None
-        self._parts: parts.Parts | None = None
+        self._parts: components.Components | None = None
         self._callers: caller.Listener | None = None
         self._admin: web.AppRunner | None = None
         self._tasks: list[asyncio.Task[None]] = []
@@ -41,7 +44,7 @@
 
     async def start(self) -> result.Result[Ports, str]:
         """Open all listeners; the error is one sentence."""
-        self._parts = parts.build(cfg=self._cfg, outside=self._connect())
+        self._parts = components.build(cfg=self._cfg, outside=self._connect())
         await self._parts.client.start()
         try:
             ports = await self._listen(self._parts)
@@ -95,7 +98,7 @@
         status = exit_status.ExitStatus.SUCCESS
         try:
             async with asyncio.timeout(
-                self._cfg.shutdown.limit_s - settings.CLOSE_S
+                self._cfg.shutdown.limit_s - settings.CLOSE_TIMEOUT_S
             ):
                 await self._drain(self._parts)
         except TimeoutError:
@@ -103,14 +106,14 @@
             if not self._idle:
                 status = exit_status.ExitStatus.ERROR
         try:
-            async with asyncio.timeout(settings.CLOSE_S):
+            async with asyncio.timeout(settings.CLOSE_TIMEOUT_S):
                 await self._close(self._parts)
         except TimeoutError:
             _LOG.warning('Connections were still open at the end.')
         _LOG.info('Ended.')
         return status
 
-    async def _drain(self, own: parts.Parts) -> None:
+    async def _drain(self, own: components.Components) -> None:
         self._draining = True
         _LOG.info('Shutting down: not ready any more.')
         await asyncio.sleep(self._cfg.shutdown.notice_s)
@@ -119,21 +122,21 @@
         self._idle = True
         await own.peers.goodbye()
 
-    def _connect(self) -> parts.Outside:
+    def _connect(self) -> components.Dependencies:
         if self._outside is not None:
             return self._outside
         self._session = aiohttp.ClientSession(trust_env=False)
         registry = metrics.Metrics()
-        return parts.Outside(
+        return components.Dependencies(
             registry=registry,
             clock=self._clock,
             rng=clock.new_random(),
-            platform=parts.connect_platform(
+            platform=components.connect_platform(
                 cfg=self._cfg, session=self._session, registry=registry
             ),
         )
 
-    async def _listen(self, own: parts.Parts) -> Ports:
+    async def _listen(self, own: components.Components) -> Ports:
         limits = caller.EdgeLimits()
         self._callers = await caller.start(
             app=caller.build_app(
@@ -161,7 +164,7 @@
             'peers': own.peers.port,
         }
 
-    async def _close(self, own: parts.Parts) -> None:
+    async def _close(self, own: components.Components) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -218,10 +218,10 @@
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
         ) as exc:
-            return _failed(_Kind.UNAVAILABLE, req, exc)
+            return _call_failed(_Kind.UNAVAILABLE, req, exc)
         except (aiohttp.ClientError, TimeoutError, OSError) as exc:
-            kind = _Kind.UNKNOWN if req.is_write else _kind_of_read(exc)
-            return _failed(kind, req, exc)
+            kind = _Kind.UNKNOWN if req.is_write else _classify_read_error(exc)
+            return _call_failed(kind, req, exc)
 
     async def _send(self, req: _Request) -> result.Result[_Reply, _Error]:
         url = self._base.with_path(req.path).with_query(req.query)
@@ -244,7 +244,7 @@
             return result.Ok(_Reply(status=reply.status, body=bytes(body)))
 
 
-def _failed(
+def _call_failed(
     kind: store.ErrorKind, req: _Request, exc: BaseException
 ) -> result.Err[_Error]:
     cause = str(exc) or type(exc).__name__
@@ -253,7 +253,7 @@
     )
 
 
-def _kind_of_read(exc: BaseException) -> store.ErrorKind:
+def _classify_read_error(exc: BaseException) -> store.ErrorKind:
     if isinstance(
         exc, (aiohttp.ClientPayloadError, aiohttp.ClientResponseError)
     ):
--- a/sardineproxy/process/settings.py
+++ b/sardineproxy/process/settings.py
@@ -16,13 +16,13 @@
 MAX_PORT = 65_535
 
 #: Seconds of a shutdown that are kept for closing connections.
-CLOSE_S = 2
+CLOSE_TIMEOUT_S = 2
 
 #: Least time between the notice and the limit of a shutdown, in seconds.
-LEAST_SHUTDOWN_S = 3
+MIN_SHUTDOWN_S = 3
 
 
-def _check_ip_number(text: str) -> str:
+def _check_ip_address(text: str) -> str:
     try:
         ipaddress.ip_address(text)
     except ValueError as exc:
@@ -30,7 +30,7 @@
     return text
 
 
-IpNumber = Annotated[str, pydantic.AfterValidator(_check_ip_number)]
+IpAddress = Annotated[str, pydantic.AfterValidator(_check_ip_address)]
 Port = Annotated[int, pydantic.Field(ge=0, le=MAX_PORT)]
 Seconds = Annotated[
     float, pydantic.Field(gt=0, le=SECONDS_PER_DAY, allow_inf_nan=False)
@@ -47,7 +47,7 @@
 class Address(Section):
     """An IP number and a port; port 0 lets the kernel choose."""
 
-    host: IpNumber
+    host: IpAddress
     port: Port
 
 
@@ -75,9 +75,9 @@
     @pydantic.model_validator(mode='after')
     def check_order(self) -> Self:
         """Refuse a limit that leaves no time for work and for closing."""
-        if self.limit_s < self.notice_s + LEAST_SHUTDOWN_S:
+        if self.limit_s < self.notice_s + MIN_SHUTDOWN_S:
             raise ValueError(
-                f'limit_s must exceed notice_s by at least {LEAST_SHUTDOWN_S} s'
+                f'limit_s must exceed notice_s by at least {MIN_SHUTDOWN_S} s'
             )
         return self
 
@@ -186,12 +186,12 @@
 def _describe_error(place: str, error: Mapping[str, Any]) -> str:
     if error['type'] == 'missing':
         return f'{place}: this key is required.'
-    message = _plain(error['msg'])
+    message = _simplify_message(error['msg'])
     found = error['input']
     return f'{place or "settings"}: {message}, found {found!r}.'
 
 
-def _plain(message: str) -> str:
+def _simplify_message(message: str) -> str:
     if message == 'Extra inputs are not permitted':
         return 'unknown key'
     return message.removeprefix('Value error, ')
