--- a/sardineproxy/process/node/environment.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Formats:
+class RowFormats:
     """Decoders of the platform's rows."""
 
     configuration_table: str
@@ -30,19 +30,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Outside:
+class Dependencies:
     """What the outside world provides, replaced by tests."""
 
     clock: clock.Clock
     rng: random.Random
     store: store.Store
     workers: workers.WorkerApi
-    formats: Formats
-    registry: metrics.Metrics
+    formats: RowFormats
+    metrics: metrics.Metrics
 
 
 def new_job_manager(
-    outside: Outside,
+    dependencies: Dependencies,
     *,
     shard: ids.ShardId,
     writer: fenced_rows.Writer,
@@ -54,13 +54,13 @@
         rows=job_table.JobTable(
             shard=shard,
             writer=writer,
-            store=outside.store,
-            clock=outside.clock,
-            rng=outside.rng,
-            metrics=outside.registry,
+            store=dependencies.store,
+            clock=dependencies.clock,
+            rng=dependencies.rng,
+            metrics=dependencies.metrics,
         ),
         router=router,
-        clock=outside.clock,
-        metrics=outside.registry,
+        clock=dependencies.clock,
+        metrics=dependencies.metrics,
         states_s=states_s,
     )
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -36,19 +36,19 @@
 _LOG = logs.get_logger('node')
 
 
-class Reader(Protocol):
+class RowHandler(Protocol):
     """Uses what the feeds bring."""
 
-    def take_configuration(self, rows: tuple[store.Row, ...]) -> None:
+    def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed rows of the operator's table."""
 
-    def take_directory(self, rows: tuple[store.Row, ...]) -> None:
+    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed members and claims."""
 
-    def take_roster(self, rows: tuple[store.Row, ...]) -> None:
+    def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
 
-    def roster_pace(self) -> table_follower.PollTiming:
+    def roster_timing(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
 
 
@@ -62,7 +62,7 @@
         configuration_s: float,
         roster_table: str,
         source: store.Store,
-        reader: Reader,
+        handler: RowHandler,
         clock: clock.Clock,
         rng: random.Random,
         metrics: metrics.Metrics,
@@ -77,11 +77,15 @@
         tables = (
             (
                 configuration_table,
-                reader.take_configuration,
+                handler.configuration_changed,
                 _steady(CONFIG_WAIT_SHARE * configuration_s),
             ),
-            (registry.TABLE, reader.take_directory, _steady(DIRECTORY_WAIT_S)),
-            (roster_table, reader.take_roster, reader.roster_pace),
+            (
+                registry.TABLE,
+                handler.directory_changed,
+                _steady(DIRECTORY_WAIT_S),
+            ),
+            (roster_table, handler.roster_changed, handler.roster_timing),
         )
         followers = [
             table_follower.TableFollower(
@@ -110,11 +114,11 @@
             self._register(member),
         ]
 
-    def knows_configuration_source(self) -> bool:
+    def is_configuration_available(self) -> bool:
         """Tell whether the store answers about the configuration."""
         return self.configuration.healthy_since is not None
 
-    def knows_all_workers(self) -> bool:
+    def is_worker_list_complete(self) -> bool:
         """Tell whether no worker can be missing from the list."""
         return worker_list.is_complete(self.roster, self._clock.now())
 
@@ -122,7 +126,7 @@
         """Return the local time of the list of workers, in seconds."""
         return self.roster.answered_at or 0
 
-    def heard_at(self) -> float:
+    def last_answer_at(self) -> float:
         """Return the local time of the store's last answer, in seconds."""
         return max(
             each.answered_at or 0
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/holdings.py
@@ -46,7 +46,7 @@
     def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
         """Return the listed workers of a cell."""
 
-    def knows_all_workers(self) -> bool:
+    def is_worker_list_complete(self) -> bool:
         """Tell whether no worker can be missing from the list."""
 
     def is_alone(self) -> bool:
@@ -222,7 +222,7 @@
     def _give_workers(self, owned: shards.ShardLeader) -> None:
         owned.set_workers(
             self._around.workers_of(owned.shard),
-            complete=self._around.knows_all_workers(),
+            complete=self._around.is_worker_list_complete(),
         )
 
     def _review(self, now: float) -> None:
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -23,7 +23,7 @@
 )
 from sardineproxy.process.node import (
     claiming,
-    environment,
+    dependencies,
     feeds,
     holdings,
     intake,
@@ -62,21 +62,21 @@
         *,
         cfg: deployment.Deployment,
         rules: policy.Policy,
-        outside: environment.Outside,
+        dependencies: dependencies.Dependencies,
     ) -> None:
         """Prepare the process; ``start`` opens its listener for links."""
         self.cfg = cfg
-        self._clock = outside.clock
+        self._clock = dependencies.clock
         self._tasks = background.Tasks()
-        self._formats = outside.formats
-        self.metrics = outside.registry
+        self._formats = dependencies.formats
+        self.metrics = dependencies.metrics
         self.me = messages.Greeting(
             vm=cfg.vm,
             incarnation=ids.Incarnation(secrets.token_hex(INCARNATION_BYTES)),
             zone=cfg.zone,
         )
         self.versions = in_force.InForce(
-            decode=outside.formats.decode_configuration
+            decode=dependencies.formats.decode_configuration
         )
         self.board = board.Board()
         self.directory = registry.Registry()
@@ -87,12 +87,12 @@
         )
         self.leaders = leaders.Leaders(me=cfg.vm)
         self.workers = worker_list.WorkerList(
-            worker_id=outside.formats.worker_id,
-            decode=outside.formats.decode_worker,
+            worker_id=dependencies.formats.worker_id,
+            decode=dependencies.formats.decode_worker,
         )
         self.links = links.Links(
             clock=self._clock,
-            rng=outside.rng,
+            rng=dependencies.rng,
             me=self.me,
             events=self,
             rhythm=self._rhythm,
@@ -105,19 +105,19 @@
             address=cfg.peers,
             cores=cfg.cores,
         )
-        self._outside = outside
+        self._dependencies = dependencies
         self.job_service = job_service.JobService(
             directory=self, clock=self._clock
         )
         self._claims = claiming.Claiming(
-            store=outside.store,
+            store=dependencies.store,
             directory=self.directory,
             me=self.member,
             on_right=self._won,
         )
         self.holdings = holdings.Holdings(
             tools=holdings.Tools(
-                api=outside.workers,
+                api=dependencies.workers,
                 clock=self._clock,
                 metrics=self.metrics,
                 cfg=rules.cell,
@@ -130,13 +130,13 @@
             tasks=self._tasks,
         )
         self._feeds = feeds.Feeds(
-            configuration_table=outside.formats.configuration_table,
+            configuration_table=dependencies.formats.configuration_table,
             configuration_s=cfg.bounds.version_s,
-            roster_table=outside.formats.roster_table,
-            source=outside.store,
-            reader=self,
+            roster_table=dependencies.formats.roster_table,
+            source=dependencies.store,
+            handler=self,
             clock=self._clock,
-            rng=outside.rng,
+            rng=dependencies.rng,
             metrics=self.metrics,
         )
         self.intake = intake.Intake(
@@ -299,9 +299,9 @@
         """Return the listed workers of a cell."""
         return self.workers.of_shard(shard)
 
-    def knows_all_workers(self) -> bool:
+    def is_worker_list_complete(self) -> bool:
         """Tell whether no worker can be missing from the list."""
-        return self._feeds.knows_all_workers()
+        return self._feeds.is_worker_list_complete()
 
     def listed_at(self) -> float:
         """Return the local time of the list of workers, in seconds."""
@@ -312,7 +312,7 @@
         successors = self._claims.successors_of_claim(shard)
         if all(self.links.to(vm) is not None for vm in successors):
             return now
-        return self._feeds.heard_at()
+        return self._feeds.last_answer_at()
 
     def list_answers(self) -> bool:
         """Tell whether the store answers about the list of workers."""
@@ -341,24 +341,24 @@
 
     # Rows of the store.
 
-    def take_configuration(self, rows: tuple[store.Row, ...]) -> None:
+    def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed rows of the operator's table."""
         for row in rows:
             if row.key == self._formats.configuration_row and row.body:
                 self.versions.offer(row.body, 'store')
 
-    def take_directory(self, rows: tuple[store.Row, ...]) -> None:
+    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed members and claims."""
         self._sharing.offer(rows)
 
-    def take_roster(self, rows: tuple[store.Row, ...]) -> None:
+    def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
         now = self._clock.now()
         self.workers.take(rows, now)
         self.workers.drop_gone(self._feeds.roster.healthy_since, now)
         self.holdings.give_workers()
 
-    def roster_pace(self) -> table_follower.PollTiming:
+    def roster_timing(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
         if self.holdings.shards:
             return feeds.LEADER_ROSTER_PACE
@@ -428,7 +428,7 @@
                 self._sharing.heard(
                     source,
                     version,
-                    store_answers=self._feeds.knows_configuration_source(),
+                    store_answers=self._feeds.is_configuration_available(),
                     now=now,
                 )
             case messages.Disowned(shard=shard):
@@ -458,8 +458,8 @@
         self, shard: ids.ShardId, right: fences.Right
     ) -> job_manager.JobManager:
         """Return the keeper of a cell that this process owns now."""
-        return environment.new_job_manager(
-            self._outside,
+        return dependencies.new_job_manager(
+            self._dependencies,
             shard=shard,
             writer=fenced_rows.Writer(
                 right=right, incarnation=self.me.incarnation
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -19,7 +19,7 @@
 )
 from sardineproxy.process import metrics
 from sardineproxy.process.stored_jobs import job_manager
-from sardineproxy.process.node import environment, node, policy
+from sardineproxy.process.node import dependencies, node, policy
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
 
@@ -61,13 +61,13 @@
         self._node = node.Node(
             cfg=cfg,
             rules=rules.fit(cfg.bounds),
-            outside=environment.Outside(
+            dependencies=dependencies.Dependencies(
                 clock=clock,
                 rng=random.Random(),
                 store=self._store,
                 workers=worker_http.HttpWorkerApi(session=self._session),
                 formats=platform_formats(),
-                registry=metrics.Metrics(),
+                metrics=metrics.Metrics(),
             ),
         )
         self._front = front_http.Front(acceptor=_Acceptor(own=self._node))
@@ -199,9 +199,9 @@
         return self._own.waiting_for(route.route)
 
 
-def platform_formats() -> environment.Formats:
+def platform_formats() -> dependencies.RowFormats:
     """Return the decoders of the platform's rows."""
-    return environment.Formats(
+    return dependencies.RowFormats(
         configuration_table=configuration.TABLE,
         configuration_row=configuration.ROW,
         roster_table=roster.TABLE,
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -8,7 +8,7 @@
 from sardineproxy import deployment, ids
 from sardineproxy.platform import settings
 from sardineproxy.process import metrics, store
-from sardineproxy.process.node import environment, node, policy, service
+from sardineproxy.process.node import dependencies, node, policy, service
 from sardineproxy.request import jobs
 from sardineproxy.standin import row_store
 from sardineproxy.version import routes
@@ -88,13 +88,13 @@
     return node.Node(
         cfg=make_deployment(),
         rules=policy.Policy(),
-        outside=environment.Outside(
+        dependencies=dependencies.Dependencies(
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
             store=shared,
             workers=api,
             formats=service.platform_formats(),
-            registry=metrics.Metrics(),
+            metrics=metrics.Metrics(),
         ),
     )
 
