--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -7,7 +7,13 @@
 from sardineproxy import ids
 from sardineproxy.bench import slopes_fit, slopes_samples
 from sardineproxy.connection import frames
-from sardineproxy.process import exchange, gossip, components, slots, views
+from sardineproxy.process import (
+    config_exchange,
+    gossip,
+    components,
+    slots,
+    views,
+)
 from sardineproxy.version import codec, versions
 
 CONTRACTS = (100, 370, 1000)
@@ -57,7 +63,7 @@
 def _measure_passing(out: slopes_fit.Report) -> None:
     """Print what it takes to bring peers to the next version."""
     built, payload = _build_ahead()
-    passing = exchange.Exchange(
+    passing = config_exchange.ConfigExchange(
         gossip=gossip.Gossip(versions=built.versions, vm_list=built.vm_list),
         rng=random.Random(1),
     )
@@ -81,7 +87,7 @@
 
 
 def _time_passing(
-    passing: exchange.Exchange,
+    passing: config_exchange.ConfigExchange,
     announce: frames.ConfigAnnounce,
     fetch: frames.ConfigFetch,
     peers: int,
@@ -199,8 +205,8 @@
     return built
 
 
-def _division() -> slots.Division:
-    return views.Division(
+def _division() -> slots.LimitDivision:
+    return views.LimitDivision(
         vm=ids.VmId('entry-00000'),
         zone=ids.ZoneId(slopes_samples.ZONE),
         zone_slots={ids.ZoneId(f'zone-{zone}'): 6000 for zone in range(13)},
--- a/sardineproxy/bench/slopes_loan.py
+++ b/sardineproxy/bench/slopes_loan.py
@@ -66,17 +66,17 @@
         return sum(len(frames.encode(one).unwrap()) for one in frames_sent)
 
     def _deliver(
-        self, to: loans.Loans, sender: ids.VmId, sent: borrowing.Outgoing
-    ) -> borrowing.Outgoing:
-        replies: borrowing.Outgoing = []
+        self, to: loans.Loans, sender: ids.VmId, sent: borrowing.OutgoingFrames
+    ) -> borrowing.OutgoingFrames:
+        replies: borrowing.OutgoingFrames = []
         for _, frame in sent:
             body = frames.encode(frame).unwrap()[4:]
             received = frames.decode(body).unwrap().frame
             replies.extend(to.received(sender, received, self.now))
         return replies
 
-    def _list_lenders(self) -> list[borrowing.Lender]:
-        return [borrowing.Lender(vm=_LENDER, near=True, free=self._wanted)]
+    def _list_lenders(self) -> list[borrowing.LenderPeer]:
+        return [borrowing.LenderPeer(vm=_LENDER, near=True, free=self._wanted)]
 
 
 def _time_loan(lots: int) -> float:
--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -156,7 +156,7 @@
 def _build(endpoints: int, each: int) -> dispatcher.Dispatcher:
     """Return a dispatcher that owns all slots of so many endpoints."""
     vms = slopes_samples.endpoints(endpoints, slots=each)
-    known = directory.Directory()
+    known = directory.VmDirectory()
     known.offer(slopes_samples.listing(*vms))
     table = slots.SlotTable()
     table.set_owned({ids.EndpointId(vm.name): vm.slots for vm in vms})
--- a/sardineproxy/bench/slopes_view.py
+++ b/sardineproxy/bench/slopes_view.py
@@ -137,7 +137,7 @@
     def __init__(self) -> None:
         """Build all that peers need."""
         self.clock = clocks.ManualClock()
-        self.directory = directory.Directory()
+        self.directory = directory.VmDirectory()
         registry = metrics.Metrics()
         store = slopes_samples.MemoryPlatform(
             vm_list=slopes_samples.listing(), contracts={}
@@ -192,7 +192,7 @@
 class _Revision:
     """Tells the revision of the list, which no peer fetches here."""
 
-    def __init__(self, known: directory.Directory) -> None:
+    def __init__(self, known: directory.VmDirectory) -> None:
         """Follow the directory."""
         self._known = known
 
--- a/sardineproxy/process/borrowed.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -30,7 +30,7 @@
 _Key = tuple[ids.VmId, ids.EndpointId]
 
 
-class Borrowed:
+class BorrowedSlots:
     """Loans from other VMs, their leases and their use."""
 
     def __init__(self) -> None:
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -12,18 +12,18 @@
 #: Time for which a reported backlog counts as present, in seconds. The
 #: dispatcher reports at least every 0.25 s while tasks wait, and not when the
 #: last one stops waiting.
-BACKLOG_VALID_S = 0.5
+REPORT_VALID_S = 0.5
 
 #: Age of a report up to which slots are asked for, in seconds.
-FRESH_S = 0.1
+MAX_REPORT_AGE_S = 0.1
 
 #: Longest wait for a grant before other lenders are asked, in seconds.
-ANSWER_S = 0.3
+GRANT_TIMEOUT_S = 0.3
 
 #: Most slots to ask of a lender that has none free.
-MAX_PROBE = 64
+MAX_PROBE_SLOTS = 64
 
-Outgoing = list[tuple[ids.VmId, frames.Frame]]
+OutgoingFrames = list[tuple[ids.VmId, frames.Frame]]
 Claims = Mapping[tuple[str, ids.CustomerId], tuple[float, int]]
 
 _NO_DEMAND = demand_module.Demand(customers=())
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Lender:
+class LenderPeer:
     """A connected peer that may lend."""
 
     vm: ids.VmId
@@ -85,7 +85,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Asked:
+class _SentRequest:
     """The newest request for slots to one lender."""
 
     sent_at: float
@@ -93,7 +93,7 @@
     answered: bool = False
 
 
-class Backlog:
+class BacklogReport:
     """The newest report of waiting work."""
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
             self._waits_since = now
         self._demand = demand
         self.reported_at = now
-        self._until = now + BACKLOG_VALID_S
+        self._until = now + REPORT_VALID_S
 
     def lasts(self, now: float, *, more_than: float, patience_s: float) -> bool:
         """Tell whether much waits, or something for a while."""
@@ -127,18 +127,18 @@
         return any(customer.waiting for customer in self.customers(now))
 
 
-class Borrowing:
+class SlotBorrower:
     """Decides whom to ask for slots, and when to return them."""
 
     def __init__(
-        self, *, cfg: Config, table: slots.SlotTable, backlog: Backlog
+        self, *, cfg: Config, table: slots.SlotTable, backlog: BacklogReport
     ) -> None:
         """Start without requests."""
         self._cfg = cfg
         self._borrowed = table.borrowed
         self._table = table
         self._backlog = backlog
-        self._asked: dict[ids.VmId, _Asked] = {}
+        self._asked: dict[ids.VmId, _SentRequest] = {}
 
         #: Who last lent for each customer. Small holding limits have their
         #: parts at few VMs, so the next request goes there first.
@@ -147,14 +147,17 @@
         self._ask_at: float = 0
 
     def ask(
-        self, lenders: Callable[[], Collection[Lender]], now: float
-    ) -> Outgoing:
+        self, lenders: Callable[[], Collection[LenderPeer]], now: float
+    ) -> OutgoingFrames:
         """Return requests to the peers with the most free slots.
 
         A backlog that the own slots soon work off is not worth the messages,
         so a short one must last before it counts.
         """
-        if now < self._ask_at or now - self._backlog.reported_at > FRESH_S:
+        if (
+            now < self._ask_at
+            or now - self._backlog.reported_at > MAX_REPORT_AGE_S
+        ):
             return []
         if not self._backlog.lasts(
             now,
@@ -165,11 +168,11 @@
         self._ask_at = now + self._cfg.ask_interval_s
         needs = self._needs(now)
         total = sum(need for _, need in needs.values())
-        requests: Outgoing = []
+        requests: OutgoingFrames = []
         for lender, most in self._candidates(lenders(), total, now):
             wants = _choose(needs, most)
             if wants:
-                self._asked[lender.vm] = _Asked(
+                self._asked[lender.vm] = _SentRequest(
                     sent_at=now,
                     wants={name: wanted for name, _, wanted in wants},
                 )
@@ -200,15 +203,15 @@
         self._borrowed.drop(vm)
         self._asked.pop(vm, None)
 
-    def due(self, now: float) -> Outgoing:
+    def due(self, now: float) -> OutgoingFrames:
         """Return slots that are idle or recalled to their lenders."""
         return _returns(self._borrowed.collect(now, self._cfg.idle_return_s))
 
-    def give_back(self, vm: ids.VmId | None, now: float) -> Outgoing:
+    def give_back(self, vm: ids.VmId | None, now: float) -> OutgoingFrames:
         """Return all idle slots to one lender, or to all if None."""
         return _returns(self._borrowed.collect(now, 0, only=vm))
 
-    def give_many_back(self, vm: ids.VmId, now: float) -> Outgoing:
+    def give_many_back(self, vm: ids.VmId, now: float) -> OutgoingFrames:
         """Return the idle slots of a lender with a backlog, unless few."""
         if self._borrowed.idle_slots(vm) < self._cfg.min_lot:
             return []
@@ -224,7 +227,7 @@
         """Return weight and slots wanted beyond those just asked for."""
         pending: dict[ids.CustomerId, int] = {}
         for asked in self._asked.values():
-            if not asked.answered and now - asked.sent_at < ANSWER_S:
+            if not asked.answered and now - asked.sent_at < GRANT_TIMEOUT_S:
                 for customer, wanted in asked.wants.items():
                     pending[customer] = pending.get(customer, 0) + wanted
         return {
@@ -236,8 +239,8 @@
         }
 
     def _candidates(
-        self, lenders: Collection[Lender], total: int, now: float
-    ) -> list[tuple[Lender, int]]:
+        self, lenders: Collection[LenderPeer], total: int, now: float
+    ) -> list[tuple[LenderPeer, int]]:
         """Return whom to ask, and for how many slots at most.
 
         Lenders with few of the ``total`` slots that are needed are not worth
@@ -266,10 +269,12 @@
         large = [lender for lender in ready if lender.free >= lot]
         return [
             *((lender, lender.free) for lender in large or ready[:1]),
-            *((lender, MAX_PROBE) for lender in self._full(lenders, now)),
+            *((lender, MAX_PROBE_SLOTS) for lender in self._full(lenders, now)),
         ]
 
-    def _full(self, lenders: Collection[Lender], now: float) -> list[Lender]:
+    def _full(
+        self, lenders: Collection[LenderPeer], now: float
+    ) -> list[LenderPeer]:
         """Return the lenders without free slots that are asked all the same.
 
         One that lends to this VM already tells of its free slots when it
@@ -286,14 +291,14 @@
         near = sum(lender.near for lender in full)
         return full[: near + 1]
 
-    def _asked_at(self, lender: Lender) -> float:
+    def _asked_at(self, lender: LenderPeer) -> float:
         asked = self._asked.get(lender.vm)
         return asked.sent_at if asked else -math.inf
 
 
 def _returns(
     due: Mapping[ids.VmId, tuple[frames.Lot, ...]],
-) -> Outgoing:
+) -> OutgoingFrames:
     return [(vm, frames.SlotReturn(lots=lots)) for vm, lots in due.items()]
 
 
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -55,7 +55,7 @@
 
     incarnation: ids.Incarnation
     metrics: metrics.Metrics
-    directory: directory.Directory
+    directory: directory.VmDirectory
     vm_list: listing.ListFollower
     versions: follower.Follower
     slots: slots.SlotTable
@@ -109,7 +109,7 @@
     """Build all parts; nothing runs and no port is open yet."""
     incarnation = ids.Incarnation(secrets.token_hex(INCARNATION_BYTES))
     registry = outside.registry
-    vm_directory = directory.Directory(seeds=_seeds(cfg))
+    vm_directory = directory.VmDirectory(seeds=_seeds(cfg))
     vm_list = listing.ListFollower(
         platform=outside.platform,
         directory=vm_directory,
--- a/sardineproxy/process/exchange.py
+++ b/sardineproxy/process/config_exchange.py
@@ -33,7 +33,7 @@
         """Take a list of VMs that a peer sent."""
 
 
-class Exchange:
+class ConfigExchange:
     """Announces what is new here and fetches what is newer elsewhere."""
 
     def __init__(self, *, gossip: Gossip, rng: random.Random) -> None:
--- a/sardineproxy/process/directory.py
+++ b/sardineproxy/process/directory.py
@@ -9,7 +9,7 @@
 from sardineproxy.process import platform
 
 
-class Directory:
+class VmDirectory:
     """Keeps the newest list; an older revision never replaces it."""
 
     def __init__(self, *, seeds: tuple[platform.Vm, ...] = ()) -> None:
--- a/sardineproxy/process/dispatch_timing.py
+++ b/sardineproxy/process/dispatch_timing.py
@@ -12,7 +12,7 @@
 TIMER_SLACK_S = 0.0005
 
 
-class Alarm:
+class EarliestTimer:
     """One timer that fires at the earliest time set since it last fired."""
 
     def __init__(self, action: Callable[[], None]) -> None:
@@ -45,7 +45,7 @@
         self._action()
 
 
-class Backlog:
+class DemandStream:
     """Stream of demands, at most one for each interval and loop turn."""
 
     def __init__(
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -63,7 +63,7 @@
         clock: clock.Clock,
         rng: random.Random,
         zone: ids.ZoneId,
-        directory: directory.Directory,
+        directory: directory.VmDirectory,
         slot_table: slots.SlotTable,
         client: endpoint_conn.EndpointClient,
         health: health.Health,
@@ -85,9 +85,9 @@
             zone=zone,
             health=health,
         )
-        self._alarm = dispatch_timing.Alarm(self._on_alarm)
+        self._alarm = dispatch_timing.EarliestTimer(self._on_alarm)
         self._next_housekeeping = -math.inf
-        self._backlog = dispatch_timing.Backlog(
+        self._backlog = dispatch_timing.DemandStream(
             measure=self.demand, interval_s=self._cfg.backlog_interval_s
         )
         self._closed = False
--- a/sardineproxy/process/forwards.py
+++ b/sardineproxy/process/forwards.py
@@ -24,7 +24,7 @@
     fut: asyncio.Future[forwarding.Reply]
 
 
-class Forwards:
+class PendingForwards:
     """Asks again on each new stream until there is a reply."""
 
     def __init__(self) -> None:
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -17,7 +17,7 @@
 Config = health_estimates.Config
 
 #: Shorter run times count as this, in seconds.
-LEAST_RUN_S = 1e-6
+MIN_RUN_S = 1e-6
 
 _log = logs.get_logger('dispatch')
 
@@ -272,7 +272,7 @@
 
     def _compare(self, customer: ids.CustomerId, run_s: float) -> float:
         """Return a run time relative to the customer's, and learn from it."""
-        run_s = max(run_s, LEAST_RUN_S)
+        run_s = max(run_s, MIN_RUN_S)
         typical_s = self._typical_run_s.get(customer, run_s)
         relative = run_s / typical_s
         self._typical_run_s[customer] = typical_s * math.pow(
--- a/sardineproxy/process/lending.py
+++ b/sardineproxy/process/lending.py
@@ -43,7 +43,7 @@
         }
 
 
-class Lending:
+class SlotLender:
     """Decides which own slots other VMs may use."""
 
     def __init__(
@@ -51,7 +51,7 @@
         *,
         cfg: borrowing.Config,
         table: slots.SlotTable,
-        backlog: borrowing.Backlog,
+        backlog: borrowing.BacklogReport,
     ) -> None:
         """Start without borrowers."""
         self._cfg = cfg
@@ -103,10 +103,10 @@
             end = now + self._cfg.lease_s + self._cfg.max_task_s
             self._lapsing.append((end, book.lots))
 
-    def tick(self, now: float) -> borrowing.Outgoing:
+    def tick(self, now: float) -> borrowing.OutgoingFrames:
         """Take back lapsed loans, grant what waits, and recall."""
         self._end_lapsed(now)
-        frames_out: borrowing.Outgoing = []
+        frames_out: borrowing.OutgoingFrames = []
         for vm, book in self._books.items():
             lots = self._grant_late(vm, book, now)
             if lots:
--- a/sardineproxy/process/listing.py
+++ b/sardineproxy/process/listing.py
@@ -125,7 +125,7 @@
         self,
         *,
         platform: platform.Platform,
-        directory: directory.Directory,
+        directory: directory.VmDirectory,
         clock: clock.Clock,
         rng: random.Random,
         cfg: Config,
--- a/sardineproxy/process/loans.py
+++ b/sardineproxy/process/loans.py
@@ -16,11 +16,11 @@
     ) -> None:
         """Start without loans."""
         self._table = table
-        self._backlog = borrowing.Backlog()
-        self._borrowing = borrowing.Borrowing(
+        self._backlog = borrowing.BacklogReport()
+        self._borrowing = borrowing.SlotBorrower(
             cfg=cfg, table=table, backlog=self._backlog
         )
-        self._lending = lending.Lending(
+        self._lending = lending.SlotLender(
             cfg=cfg, table=table, backlog=self._backlog
         )
 
@@ -29,14 +29,18 @@
         self._backlog.report(demand, now)
 
     def ask(
-        self, lenders: Callable[[], Collection[borrowing.Lender]], now: float
-    ) -> borrowing.Outgoing:
+        self,
+        lenders: Callable[[], Collection[borrowing.LenderPeer]],
+        now: float,
+    ) -> borrowing.OutgoingFrames:
         """Return requests for the waiting work."""
         return self._borrowing.ask(lenders, now)
 
     def tick(
-        self, lenders: Callable[[], Collection[borrowing.Lender]], now: float
-    ) -> borrowing.Outgoing:
+        self,
+        lenders: Callable[[], Collection[borrowing.LenderPeer]],
+        now: float,
+    ) -> borrowing.OutgoingFrames:
         """Return all messages that are due."""
         return [
             *self._lending.tick(now),
@@ -46,7 +50,7 @@
 
     def received(
         self, vm: ids.VmId, frame: frames.Frame, now: float
-    ) -> borrowing.Outgoing:
+    ) -> borrowing.OutgoingFrames:
         """Act on a peer's frame about loans and return the replies."""
         match frame:
             case frames.SlotRequest():
@@ -67,7 +71,7 @@
         self._lending.lost(vm, now)
         self._borrowing.lost(vm)
 
-    def give_all_back(self) -> borrowing.Outgoing:
+    def give_all_back(self) -> borrowing.OutgoingFrames:
         """Return what is idle of the borrowed slots to its lenders."""
         return self._borrowing.give_back(None, math.inf)
 
@@ -80,10 +84,10 @@
 
     def _requested(
         self, vm: ids.VmId, request: frames.SlotRequest, now: float
-    ) -> borrowing.Outgoing:
+    ) -> borrowing.OutgoingFrames:
         """Return the peer's idle slots first, then grant what it wants."""
         self._table.borrowed.recall(vm, request.recall)
-        replies: borrowing.Outgoing = []
+        replies: borrowing.OutgoingFrames = []
         if request.reclaim or request.recall:
             replies.extend(self._borrowing.give_back(vm, now))
         elif request.wants:
--- a/sardineproxy/process/ownership.py
+++ b/sardineproxy/process/ownership.py
@@ -3,13 +3,13 @@
 from sardineproxy.process import borrowing, slots, views
 
 
-class Ownership:
+class SlotOwnership:
     """Gives up and takes up slots as the views of the zone change."""
 
     def __init__(
         self,
         *,
-        views: views.Views,
+        views: views.MembershipViews,
         table: slots.SlotTable,
         drain_s: float,
     ) -> None:
@@ -17,13 +17,13 @@
         self._views = views
         self._table = table
         self._drain_s = drain_s
-        self._divisions: tuple[slots.Division, ...] = ()
+        self._divisions: tuple[slots.LimitDivision, ...] = ()
 
         #: True if all use and loans are within the candidate view.
         self.settled = False
         self._drain_until: float = 0
 
-    def review(self, now: float) -> borrowing.Outgoing:
+    def review(self, now: float) -> borrowing.OutgoingFrames:
         """Apply what changed and return the views to state, and to whom."""
         if self._views.refresh(now):
             self.settled = False
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -7,7 +7,7 @@
 from sardineproxy.connection import frames, peer
 from sardineproxy.process import (
     borrowing,
-    exchange,
+    config_exchange,
     forwards,
     loans,
     ownership,
@@ -26,13 +26,13 @@
         *,
         clock: clock.Clock,
         zone: ids.ZoneId,
-        views: views.Views,
-        ownership: ownership.Ownership,
+        views: views.MembershipViews,
+        ownership: ownership.SlotOwnership,
         loans: loans.Loans,
-        forwards: forwards.Forwards,
-        exchange: exchange.Exchange,
+        forwards: forwards.PendingForwards,
+        exchange: config_exchange.ConfigExchange,
         handler: forwarding.Handler,
-        send_all: Callable[[borrowing.Outgoing], None],
+        send_all: Callable[[borrowing.OutgoingFrames], None],
     ) -> None:
         """Use the parts of one process; ``send_all`` sends to peers."""
         self._clock = clock
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -13,7 +13,7 @@
     borrowing,
     demand,
     directory,
-    exchange,
+    config_exchange,
     forwards,
     loans,
     metrics,
@@ -27,7 +27,7 @@
 )
 from sardineproxy.request import forwarding
 
-Gossip = exchange.Gossip
+Gossip = config_exchange.Gossip
 
 _log = logs.get_logger('peer')
 
@@ -60,7 +60,7 @@
         incarnation: ids.Incarnation,
         zone: ids.ZoneId,
         size: int,
-        directory: directory.Directory,
+        directory: directory.VmDirectory,
         slot_table: slots.SlotTable,
         handler: forwarding.Handler,
         gossip: Gossip,
@@ -78,15 +78,15 @@
         )
         self._directory = directory
         self._table = slot_table
-        self._exchange = exchange.Exchange(gossip=gossip, rng=rng)
-        self._forwards = forwards.Forwards()
-        self._views = views.Views(
+        self._exchange = config_exchange.ConfigExchange(gossip=gossip, rng=rng)
+        self._forwards = forwards.PendingForwards()
+        self._views = views.MembershipViews(
             vm=vm,
             incarnation=incarnation,
             zone=zone,
             grace_s=cfg.takeover_grace_s,
         )
-        self._ownership = ownership.Ownership(
+        self._ownership = ownership.SlotOwnership(
             views=self._views, table=slot_table, drain_s=cfg.loan.max_task_s
         )
         self._loans = loans.Loans(cfg=cfg.loan, table=slot_table)
@@ -259,9 +259,9 @@
             self.tick(self._clock.now())
             await asyncio.sleep(self._cfg.tick_s)
 
-    def _lenders(self) -> list[borrowing.Lender]:
+    def _lenders(self) -> list[borrowing.LenderPeer]:
         return [
-            borrowing.Lender(
+            borrowing.LenderPeer(
                 vm=vm,
                 near=stream.hello.zone == self._me.zone,
                 free=stream.free,
@@ -269,7 +269,7 @@
             for vm, stream in self._streams.current.items()
         ]
 
-    def _send_all(self, outgoing: borrowing.Outgoing) -> None:
+    def _send_all(self, outgoing: borrowing.OutgoingFrames) -> None:
         for vm, frame in outgoing:
             stream = self._streams.current.get(vm)
             if stream is not None:
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -9,7 +9,7 @@
 
 #: A task that its deadline cut off counts against the endpoint only after
 #: this multiple of the customer's usual run time.
-USUAL_RUNS_TO_FAIL = 2
+MIN_MEAN_RUNS_TO_FAIL = 2
 
 #: Above the ranks of all endpoints that may get work.
 _NO_RANK = 1_000_000
@@ -137,7 +137,7 @@
         if now < task.deadline:
             return False
         usual_s = self._health.usual_run_s(task.customer)
-        return run_s < USUAL_RUNS_TO_FAIL * usual_s
+        return run_s < MIN_MEAN_RUNS_TO_FAIL * usual_s
 
     def _without(
         self,
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -7,7 +7,7 @@
 from reactivex import subject
 
 from sardineproxy import ids
-from sardineproxy.process import borrowed
+from sardineproxy.process import borrowed_slots
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -19,7 +19,7 @@
     customer: ids.CustomerId
 
 
-class Division(Protocol):
+class LimitDivision(Protocol):
     """Divides a customer's holding limit among VMs."""
 
     def part(self, customer: ids.CustomerId, limit: int) -> int:
@@ -49,9 +49,9 @@
         #: Own slots that each customer uses or that are lent for it.
         self._held: dict[ids.CustomerId, int] = {}
         self._limits: dict[ids.CustomerId, int] | None = None
-        self._divisions: tuple[Division, ...] = ()
+        self._divisions: tuple[LimitDivision, ...] = ()
         self._parts: dict[ids.CustomerId, float] = {}
-        self._tickets: dict[int, borrowed.Loan | None] = {}
+        self._tickets: dict[int, borrowed_slots.Loan | None] = {}
         self._last_number = 0
         self._valid_until = math.inf
 
@@ -60,7 +60,7 @@
 
         #: Own free slots that are kept for borrowers.
         self.reserved = 0
-        self.borrowed = borrowed.Borrowed()
+        self.borrowed = borrowed_slots.BorrowedSlots()
 
     @property
     def owned(self) -> Mapping[ids.EndpointId, int]:
@@ -85,7 +85,7 @@
         self._parts.clear()
         self.changed.on_next(None)
 
-    def set_divisions(self, divisions: Iterable[Division]) -> None:
+    def set_divisions(self, divisions: Iterable[LimitDivision]) -> None:
         """Hold each customer to its smallest part; the limit if none."""
         self._divisions = tuple(divisions)
         self._parts.clear()
@@ -176,7 +176,7 @@
         return part
 
     def fits(
-        self, owned: Mapping[ids.EndpointId, int], division: Division
+        self, owned: Mapping[ids.EndpointId, int], division: LimitDivision
     ) -> bool:
         """Tell whether all use and loans are within what a view gives."""
         if any(
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -15,7 +15,7 @@
 Listen = Callable[[Accept, str, int], Awaitable[asyncio.Server]]
 
 #: Time from the start of a stream in which its peer may open one too.
-CROSSING_S = 1
+SIMULTANEOUS_OPEN_S = 1
 
 #: Longest wait for a connection, in seconds.
 CONNECT_TIMEOUT_S = 1
@@ -30,7 +30,7 @@
 _log = logs.get_logger('peer')
 
 
-class Events(Protocol):
+class StreamEvents(Protocol):
     """Hears of streams; nothing is told of a stream that was replaced."""
 
     def opened(self, stream: peer.Stream) -> None:
@@ -81,7 +81,7 @@
         vm: ids.VmId,
         connect: peer.Connect,
         listen: Listen,
-        events: Events,
+        events: StreamEvents,
     ) -> None:
         """Start without streams."""
         self._cfg = cfg
@@ -284,7 +284,7 @@
             old.hello.incarnation == new.hello.incarnation
             and old.dialed == smaller_dials
             and new.dialed != smaller_dials
-            and self._ctx.clock.now() - old.since < CROSSING_S
+            and self._ctx.clock.now() - old.since < SIMULTANEOUS_OPEN_S
         )
 
     def _forget(self, stream: peer.Stream) -> None:
--- a/sardineproxy/process/views.py
+++ b/sardineproxy/process/views.py
@@ -16,11 +16,11 @@
 from sardineproxy.process import platform, rendezvous
 
 Member = tuple[ids.VmId, ids.Incarnation]
-Owned = Mapping[ids.EndpointId, int]
+OwnedSlots = Mapping[ids.EndpointId, int]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Division:
+class LimitDivision:
     """How a customer's holding limit is divided in one view."""
 
     vm: ids.VmId
@@ -38,13 +38,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Candidate:
+class CandidateView:
     """A view and what it gives to this process."""
 
     members: tuple[Member, ...]
     digest: str
-    owned: Owned
-    division: Division
+    owned: OwnedSlots
+    division: LimitDivision
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -62,7 +62,7 @@
         return self.stated.epoch if self.stated else 0
 
 
-class Views:
+class MembershipViews:
     """The zone's membership as this process sees it."""
 
     def __init__(
@@ -270,7 +270,7 @@
             self._winners[endpoint] = rendezvous.winner(endpoint, sizes)
         return self._winners[endpoint]
 
-    def _build(self, members: tuple[Member, ...]) -> Candidate:
+    def _build(self, members: tuple[Member, ...]) -> CandidateView:
         live = self._live
         sizes: dict[ids.VmId, float] = {vm: live[vm] for vm, _ in members}
         owned: dict[ids.EndpointId, int] = {}
@@ -290,11 +290,11 @@
             if owner == self._me[0]:
                 owned[ids.EndpointId(endpoint.name)] = endpoint.slots
         digest.update(repr(sorted(zone_slots.items())).encode())
-        return Candidate(
+        return CandidateView(
             members=members,
             digest=digest.hexdigest(),
             owned=owned,
-            division=Division(
+            division=LimitDivision(
                 vm=self._me[0],
                 zone=self._zone,
                 zone_slots=zone_slots,
--- a/tests/process/test_directory.py
+++ b/tests/process/test_directory.py
@@ -16,7 +16,7 @@
     """An older list never replaces a newer one."""
 
     def test_looks_up_by_role(self):
-        target = directory.Directory()
+        target = directory.VmDirectory()
         both = [
             test_listing.vm_fields('a', role=role)
             for role in ('entry', 'endpoint')
@@ -28,7 +28,7 @@
         self.assertThat(target.endpoint('a'), matchers.Is(endpoint))
 
     def test_forgets_endpoints_that_a_newer_list_lacks(self):
-        target = directory.Directory()
+        target = directory.VmDirectory()
         seen = []
         target.listing.subscribe(lambda newest: seen.append(newest.revision))
         taken = [
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -89,7 +89,7 @@
     def __init__(self, *endpoint_slots: int, **limits: int) -> None:
         self.client = FakeClient()
         self.slots = LimitedSlots(limits)
-        self.directory = directory.Directory()
+        self.directory = directory.VmDirectory()
         names = [f'w{no}' for no, _ in enumerate(endpoint_slots)]
         self.list_vms(*(samples.make_vm(name=name) for name in names))
         self.own(*endpoint_slots)
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -36,7 +36,7 @@
         self.most_running = 0
         self.sent: collections.Counter = collections.Counter()
         for name in names:
-            division = views.Division(
+            division = views.LimitDivision(
                 vm=name,
                 zone=ZONE,
                 zone_slots={ZONE: 1},
@@ -51,13 +51,13 @@
             for other in names.replace(name, ''):
                 self.links[name, other] = collections.deque()
 
-    def lenders(self, name: str) -> Callable[[], list[borrowing.Lender]]:
+    def lenders(self, name: str) -> Callable[[], list[borrowing.LenderPeer]]:
         return lambda: [
-            borrowing.Lender(vm=vm, near=True, free=self.free[vm])
+            borrowing.LenderPeer(vm=vm, near=True, free=self.free[vm])
             for vm in self.names.replace(name, '')
         ]
 
-    def send(self, name: str, outgoing: borrowing.Outgoing) -> None:
+    def send(self, name: str, outgoing: borrowing.OutgoingFrames) -> None:
         for vm, frame in outgoing:
             self.sent[type(frame).__name__] += 1
             encoded = frames.encode(frame).unwrap()
--- a/tests/process/test_listing.py
+++ b/tests/process/test_listing.py
@@ -35,7 +35,7 @@
 def make_follower(client=None):
     return listing.ListFollower(
         platform=client,
-        directory=directory.Directory(),
+        directory=directory.VmDirectory(),
         clock=clock.ManualClock(),
         rng=random.Random(3),
         cfg=listing.Config(),
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -62,7 +62,7 @@
         self.cut = cut if cut is not None else set()
         self.clock = ShiftedClock()
         self.table = slots.SlotTable()
-        self.directory = directory.Directory()
+        self.directory = directory.VmDirectory()
         self.metrics = metrics.Metrics()
         self.handled: list[bytes] = []
         self.hold: asyncio.Event | None = None
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -130,7 +130,7 @@
             f'z{zone}': sum(owned) for zone, owned in enumerate(zones)
         }
         parts = [
-            views.Division(
+            views.LimitDivision(
                 vm=f'v{vm}',
                 zone=f'z{zone}',
                 zone_slots=zone_slots,
--- a/tests/process/test_views.py
+++ b/tests/process/test_views.py
@@ -56,17 +56,17 @@
     def __init__(self, names: str) -> None:
         self.now: float = 0
         self.links: dict[tuple[str, str], collections.deque] = {}
-        self.views: dict[str, views.Views] = {}
+        self.views: dict[str, views.MembershipViews] = {}
         self.tables: dict[str, slots.SlotTable] = {}
-        self.owners: dict[str, ownership.Ownership] = {}
+        self.owners: dict[str, ownership.SlotOwnership] = {}
         for name in names:
-            view = views.Views(
+            view = views.MembershipViews(
                 vm=name, incarnation='1', zone=ZONE, grace_s=GRACE_S
             )
             table = slots.SlotTable()
             self.views[name] = view
             self.tables[name] = table
-            self.owners[name] = ownership.Ownership(
+            self.owners[name] = ownership.SlotOwnership(
                 views=view, table=table, drain_s=DRAIN_S
             )
         for link in itertools.permutations(names, 2):
