--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -54,7 +54,7 @@
     def due(self, now: float, **changes: Any) -> bool:
         return self.claims.due(
             SHARD,
-            leader=changes.get('owner'),
+            leader=changes.get('leader'),
             in_reach=changes.get('in_reach', NOBODY),
             now=1000 + now,
         )
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -70,7 +70,7 @@
 
 def make_submit(job: str = 'j1', count: int = 1, **changes: Any) -> Any:
     fields: dict[str, Any] = {
-        'cell': SHARD,
+        'shard': SHARD,
         'job': ids.JobId(job),
         'step': 0,
         'route': ids.RouteId('r'),
