--- a/sardineproxy/bench/slopes_loan.py
+++ b/sardineproxy/bench/slopes_loan.py
@@ -51,11 +51,11 @@
 
     def lend_once(self) -> int:
         """Lend all slots and give them back; return the bytes sent."""
-        self.now += 2 * self._cfg.probe_s
+        self.now += 2 * self._cfg.probe_interval_s
         self._borrower.report(_demand(self._wanted), self.now)
-        asked = self._borrower.ask(self._list_lenders, self.now)
+        asked = self._borrower.request_slots(self._list_lenders, self.now)
         granted = self._deliver(self._lender, _BORROWER, asked)
-        self._borrower.heard(_LENDER, self.now)
+        self._borrower.renew_lease(_LENDER, self.now)
         self._deliver(self._borrower, _LENDER, granted)
         self.now += self._cfg.idle_return_s
         self._borrower.report(_demand(0), self.now)
@@ -72,11 +72,15 @@
         for _, frame in sent:
             body = frames.encode(frame).unwrap()[4:]
             received = frames.decode(body).unwrap().frame
-            replies.extend(to.received(sender, received, self.now))
+            replies.extend(to.handle_frame(sender, received, self.now))
         return replies
 
     def _list_lenders(self) -> list[borrowing.LenderPeer]:
-        return [borrowing.LenderPeer(vm=_LENDER, near=True, free=self._wanted)]
+        return [
+            borrowing.LenderPeer(
+                vm=_LENDER, is_same_zone=True, free_slots=self._wanted
+            )
+        ]
 
 
 def _time_loan(lots: int) -> float:
--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -54,7 +54,7 @@
             loan.recalled = False
             self._index(loan)
 
-    def renew(self, lender: ids.VmId, until: float) -> None:
+    def extend_lease(self, lender: ids.VmId, until: float) -> None:
         """Let the lender's loans be used until then, if that is later."""
         self._leases[lender] = max(until, self._leases.get(lender, until))
 
@@ -101,8 +101,8 @@
                 loan.recalled = True
                 self._index(loan)
 
-    def collect(
-        self, now: float, idle_s: float, *, only: ids.VmId | None = None
+    def remove_idle(
+        self, now: float, idle_s: float, *, lender: ids.VmId | None = None
     ) -> dict[ids.VmId, tuple[frames.Lot, ...]]:
         """Remove idle slots that are due and return them for each lender.
 
@@ -115,7 +115,7 @@
             loan.lender
             for loan in self._all()
             if loan.count > loan.used
-            and only in {None, loan.lender}
+            and lender in {None, loan.lender}
             and now - loan.idle_at >= waits[loan.recalled]
         }
         lots: dict[ids.VmId, tuple[frames.Lot, ...]] = {}
@@ -130,14 +130,14 @@
                 self._shrink(loan, spare)
         return lots
 
-    def drop(self, lender: ids.VmId) -> None:
+    def drop_lender(self, lender: ids.VmId) -> None:
         """Forget the lender's loans; tasks on them run to their end."""
         self._leases.pop(lender, None)
         for loan in self._all():
             if loan.lender == lender:
                 self._shrink(loan, loan.count)
 
-    def has(self, lender: ids.VmId) -> bool:
+    def has_loans_from(self, lender: ids.VmId) -> bool:
         """Tell whether slots of the lender are borrowed."""
         return any(loan.lender == lender for loan in self._all())
 
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -46,29 +46,29 @@
     idle_return_s: float = 2
 
     #: Shortest time between two rounds of requests.
-    ask_interval_s: float = 0.02
+    request_interval_s: float = 0.02
 
     #: Shortest time between two requests to one lender.
-    ask_again_s: float = 1
+    lender_interval_s: float = 1
 
     #: Slots that are worth a message where as many or more are wanted, or
     #: half the own slots if that is less. Fewer and larger loans serve a
     #: backlog with fewer messages.
-    min_lot: int = 16
+    min_loan_slots: int = 16
 
     #: Time for which a lender keeps a request that it could not meet, and
     #: slots that come free for it. Slots that are kept longer stay idle.
-    pending_s: float = 0.1
+    max_pending_s: float = 0.1
 
     #: Shortest time between requests to a lender without free slots.
-    probe_s: float = 4
+    probe_interval_s: float = 4
 
     #: Shortest time between two demands for idle slots.
-    reclaim_s: float = 2
+    reclaim_interval_s: float = 2
 
     #: Backlog, as a part of the own slots, up to which it must last.
-    short_part: float = 0.25
-    patience_s: float = 0.05
+    min_backlog_ratio: float = 0.25
+    min_backlog_age_s: float = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -78,10 +78,10 @@
     vm: ids.VmId
 
     #: True if the peer is in this VM's zone.
-    near: bool
+    is_same_zone: bool
 
     #: Slots that the peer could lend when it last sent a frame.
-    free: int
+    free_slots: int
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -105,24 +105,26 @@
 
     def report(self, demand: demand_module.Demand, now: float) -> None:
         """Keep the report while it is fresh."""
-        if not self.waits(now):
+        if not self.has_waiting_tasks(now):
             self._waits_since = now
         self._demand = demand
         self.reported_at = now
         self._until = now + REPORT_VALID_S
 
-    def lasts(self, now: float, *, more_than: float, patience_s: float) -> bool:
+    def exceeds(
+        self, now: float, *, more_than: float, min_backlog_age_s: float
+    ) -> bool:
         """Tell whether much waits, or something for a while."""
         waiting = sum(entry.waiting for entry in self.customers(now))
         if waiting > more_than:
             return True
-        return waiting > 0 and now - self._waits_since >= patience_s
+        return waiting > 0 and now - self._waits_since >= min_backlog_age_s
 
     def customers(self, now: float) -> tuple[demand_module.CustomerDemand, ...]:
         """Return the customers, or none if the report is old."""
         return self._demand.customers if now < self._until else ()
 
-    def waits(self, now: float) -> bool:
+    def has_waiting_tasks(self, now: float) -> bool:
         """Tell whether tasks wait here."""
         return any(customer.waiting for customer in self.customers(now))
 
@@ -138,15 +140,15 @@
         self._borrowed = table.borrowed
         self._table = table
         self._backlog = backlog
-        self._asked: dict[ids.VmId, _SentRequest] = {}
+        self._sent_requests: dict[ids.VmId, _SentRequest] = {}
 
         #: Who last lent for each customer. Small holding limits have their
         #: parts at few VMs, so the next request goes there first.
-        self._granters: dict[ids.CustomerId, ids.VmId] = {}
+        self._last_lenders: dict[ids.CustomerId, ids.VmId] = {}
         self._last_number = 0
-        self._ask_at: float = 0
+        self._next_request_at: float = 0
 
-    def ask(
+    def request_slots(
         self, lenders: Callable[[], Collection[LenderPeer]], now: float
     ) -> OutgoingFrames:
         """Return requests to the peers with the most free slots.
@@ -155,24 +157,25 @@
         so a short one must last before it counts.
         """
         if (
-            now < self._ask_at
+            now < self._next_request_at
             or now - self._backlog.reported_at > MAX_REPORT_AGE_S
         ):
             return []
-        if not self._backlog.lasts(
+        if not self._backlog.exceeds(
             now,
-            more_than=sum(self._table.owned.values()) * self._cfg.short_part,
-            patience_s=self._cfg.patience_s,
+            more_than=sum(self._table.owned.values())
+            * self._cfg.min_backlog_ratio,
+            min_backlog_age_s=self._cfg.min_backlog_age_s,
         ):
             return []
-        self._ask_at = now + self._cfg.ask_interval_s
+        self._next_request_at = now + self._cfg.request_interval_s
         needs = self._needs(now)
         total = sum(need for _, need in needs.values())
         requests: OutgoingFrames = []
         for lender, most in self._candidates(lenders(), total, now):
-            wants = _choose(needs, most)
+            wants = _divide_wants(needs, most)
             if wants:
-                self._asked[lender.vm] = _SentRequest(
+                self._sent_requests[lender.vm] = _SentRequest(
                     sent_at=now,
                     wants={name: wanted for name, _, wanted in wants},
                 )
@@ -181,41 +184,45 @@
                 needs[name] = (weight, needs[name][1] - wanted)
         return requests
 
-    def heard(self, vm: ids.VmId, now: float) -> None:
+    def renew_lease(self, vm: ids.VmId, now: float) -> None:
         """Renew the loans of a lender that sent a frame."""
-        self._borrowed.renew(vm, now + self._cfg.lease_s)
+        self._borrowed.extend_lease(vm, now + self._cfg.lease_s)
 
-    def granted(
+    def handle_grant(
         self, vm: ids.VmId, grant: frames.SlotGrant, now: float
     ) -> None:
         """Take the slots."""
-        asked = self._asked.get(vm)
+        asked = self._sent_requests.get(vm)
         if asked:
             asked.answered = True
         for customer, _, _ in grant.lots:
-            self._granters[customer] = vm
+            self._last_lenders[customer] = vm
         if grant.lots:
             self._borrowed.add(lender=vm, lots=grant.lots, now=now)
             self._table.changed.on_next(None)
 
-    def lost(self, vm: ids.VmId) -> None:
+    def handle_disconnect(self, vm: ids.VmId) -> None:
         """Start no more tasks on slots of this lender."""
-        self._borrowed.drop(vm)
-        self._asked.pop(vm, None)
+        self._borrowed.drop_lender(vm)
+        self._sent_requests.pop(vm, None)
 
-    def due(self, now: float) -> OutgoingFrames:
+    def return_idle(self, now: float) -> OutgoingFrames:
         """Return slots that are idle or recalled to their lenders."""
-        return _returns(self._borrowed.collect(now, self._cfg.idle_return_s))
+        return _to_frames(
+            self._borrowed.remove_idle(now, self._cfg.idle_return_s)
+        )
 
-    def give_back(self, vm: ids.VmId | None, now: float) -> OutgoingFrames:
+    def return_all_idle(
+        self, vm: ids.VmId | None, now: float
+    ) -> OutgoingFrames:
         """Return all idle slots to one lender, or to all if None."""
-        return _returns(self._borrowed.collect(now, 0, only=vm))
+        return _to_frames(self._borrowed.remove_idle(now, 0, lender=vm))
 
-    def give_many_back(self, vm: ids.VmId, now: float) -> OutgoingFrames:
+    def return_many_idle(self, vm: ids.VmId, now: float) -> OutgoingFrames:
         """Return the idle slots of a lender with a backlog, unless few."""
-        if self._borrowed.idle_slots(vm) < self._cfg.min_lot:
+        if self._borrowed.idle_slots(vm) < self._cfg.min_loan_slots:
             return []
-        return self.give_back(vm, now)
+        return self.return_all_idle(vm, now)
 
     def _request(self, wants: tuple[frames.Want, ...]) -> frames.SlotRequest:
         self._last_number += 1
@@ -226,7 +233,7 @@
     def _needs(self, now: float) -> dict[ids.CustomerId, tuple[float, int]]:
         """Return weight and slots wanted beyond those just asked for."""
         pending: dict[ids.CustomerId, int] = {}
-        for asked in self._asked.values():
+        for asked in self._sent_requests.values():
             if not asked.answered and now - asked.sent_at < GRANT_TIMEOUT_S:
                 for customer, wanted in asked.wants.items():
                     pending[customer] = pending.get(customer, 0) + wanted
@@ -253,26 +260,33 @@
         ready = [
             lender
             for lender in lenders
-            if lender.free
-            and now - self._asked_at(lender) >= self._cfg.ask_again_s
+            if lender.free_slots
+            and now - self._requested_at(lender) >= self._cfg.lender_interval_s
         ]
         known = {
-            self._granters.get(entry.customer)
+            self._last_lenders.get(entry.customer)
             for entry in self._backlog.customers(now)
             if entry.waiting
         }
         ready.sort(
-            key=lambda each: (each.vm not in known, not each.near, -each.free)
+            key=lambda each: (
+                each.vm not in known,
+                not each.is_same_zone,
+                -each.free_slots,
+            )
         )
         own_half = sum(self._table.owned.values()) // 2
-        lot = min(total, self._cfg.min_lot, own_half)
-        large = [lender for lender in ready if lender.free >= lot]
+        lot = min(total, self._cfg.min_loan_slots, own_half)
+        large = [lender for lender in ready if lender.free_slots >= lot]
         return [
-            *((lender, lender.free) for lender in large or ready[:1]),
-            *((lender, MAX_PROBE_SLOTS) for lender in self._full(lenders, now)),
+            *((lender, lender.free_slots) for lender in large or ready[:1]),
+            *(
+                (lender, MAX_PROBE_SLOTS)
+                for lender in self._probe_targets(lenders, now)
+            ),
         ]
 
-    def _full(
+    def _probe_targets(
         self, lenders: Collection[LenderPeer], now: float
     ) -> list[LenderPeer]:
         """Return the lenders without free slots that are asked all the same.
@@ -283,26 +297,28 @@
         full = [
             lender
             for lender in lenders
-            if not lender.free
-            and now - self._asked_at(lender) >= self._cfg.probe_s
-            and not self._borrowed.has(lender.vm)
+            if not lender.free_slots
+            and now - self._requested_at(lender) >= self._cfg.probe_interval_s
+            and not self._borrowed.has_loans_from(lender.vm)
         ]
-        full.sort(key=lambda each: (not each.near, self._asked_at(each)))
-        near = sum(lender.near for lender in full)
-        return full[: near + 1]
+        full.sort(
+            key=lambda each: (not each.is_same_zone, self._requested_at(each))
+        )
+        is_same_zone = sum(lender.is_same_zone for lender in full)
+        return full[: is_same_zone + 1]
 
-    def _asked_at(self, lender: LenderPeer) -> float:
-        asked = self._asked.get(lender.vm)
+    def _requested_at(self, lender: LenderPeer) -> float:
+        asked = self._sent_requests.get(lender.vm)
         return asked.sent_at if asked else -math.inf
 
 
-def _returns(
+def _to_frames(
     due: Mapping[ids.VmId, tuple[frames.Lot, ...]],
 ) -> OutgoingFrames:
     return [(vm, frames.SlotReturn(lots=lots)) for vm, lots in due.items()]
 
 
-def _choose(
+def _divide_wants(
     needs: Mapping[ids.CustomerId, tuple[float, int]], most: int
 ) -> tuple[frames.Want, ...]:
     """Divide ``most`` slots among the customers by contract weight."""
--- a/sardineproxy/process/loans.py
+++ b/sardineproxy/process/loans.py
@@ -28,13 +28,13 @@
         """Keep a report of the waiting work."""
         self._backlog.report(demand, now)
 
-    def ask(
+    def request_slots(
         self,
         lenders: Callable[[], Collection[borrowing.LenderPeer]],
         now: float,
     ) -> borrowing.OutgoingFrames:
         """Return requests for the waiting work."""
-        return self._borrowing.ask(lenders, now)
+        return self._borrowing.request_slots(lenders, now)
 
     def tick(
         self,
@@ -44,36 +44,36 @@
         """Return all messages that are due."""
         return [
             *self._lending.tick(now),
-            *self._borrowing.ask(lenders, now),
-            *self._borrowing.due(now),
+            *self._borrowing.request_slots(lenders, now),
+            *self._borrowing.return_idle(now),
         ]
 
-    def received(
+    def handle_frame(
         self, vm: ids.VmId, frame: frames.Frame, now: float
     ) -> borrowing.OutgoingFrames:
         """Act on a peer's frame about loans and return the replies."""
         match frame:
             case frames.SlotRequest():
-                return self._requested(vm, frame, now)
+                return self._handle_request(vm, frame, now)
             case frames.SlotGrant():
-                self._borrowing.granted(vm, frame, now)
+                self._borrowing.handle_grant(vm, frame, now)
             case frames.SlotReturn():
-                self._lending.returned(vm, frame.lots)
+                self._lending.handle_return(vm, frame.lots)
                 return self._lending.tick(now)
         return []
 
-    def heard(self, vm: ids.VmId, now: float) -> None:
+    def renew_lease(self, vm: ids.VmId, now: float) -> None:
         """Note that the peer is alive."""
-        self._borrowing.heard(vm, now)
+        self._borrowing.renew_lease(vm, now)
 
-    def lost(self, vm: ids.VmId, now: float) -> None:
+    def handle_disconnect(self, vm: ids.VmId, now: float) -> None:
         """Note that the stream to the peer is closed."""
-        self._lending.lost(vm, now)
-        self._borrowing.lost(vm)
+        self._lending.handle_disconnect(vm, now)
+        self._borrowing.handle_disconnect(vm)
 
-    def give_all_back(self) -> borrowing.OutgoingFrames:
+    def return_all_idle(self) -> borrowing.OutgoingFrames:
         """Return what is idle of the borrowed slots to its lenders."""
-        return self._borrowing.give_back(None, math.inf)
+        return self._borrowing.return_all_idle(None, math.inf)
 
     def state(self) -> dict[str, object]:
         """Return all loans for the state dump."""
@@ -82,17 +82,17 @@
             'borrowed': self._table.borrowed.state(),
         }
 
-    def _requested(
+    def _handle_request(
         self, vm: ids.VmId, request: frames.SlotRequest, now: float
     ) -> borrowing.OutgoingFrames:
         """Return the peer's idle slots first, then grant what it wants."""
         self._table.borrowed.recall(vm, request.recall)
         replies: borrowing.OutgoingFrames = []
         if request.reclaim or request.recall:
-            replies.extend(self._borrowing.give_back(vm, now))
+            replies.extend(self._borrowing.return_all_idle(vm, now))
         elif request.wants:
-            replies.extend(self._borrowing.give_many_back(vm, now))
-        grant = self._lending.requested(vm, request, now)
+            replies.extend(self._borrowing.return_many_idle(vm, now))
+        grant = self._lending.handle_request(vm, request, now)
         if grant:
             replies.append((vm, grant))
         return replies
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -62,7 +62,7 @@
     def closed(self, stream: peer.Stream) -> None:
         """Forget a stream; outstanding forwards wait for the next one."""
         self._views.lost(stream.hello.vm, self._clock.now())
-        self._loans.lost(stream.hello.vm, self._clock.now())
+        self._loans.handle_disconnect(stream.hello.vm, self._clock.now())
         self.review()
 
     def received(self, stream: peer.Stream, frame: frames.Frame) -> None:
@@ -82,7 +82,7 @@
                 self._exchange.take(frame)
             case _:
                 self._send_all(
-                    self._loans.received(
+                    self._loans.handle_frame(
                         stream.hello.vm, frame, self._clock.now()
                     )
                 )
@@ -100,7 +100,7 @@
 
     def _note_alive(self, stream: peer.Stream) -> None:
         self._forwards.heard(stream)
-        self._loans.heard(stream.hello.vm, self._clock.now())
+        self._loans.renew_lease(stream.hello.vm, self._clock.now())
 
     def _start_answer(
         self, stream: peer.Stream, forward: frames.Forward
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -150,7 +150,7 @@
             await asyncio.sleep(self._cfg.tick_s)
             self._events.review()
         self._events.said_goodbye = True
-        self._send_all(self._loans.give_all_back())
+        self._send_all(self._loans.return_all_idle())
         open_streams = list(self._streams.current.values())
         for stream in open_streams:
             stream.send(frames.Goodbye())
@@ -198,7 +198,7 @@
         """
         now = self._clock.now()
         self._loans.report(demand, now)
-        self._send_all(self._loans.ask(self._lenders, now))
+        self._send_all(self._loans.request_slots(self._lenders, now))
 
     def tick(self, now: float) -> None:
         """Do what is due; a long gap voids ownership and loans."""
@@ -263,8 +263,8 @@
         return [
             borrowing.LenderPeer(
                 vm=vm,
-                near=stream.hello.zone == self._me.zone,
-                free=stream.free,
+                is_same_zone=stream.hello.zone == self._me.zone,
+                free_slots=stream.free,
             )
             for vm, stream in self._streams.current.items()
         ]
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -15,7 +15,9 @@
 from tests import examples
 
 ZONE = 'zone-a'
-CFG = borrowing.Config(ask_again_s=0.1, idle_return_s=1, reclaim_s=0.2)
+CFG = borrowing.Config(
+    lender_interval_s=0.1, idle_return_s=1, reclaim_interval_s=0.2
+)
 SLOTS = 4
 ENDPOINTS = 3
 X = 'x'
@@ -31,7 +33,7 @@
         self.links: dict[tuple[str, str], collections.deque] = {}
         self.tables: dict[str, slots.SlotTable] = {}
         self.loans: dict[str, loans.Loans] = {}
-        self.free = dict.fromkeys(names, SLOTS * ENDPOINTS)
+        self.free_slots = dict.fromkeys(names, SLOTS * ENDPOINTS)
         self.tickets: list[tuple[str, slots.Ticket]] = []
         self.most_running = 0
         self.sent: collections.Counter = collections.Counter()
@@ -53,7 +55,9 @@
 
     def lenders(self, name: str) -> Callable[[], list[borrowing.LenderPeer]]:
         return lambda: [
-            borrowing.LenderPeer(vm=vm, near=True, free=self.free[vm])
+            borrowing.LenderPeer(
+                vm=vm, is_same_zone=True, free_slots=self.free_slots[vm]
+            )
             for vm in self.names.replace(name, '')
         ]
 
@@ -73,7 +77,7 @@
         )
         backlog = demand.Demand(customers=entries)
         self.loans[name].report(backlog, self.now)
-        requests = self.loans[name].ask(self.lenders(name), self.now)
+        requests = self.loans[name].request_slots(self.lenders(name), self.now)
         self.send(name, requests)
 
     def tick(self, name: str) -> None:
@@ -83,11 +87,11 @@
     def deliver(self, one: str, other: str) -> bool:
         if not self.links[one, other]:
             return False
-        self.free[one] = self.tables[one].free_slots
+        self.free_slots[one] = self.tables[one].free_slots
         frame = self.links[one, other].popleft()
         loans = self.loans[other]
-        loans.heard(one, self.now)
-        self.send(other, loans.received(one, frame, self.now))
+        loans.renew_lease(one, self.now)
+        self.send(other, loans.handle_frame(one, frame, self.now))
         return True
 
     def settle(self) -> None:
@@ -98,7 +102,7 @@
     def cut(self, one: str, other: str) -> None:
         for here, there in ((one, other), (other, one)):
             self.links[here, there].clear()
-            self.loans[here].lost(there, self.now)
+            self.loans[here].handle_disconnect(there, self.now)
 
     def take(self, name: str, customer: ids.CustomerId) -> bool:
         table = self.tables[name]
@@ -227,7 +231,7 @@
         vms.settle()
         self.assertFalse(vms.take('b', Y))
         vms.report('b', y=12)
-        vms.now += CFG.patience_s
+        vms.now += CFG.min_backlog_age_s
         vms.tick('b')
         vms.settle()
         self.assertTrue(vms.take('b', Y))
@@ -237,7 +241,7 @@
         vms = Vms('ab', {X: 100, Y: 100})
         vms.take_all('b', Y)
         vms.report('b', y=100)
-        vms.free['b'] = 0
+        vms.free_slots['b'] = 0
         vms.report('a', x=100)
         vms.settle()
         for _ in range(20):
@@ -280,7 +284,7 @@
             vms = Vms('abcd', {X: 1})
             for _ in range(8):
                 vms.report(name, x=1)
-                vms.now += CFG.patience_s
+                vms.now += CFG.min_backlog_age_s
                 vms.tick(name)
                 vms.settle()
             self.assertTrue(vms.take(name, X), name)
@@ -288,7 +292,7 @@
     def test_a_peer_cannot_return_more_than_it_has(self) -> None:
         vms = Vms('ab', {X: 100})
         vms.report('a', x=2)
-        vms.now += CFG.patience_s
+        vms.now += CFG.min_backlog_age_s
         vms.report('a', x=2)
         vms.settle()
         self.assertEqual(2, vms.held(X))
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -84,7 +84,7 @@
     def test_uses_borrowed_slots_of_its_customer_only(self) -> None:
         self.table.set_owned({})
         lent = 'e3'
-        self.table.borrowed.renew('b', 1)
+        self.table.borrowed.extend_lease('b', 1)
         self.table.borrowed.add(lender='b', lots=[(X, lent, 1)], now=0)
         self.assertEqual(0, len(self.free(Y)))
         self.assertEqual({lent}, self.free(X))
