--- a/sardineproxy/process/membership/registry.py
+++ b/sardineproxy/process/membership/registry.py
@@ -62,7 +62,7 @@
         self.members: dict[ids.VmId, Member] = {}
         self.claims: dict[ids.ShardId, Claim] = {}
 
-    def offer(self, rows: Iterable[store.Row]) -> bool:
+    def apply(self, rows: Iterable[store.Row]) -> bool:
         """Take rows that are newer; tell whether one was."""
         changed = False
         for row in rows:
@@ -80,15 +80,15 @@
     def _decode(self, row: store.Row) -> None:
         try:
             if row.key.startswith(_MEMBER):
-                self._take_member(row)
+                self._decode_member(row)
             elif row.key.startswith(_SHARD):
-                self._take_claim(row)
+                self._decode_claim(row)
         except (ValueError, KeyError, TypeError) as exc:
             _LOG.error(
                 'Row not understood.', extra={'key': row.key, 'cause': str(exc)}
             )
 
-    def _take_member(self, row: store.Row) -> None:
+    def _decode_member(self, row: store.Row) -> None:
         vm = ids.VmId(row.key.removeprefix(_MEMBER))
         if row.body is None:
             self.members.pop(vm, None)
@@ -104,7 +104,7 @@
             cores=float(document['cores']),
         )
 
-    def _take_claim(self, row: store.Row) -> None:
+    def _decode_claim(self, row: store.Row) -> None:
         shard = ids.ShardId(row.key.removeprefix(_SHARD))
         if row.body is None:
             self.claims.pop(shard, None)
--- a/sardineproxy/process/membership/worker_list.py
+++ b/sardineproxy/process/membership/worker_list.py
@@ -12,9 +12,9 @@
 #: Time for which a worker stays listed here after its entry is gone, and for
 #: which the store must have answered before its list counts as complete, in
 #: seconds. Entries that lapsed in an outage are back within 2 s of its end.
-LINGER_S = 2.5
+REMOVAL_DELAY_S = 2.5
 
-Decode = Callable[[store.Row], result.Result[workers.Worker, str]]
+DecodeWorker = Callable[[store.Row], result.Result[workers.Worker, str]]
 
 _LOG = logs.get_logger('roster')
 
@@ -26,29 +26,29 @@
         self,
         *,
         worker_id: Callable[[store.Row], ids.WorkerId],
-        decode: Decode,
+        decode: DecodeWorker,
     ) -> None:
         """Start without workers."""
         self._worker_id = worker_id
         self._decode = decode
         self._workers: dict[ids.WorkerId, workers.Worker] = {}
-        self._gone_at: dict[ids.WorkerId, float] = {}
+        self._removed_at: dict[ids.WorkerId, float] = {}
 
-    def take(self, rows: tuple[store.Row, ...], now: float) -> None:
+    def update(self, rows: tuple[store.Row, ...], now: float) -> None:
         """Use changed rows."""
         for row in rows:
             worker_id = self._worker_id(row)
             if row.body is None:
-                self._gone_at.setdefault(worker_id, now)
+                self._removed_at.setdefault(worker_id, now)
                 continue
             decoded = self._decode(row)
             if isinstance(decoded, result.Err):
-                self._note_malformed(worker_id, decoded.err_value, now)
+                self._mark_malformed(worker_id, decoded.err_value, now)
             else:
-                self._gone_at.pop(worker_id, None)
+                self._removed_at.pop(worker_id, None)
                 self._workers[worker_id] = decoded.ok_value
 
-    def drop_gone(self, healthy_since: float | None, now: float) -> None:
+    def drop_removed(self, healthy_since: float | None, now: float) -> None:
         """Forget workers whose entries have been gone for long.
 
         Entries may lapse while the store is away; ``sound_since`` tells since
@@ -56,9 +56,9 @@
         """
         if healthy_since is None:
             return
-        for worker_id, gone_at in list(self._gone_at.items()):
-            if now - max(gone_at, healthy_since) >= LINGER_S:
-                self._gone_at.pop(worker_id)
+        for worker_id, removed_at in list(self._removed_at.items()):
+            if now - max(removed_at, healthy_since) >= REMOVAL_DELAY_S:
+                self._removed_at.pop(worker_id)
                 self._workers.pop(worker_id, None)
 
     def of_shard(self, shard: ids.ShardId) -> list[workers.Worker]:
@@ -67,13 +67,13 @@
             worker for worker in self._workers.values() if worker.zone == shard
         ]
 
-    def _note_malformed(
+    def _mark_malformed(
         self, worker_id: ids.WorkerId, cause: str, now: float
     ) -> None:
         """Count a worker with a malformed entry as gone."""
         if worker_id in self._workers:
             _LOG.error('Entry not understood.', extra={'cause': cause})
-        self._gone_at.setdefault(worker_id, now)
+        self._removed_at.setdefault(worker_id, now)
 
 
 def is_complete(source: table_follower.TableFollower, now: float) -> bool:
@@ -81,6 +81,6 @@
     if source.answered_at is None or source.healthy_since is None:
         return False
     return (
-        now - source.answered_at < LINGER_S
-        and now - source.healthy_since >= LINGER_S
+        now - source.answered_at < REMOVAL_DELAY_S
+        and now - source.healthy_since >= REMOVAL_DELAY_S
     )
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -129,7 +129,7 @@
             writes=(write,),
         )
         if isinstance(answer, result.Ok):
-            self._directory.offer(
+            self._directory.apply(
                 (
                     store.Row(
                         key=write.key,
--- a/sardineproxy/process/node/dependencies.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -26,7 +26,7 @@
     roster_table: str
     decode_configuration: in_force.Decode
     worker_id: Callable[[store.Row], ids.WorkerId]
-    decode_worker: worker_list.Decode
+    decode_worker: worker_list.DecodeWorker
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -349,13 +349,13 @@
 
     def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed members and claims."""
-        self._sharing.offer(rows)
+        self._sharing.apply_rows(rows)
 
     def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
         now = self._clock.now()
-        self.workers.take(rows, now)
-        self.workers.drop_gone(self._feeds.roster.healthy_since, now)
+        self.workers.update(rows, now)
+        self.workers.drop_removed(self._feeds.roster.healthy_since, now)
         self.holdings.give_workers()
 
     def roster_timing(self) -> table_follower.PollTiming:
--- a/sardineproxy/process/node/sharing.py
+++ b/sardineproxy/process/node/sharing.py
@@ -49,9 +49,9 @@
         ):
             source.send(messages.VersionAsk())
 
-    def offer(self, rows: tuple[store.Row, ...]) -> None:
+    def apply_rows(self, rows: tuple[store.Row, ...]) -> None:
         """Use members and claims that are newer than those known."""
-        if self._directory.offer(rows):
+        if self._directory.apply(rows):
             self._on_directory()
 
     def received(self, source: link.Link, message: messages.Message) -> None:
@@ -60,7 +60,7 @@
             case messages.DirectoryAsk():
                 source.send(pack_directory(self._directory))
             case messages.DirectoryGive():
-                self.offer(unpack_directory(message))
+                self.apply_rows(unpack_directory(message))
             case messages.VersionAsk():
                 source.send(pack_version(self._versions))
             case messages.VersionGive():
--- a/tests/process/membership/test_registry.py
+++ b/tests/process/membership/test_registry.py
@@ -33,7 +33,7 @@
         )
         write = registry.member_write(member)
         tested = registry.Registry()
-        tested.offer((store.Row(key=write.key, revision=1, body=write.body),))
+        tested.apply((store.Row(key=write.key, revision=1, body=write.body),))
         self.assertEqual({member.vm: member}, tested.members)
 
     @hypothesis.given(strategies.permutations(range(1, 6)))
@@ -42,15 +42,15 @@
         """Guards against an old claim that a peer tells late."""
         tested = registry.Registry()
         for revision in order:
-            tested.offer((claim_row(revision, epoch=revision * 10),))
+            tested.apply((claim_row(revision, epoch=revision * 10),))
         self.assertEqual(50, tested.claims[SHARD].epoch)
 
     def test_malformed_row_is_passed_over(self) -> None:
         """Guards against a process that stops over another's row."""
         tested = registry.Registry()
-        tested.offer((claim_row(1, 1),))
+        tested.apply((claim_row(1, 1),))
         bad = store.Row(key=registry.shard_key(SHARD), revision=2, body=b'{')
-        tested.offer((bad,))
+        tested.apply((bad,))
         self.assertEqual(1, tested.claims[SHARD].epoch)
 
     def test_removed_member_is_forgotten(self) -> None:
@@ -69,6 +69,6 @@
                 }
             ).encode(),
         )
-        tested.offer((row,))
-        tested.offer((store.Row(key=row.key, revision=2, body=None),))
+        tested.apply((row,))
+        tested.apply((store.Row(key=row.key, revision=2, body=None),))
         self.assertEqual({}, tested.members)
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -32,31 +32,31 @@
     def test_entry_that_is_gone_counts_for_a_while(self) -> None:
         """Guards against workers lost to a beat that came late."""
         tested = make_list()
-        tested.take((row(samples.entry()),), 10)
-        tested.take((row(None),), 20)
-        tested.drop_gone(healthy_since=0, now=22)
+        tested.update((row(samples.entry()),), 10)
+        tested.update((row(None),), 20)
+        tested.drop_removed(healthy_since=0, now=22)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
-        tested.drop_gone(healthy_since=0, now=23)
+        tested.drop_removed(healthy_since=0, now=23)
         self.assertEqual([], tested.of_shard(SHARD))
 
     def test_entry_that_lapsed_in_an_outage_has_time_to_come_back(self) -> None:
         """Guards against workers given up as the store returns."""
         tested = make_list()
-        tested.take((row(samples.entry()),), 10)
-        tested.take((row(None),), 20)
-        tested.drop_gone(healthy_since=None, now=40)
-        tested.drop_gone(healthy_since=40, now=42)
+        tested.update((row(samples.entry()),), 10)
+        tested.update((row(None),), 20)
+        tested.drop_removed(healthy_since=None, now=40)
+        tested.drop_removed(healthy_since=40, now=42)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
-        tested.take((row(samples.entry()),), 42)
-        tested.drop_gone(healthy_since=40, now=60)
+        tested.update((row(samples.entry()),), 42)
+        tested.drop_removed(healthy_since=40, now=60)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
 
     def test_malformed_entry_counts_as_gone(self) -> None:
         """Guards against orders by an entry that another writer left."""
         tested = make_list()
-        tested.take((row(samples.entry()),), 10)
-        tested.take((row({'state': 'ready'}),), 20)
-        tested.drop_gone(healthy_since=0, now=30)
+        tested.update((row(samples.entry()),), 10)
+        tested.update((row({'state': 'ready'}),), 20)
+        tested.drop_removed(healthy_since=0, now=30)
         self.assertEqual([], tested.of_shard(SHARD))
 
     def test_list_is_complete_once_the_store_has_answered_for_long(
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -49,7 +49,7 @@
         self.read()
 
     def read(self) -> None:
-        self.directory.offer(self.store.rows.read(registry.TABLE).rows)
+        self.directory.apply(self.store.rows.read(registry.TABLE).rows)
 
     def due(self, now: float, **changes: Any) -> bool:
         return self.claims.due(
--- a/tests/process/node/test_sharing.py
+++ b/tests/process/node/test_sharing.py
@@ -49,6 +49,6 @@
             revision=9,
             body=b'{"epoch": 3, "owner": ["a", "1"], "heirs": []}',
         )
-        directory.offer((row,))
+        directory.apply((row,))
         given = sharing.pack_directory(directory)
         self.assertEqual((row,), sharing.unpack_directory(given))
