--- a/sardineproxy/process/config_exchange.py
+++ b/sardineproxy/process/config_exchange.py
@@ -14,13 +14,13 @@
 class Gossip(Protocol):
     """What this process knows and takes from its peers."""
 
-    def number(self) -> int:
+    def version_number(self) -> int:
         """Return the number of the version in force, 0 if none."""
 
     def changes_since(self, number: int) -> bytes | None:
         """Return the changes after version ``number``, None if unknown."""
 
-    def offer(self, payload: bytes) -> None:
+    def offer_changes(self, payload: bytes) -> None:
         """Take changes that a peer sent."""
 
     def listing_revision(self) -> int:
@@ -44,13 +44,13 @@
         self._fetch_at: float = 0
         self._interval_s: float = FETCH_MIN_S
 
-    def mine(self) -> tuple[int, int]:
+    def local_versions(self) -> tuple[int, int]:
         """Return the version number and the listing's revision here."""
-        return self._gossip.number(), self._gossip.listing_revision()
+        return self._gossip.version_number(), self._gossip.listing_revision()
 
     def tick(self, streams: Iterable[peer.Stream], now: float) -> None:
         """Announce a rise, and fetch if a peer has something newer."""
-        version, revision = self.mine()
+        version, revision = self.local_versions()
         if self._announced != (version, revision):
             self._announced = (version, revision)
             self._interval_s = FETCH_MIN_S
@@ -75,7 +75,7 @@
 
     def answer(self, fetch: frames.ConfigFetch) -> frames.ConfigChanges:
         """Return what is newer here than the peer has."""
-        version, revision = self.mine()
+        version, revision = self.local_versions()
         changes = None
         if version > fetch.version:
             changes = self._gossip.changes_since(fetch.version)
@@ -86,9 +86,9 @@
             else None,
         )
 
-    def take(self, changes: frames.ConfigChanges) -> None:
+    def apply(self, changes: frames.ConfigChanges) -> None:
         """Offer what a peer sent to the keepers of versions and listings."""
         if changes.changes is not None:
-            self._gossip.offer(changes.changes)
+            self._gossip.offer_changes(changes.changes)
         if changes.listing is not None:
             self._gossip.offer_listing(changes.listing)
--- a/sardineproxy/process/forwards.py
+++ b/sardineproxy/process/forwards.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True, eq=False)
-class _Question:
+class _PendingForward:
     """One outstanding forward."""
 
     number: int
@@ -29,17 +29,17 @@
 
     def __init__(self) -> None:
         """Start without questions."""
-        self._questions: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingForward] = {}
 
         #: Questions to an incarnation other than that of the VM's stream.
-        self._suspects: dict[ids.VmId, list[_Question]] = {}
+        self._unconfirmed: dict[ids.VmId, list[_PendingForward]] = {}
         self._last_number = 0
 
-    def vms(self) -> set[ids.VmId]:
+    def pending_vms(self) -> set[ids.VmId]:
         """Return the VMs that have not replied yet."""
-        return {question.vm for question in self._questions.values()}
+        return {forward.vm for forward in self._pending.values()}
 
-    async def ask(
+    async def send(
         self,
         *,
         vm: ids.VmId,
@@ -54,76 +54,78 @@
         ``STREAM_WAIT_S``.
         """
         self._last_number += 1
-        question = _Question(
+        forward = _PendingForward(
             number=self._last_number,
             vm=vm,
             incarnation=incarnation,
             payload=payload,
             fut=asyncio.get_running_loop().create_future(),
         )
-        self._questions[question.number] = question
+        self._pending[forward.number] = forward
         stream = streams.get(vm)
         if stream is not None:
-            self._send(stream, question)
+            self._send(stream, forward)
         try:
             async with asyncio.timeout(max(0, wait_s)):
-                return await _wait(question, streams)
+                return await _wait_for_reply(forward, streams)
         except TimeoutError:
             return forwarding.Unreachable()
         finally:
-            self._questions.pop(question.number)
+            self._pending.pop(forward.number)
 
-    def opened(self, stream: peer.Stream) -> None:
+    def resend(self, stream: peer.Stream) -> None:
         """Ask what is outstanding for the VM on its new stream."""
-        self._suspects.pop(stream.hello.vm, None)
-        for question in list(self._questions.values()):
-            if question.vm == stream.hello.vm:
-                self._send(stream, question)
+        self._unconfirmed.pop(stream.hello.vm, None)
+        for forward in list(self._pending.values()):
+            if forward.vm == stream.hello.vm:
+                self._send(stream, forward)
 
-    def heard(self, stream: peer.Stream) -> None:
+    def confirm_incarnation(self, stream: peer.Stream) -> None:
         """Settle questions to an incarnation that this one has replaced.
 
         A frame that arrives after the question was put proves that its
         sender is the VM's present incarnation.
         """
-        for question in self._suspects.pop(stream.hello.vm, ()):
-            _settle(question, forwarding.Gone())
+        for forward in self._unconfirmed.pop(stream.hello.vm, ()):
+            _resolve(forward, forwarding.Gone())
 
-    def replied(self, stream: peer.Stream, reply: frames.ForwardReply) -> None:
+    def handle_reply(
+        self, stream: peer.Stream, reply: frames.ForwardReply
+    ) -> None:
         """Settle the question that was answered."""
-        question = self._questions.get(reply.number)
+        forward = self._pending.get(reply.number)
         sender = (stream.hello.vm, stream.hello.incarnation)
-        if question and (question.vm, question.incarnation) == sender:
-            _settle(question, forwarding.Replied(payload=reply.payload))
+        if forward and (forward.vm, forward.incarnation) == sender:
+            _resolve(forward, forwarding.Replied(payload=reply.payload))
 
-    def _send(self, stream: peer.Stream, question: _Question) -> None:
+    def _send(self, stream: peer.Stream, forward: _PendingForward) -> None:
         """Put the question, or make another incarnation show that it lives."""
-        if stream.hello.incarnation == question.incarnation:
+        if stream.hello.incarnation == forward.incarnation:
             stream.send(
-                frames.Forward(number=question.number, payload=question.payload)
+                frames.Forward(number=forward.number, payload=forward.payload)
             )
             return
-        self._suspects.setdefault(question.vm, []).append(question)
+        self._unconfirmed.setdefault(forward.vm, []).append(forward)
         stream.send(
             frames.ConfigFetch(version=stream.version, revision=stream.revision)
         )
 
 
-async def _wait(
-    question: _Question, streams: Mapping[ids.VmId, peer.Stream]
+async def _wait_for_reply(
+    forward: _PendingForward, streams: Mapping[ids.VmId, peer.Stream]
 ) -> forwarding.Reply:
     """Return the reply; raise TimeoutError if no stream is opened."""
-    had_stream = question.vm in streams
+    had_stream = forward.vm in streams
     while True:
-        done, _ = await asyncio.wait((question.fut,), timeout=STREAM_WAIT_S)
+        done, _ = await asyncio.wait((forward.fut,), timeout=STREAM_WAIT_S)
         if done:
-            return question.fut.result()
-        has_stream = question.vm in streams
+            return forward.fut.result()
+        has_stream = forward.vm in streams
         if not (had_stream or has_stream):
             raise TimeoutError
         had_stream = has_stream
 
 
-def _settle(question: _Question, reply: forwarding.Reply) -> None:
-    if not question.fut.done():
-        question.fut.set_result(reply)
+def _resolve(forward: _PendingForward, reply: forwarding.Reply) -> None:
+    if not forward.fut.done():
+        forward.fut.set_result(reply)
--- a/sardineproxy/process/gossip.py
+++ b/sardineproxy/process/gossip.py
@@ -17,7 +17,7 @@
         self._versions = versions
         self._vm_list = vm_list
 
-    def number(self) -> int:
+    def version_number(self) -> int:
         """Return the number of the version in force, 0 if there is none."""
         return self._versions.number()
 
@@ -25,7 +25,7 @@
         """Return the changes after version ``number``, None if too old."""
         return self._versions.changes_since(number)
 
-    def offer(self, payload: bytes) -> None:
+    def offer_changes(self, payload: bytes) -> None:
         """Take changes that another entry process sent."""
         self._versions.offer(payload)
 
--- a/sardineproxy/process/neighbors.py
+++ b/sardineproxy/process/neighbors.py
@@ -15,7 +15,7 @@
     zone: ids.ZoneId
     host: str
     port: int
-    live: bool
+    is_live: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -37,7 +37,7 @@
             self.listed[vm].zone for vm in self.chosen if vm in connected
         }
         return sum(
-            entry.live
+            entry.is_live
             and (
                 vm in connected
                 or vm not in self.chosen
@@ -48,7 +48,11 @@
 
 
 def choose(
-    *, listing: platform.VmList, vm: ids.VmId, zone: ids.ZoneId, each_zone: int
+    *,
+    listing: platform.VmList,
+    vm: ids.VmId,
+    zone: ids.ZoneId,
+    peers_per_zone: int,
 ) -> Neighbors:
     """Choose all VMs of the own zone and ``each_zone`` of each other zone."""
     everyone = {
@@ -57,7 +61,7 @@
             zone=entry.zone,
             host=entry.host,
             port=entry.port,
-            live=entry.state is platform.VmState.LIVE,
+            is_live=entry.state is platform.VmState.LIVE,
         )
         for entry in listing.vms
         if entry.role is platform.VmRole.ENTRY
@@ -66,12 +70,12 @@
     chosen = {name: vm < name for name in others if others[name].zone == zone}
     zones: dict[ids.ZoneId, list[ids.VmId]] = {}
     for name, entry in everyone.items():
-        if entry.live or entry.zone == zone:
+        if entry.is_live or entry.zone == zone:
             zones.setdefault(entry.zone, []).append(name)
     for other_zone, names in zones.items():
         if other_zone == zone:
             continue
-        for name in rendezvous.rank(vm, names)[:each_zone]:
-            back = rendezvous.rank(name, zones.get(zone, []))[:each_zone]
+        for name in rendezvous.rank(vm, names)[:peers_per_zone]:
+            back = rendezvous.rank(name, zones.get(zone, []))[:peers_per_zone]
             chosen[name] = vm < name or vm not in back
     return Neighbors(listed=others, chosen=chosen)
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -49,37 +49,37 @@
         #: True if the peers were told that this process ends.
         self.said_goodbye = False
 
-    def opened(self, stream: peer.Stream) -> None:
+    def stream_opened(self, stream: peer.Stream) -> None:
         """Use a new stream."""
         if stream.hello.zone == self._zone:
             self._views.joined(stream.hello.vm, stream.hello.incarnation)
-        self._forwards.opened(stream)
+        self._forwards.resend(stream)
         if self.said_goodbye:
             stream.send(frames.Goodbye())
-        self._note_alive(stream)
+        self._record_contact(stream)
         self.review()
 
-    def closed(self, stream: peer.Stream) -> None:
+    def stream_closed(self, stream: peer.Stream) -> None:
         """Forget a stream; outstanding forwards wait for the next one."""
         self._views.lost(stream.hello.vm, self._clock.now())
         self._loans.handle_disconnect(stream.hello.vm, self._clock.now())
         self.review()
 
-    def received(self, stream: peer.Stream, frame: frames.Frame) -> None:
+    def frame_received(self, stream: peer.Stream, frame: frames.Frame) -> None:
         """Act on a frame."""
-        self._note_alive(stream)
+        self._record_contact(stream)
         match frame:
             case frames.View() | frames.Goodbye():
                 self._views.heard(stream.hello.vm, frame)
                 self.review()
             case frames.Forward():
-                self._start_answer(stream, frame)
+                self._start_reply(stream, frame)
             case frames.ForwardReply():
-                self._forwards.replied(stream, frame)
+                self._forwards.handle_reply(stream, frame)
             case frames.ConfigFetch():
                 stream.send(self._exchange.answer(frame))
             case frames.ConfigChanges():
-                self._exchange.take(frame)
+                self._exchange.apply(frame)
             case _:
                 self._send_all(
                     self._loans.handle_frame(
@@ -98,18 +98,18 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _note_alive(self, stream: peer.Stream) -> None:
-        self._forwards.heard(stream)
+    def _record_contact(self, stream: peer.Stream) -> None:
+        self._forwards.confirm_incarnation(stream)
         self._loans.renew_lease(stream.hello.vm, self._clock.now())
 
-    def _start_answer(
+    def _start_reply(
         self, stream: peer.Stream, forward: frames.Forward
     ) -> None:
-        task = asyncio.create_task(self._answer(stream, forward))
+        task = asyncio.create_task(self._reply(stream, forward))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(
+    async def _reply(
         self, stream: peer.Stream, forward: frames.Forward
     ) -> None:
         """Reply on the same stream; after its end the peer asks again."""
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -134,9 +134,9 @@
         """Listen for peers and connect to those of the listing."""
         await self._streams.start(host, port)
         self._subscription = self._directory.listing.subscribe(
-            self._use_listing
+            self._apply_listing
         )
-        self._ticker = asyncio.create_task(self._keep_ticking())
+        self._ticker = asyncio.create_task(self._run_ticks())
 
     async def goodbye(self) -> None:
         """Give up all slots and tell the peers.
@@ -151,7 +151,7 @@
             self._events.review()
         self._events.said_goodbye = True
         self._send_all(self._loans.return_all_idle())
-        open_streams = list(self._streams.current.values())
+        open_streams = list(self._streams.by_vm.values())
         for stream in open_streams:
             stream.send(frames.Goodbye())
         await asyncio.gather(*(each.flush() for each in open_streams))
@@ -178,17 +178,17 @@
         """
         if len(payload) > frames.MAX_PAYLOAD_BYTES:
             return forwarding.Unreachable()
-        stream = self._streams.current.get(vm)
+        stream = self._streams.by_vm.get(vm)
         if stream is None and vm not in self._streams.neighbors.listed:
             return forwarding.Unreachable()
         now = self._clock.now()
         self._streams.open_missing((vm,), now)
-        return await self._forwards.ask(
+        return await self._forwards.send(
             vm=vm,
             incarnation=incarnation,
             payload=payload,
             wait_s=deadline - now,
-            streams=self._streams.current,
+            streams=self._streams.by_vm,
         )
 
     def on_backlog(self, demand: demand.Demand) -> None:
@@ -202,16 +202,16 @@
 
     def tick(self, now: float) -> None:
         """Do what is due; a long gap voids ownership and loans."""
-        self._check_gap(now)
-        version, revision = self._exchange.mine()
-        self._streams.watch(
+        self._check_stall(now)
+        version, revision = self._exchange.local_versions()
+        self._streams.check_liveness(
             now, frames.Heartbeat(version=version, revision=revision)
         )
-        self._streams.open_missing(self._forwards.vms(), now)
-        self._exchange.tick(list(self._streams.current.values()), now)
+        self._streams.open_missing(self._forwards.pending_vms(), now)
+        self._exchange.tick(list(self._streams.by_vm.values()), now)
         self._events.review()
         self._send_all(self._loans.tick(self._lenders, now))
-        live = self._streams.neighbors.count_live(self._streams.current) + 1
+        live = self._streams.neighbors.count_live(self._streams.by_vm) + 1
         if live != self._live_vms.value:
             self._live_vms.on_next(live)
 
@@ -233,28 +233,28 @@
                     'revision': stream.revision,
                     'free': stream.free,
                 }
-                for vm, stream in sorted(self._streams.current.items())
+                for vm, stream in sorted(self._streams.by_vm.items())
             ],
             'view': self._views.state(now),
             'loans': self._loans.state(),
         }
 
     def _hello(self) -> frames.Hello:
-        version, revision = self._exchange.mine()
+        version, revision = self._exchange.local_versions()
         return dataclasses.replace(self._me, version=version, revision=revision)
 
-    def _use_listing(self, listing: platform.VmList) -> None:
+    def _apply_listing(self, listing: platform.VmList) -> None:
         self._views.set_listing(listing)
-        self._streams.use(
+        self._streams.set_neighbors(
             neighbors.choose(
                 listing=listing,
                 vm=self._me.vm,
                 zone=self._me.zone,
-                each_zone=self._cfg.cross_zone_peers,
+                peers_per_zone=self._cfg.cross_zone_peers,
             )
         )
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self.tick(self._clock.now())
             await asyncio.sleep(self._cfg.tick_s)
@@ -266,16 +266,16 @@
                 is_same_zone=stream.hello.zone == self._me.zone,
                 free_slots=stream.free,
             )
-            for vm, stream in self._streams.current.items()
+            for vm, stream in self._streams.by_vm.items()
         ]
 
     def _send_all(self, outgoing: borrowing.OutgoingFrames) -> None:
         for vm, frame in outgoing:
-            stream = self._streams.current.get(vm)
+            stream = self._streams.by_vm.get(vm)
             if stream is not None:
                 stream.send(frame)
 
-    def _check_gap(self, now: float) -> None:
+    def _check_stall(self, now: float) -> None:
         last = self._ticked_at
         self._ticked_at = now
         if last is not None and now - last >= self._cfg.stream.peer_silent_s:
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -33,13 +33,13 @@
 class StreamEvents(Protocol):
     """Hears of streams; nothing is told of a stream that was replaced."""
 
-    def opened(self, stream: peer.Stream) -> None:
+    def stream_opened(self, stream: peer.Stream) -> None:
         """Use a new stream."""
 
-    def closed(self, stream: peer.Stream) -> None:
+    def stream_closed(self, stream: peer.Stream) -> None:
         """Forget a stream."""
 
-    def received(self, stream: peer.Stream, frame: frames.Frame) -> None:
+    def frame_received(self, stream: peer.Stream, frame: frames.Frame) -> None:
         """Act on a frame."""
 
 
@@ -96,7 +96,7 @@
         self._dialing: set[ids.VmId] = set()
         self._retries: dict[ids.VmId, _Retry] = {}
         self.neighbors = neighbors.Neighbors(listed={}, chosen={})
-        self.current: dict[ids.VmId, peer.Stream] = {}
+        self.by_vm: dict[ids.VmId, peer.Stream] = {}
 
     @property
     def port(self) -> int:
@@ -113,7 +113,7 @@
         if self._server is not None:
             self._server.close()
         tasks = list(self._tasks)
-        for stream in list(self.current.values()):
+        for stream in list(self.by_vm.values()):
             stream.close()
         if tasks:
             await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT_S)
@@ -121,7 +121,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def use(self, chosen: neighbors.Neighbors) -> None:
+    def set_neighbors(self, chosen: neighbors.Neighbors) -> None:
         """Keep streams to other VMs from now on."""
         self.neighbors = chosen
         self._retries = {
@@ -130,12 +130,12 @@
             if vm in chosen.listed
         }
 
-    def open_missing(self, asked: Iterable[ids.VmId], now: float) -> None:
+    def open_missing(self, requested: Iterable[ids.VmId], now: float) -> None:
         """Open streams to chosen VMs, and at once to those in ``asked``."""
-        urgent = set(asked).intersection(self.neighbors.listed)
+        urgent = set(requested).intersection(self.neighbors.listed)
         missing = urgent.union(self.neighbors.chosen)
         missing -= self._dialing
-        for vm in missing.difference(self.current):
+        for vm in missing.difference(self.by_vm):
             at_once = vm in urgent or self.neighbors.chosen[vm]
             wait_s = 0 if at_once else self._cfg.dial_wait_s
             retry = self._retries.setdefault(vm, _Retry(since=now))
@@ -143,23 +143,23 @@
                 self._dialing.add(vm)
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
-    def watch(self, now: float, heartbeat: frames.Heartbeat) -> None:
+    def check_liveness(self, now: float, heartbeat: frames.Heartbeat) -> None:
         """Close silent and unused streams; send heartbeats on idle ones."""
-        for vm, stream in list(self.current.items()):
+        for vm, stream in list(self.by_vm.items()):
             if now - stream.heard_at >= self._cfg.peer_silent_s:
                 stream.abort('peer is silent')
-                self._forget(stream)
+                self._unregister(stream)
             elif self._is_unused(vm, stream, now):
                 stream.abort('unused')
-                self._forget(stream)
+                self._unregister(stream)
             elif now - stream.sent_at >= self._cfg.heartbeat_s:
                 stream.send(heartbeat)
 
-    def abort_all(self, why: str) -> None:
+    def abort_all(self, cause: str) -> None:
         """Close all streams at once."""
-        for stream in list(self.current.values()):
-            stream.abort(why)
-            self._forget(stream)
+        for stream in list(self.by_vm.values()):
+            stream.abort(cause)
+            self._unregister(stream)
 
     def _is_unused(self, vm: ids.VmId, stream: peer.Stream, now: float) -> bool:
         return (
@@ -187,7 +187,7 @@
 
     async def _dial(self, neighbor: neighbors.Neighbor) -> None:
         """Open a stream and run it; note when to try again."""
-        adopted = False
+        was_registered = False
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await self._connect(
@@ -196,12 +196,12 @@
             stream = peer.Stream(
                 ctx=self._ctx, reader=reader, writer=writer, dialed=True
             )
-            adopted = await self._run(stream, expected=neighbor.vm)
+            was_registered = await self._run(stream, expected=neighbor.vm)
         except (OSError, TimeoutError) as exc:
             _log.info('no stream to %s: %s', neighbor.vm, type(exc).__name__)
         finally:
             self._dialing.discard(neighbor.vm)
-            if not adopted:
+            if not was_registered:
                 self._back_off(neighbor.vm)
 
     def _back_off(self, vm: ids.VmId) -> None:
@@ -226,7 +226,7 @@
             return True
         finally:
             stream.abort('end of stream')
-            self._forget(stream)
+            self._unregister(stream)
 
     async def _open(
         self, stream: peer.Stream, expected: ids.VmId | None
@@ -239,12 +239,12 @@
         if hello.vm == self._vm or expected not in {None, hello.vm}:
             self._reject(stream, f'unexpected VM {hello.vm}')
             return False
-        return self._adopt(stream)
+        return self._register(stream)
 
     async def _read(self, stream: peer.Stream) -> None:
         while True:
             received = await stream.receive()
-            if self.current.get(stream.hello.vm) is not stream:
+            if self.by_vm.get(stream.hello.vm) is not stream:
                 return
             if isinstance(received, result.Err):
                 if received.err_value != frames.CLOSED:
@@ -253,28 +253,28 @@
             if isinstance(received.ok_value, frames.Hello):
                 self._reject(stream, 'second Hello')
                 return
-            self._events.received(stream, received.ok_value)
+            self._events.frame_received(stream, received.ok_value)
 
-    def _reject(self, stream: peer.Stream, why: str) -> None:
+    def _reject(self, stream: peer.Stream, cause: str) -> None:
         self._ctx.metrics.count('peer_streams_rejected_total')
-        _log.warning('stream rejected: %s', why)
-        stream.abort(why)
+        _log.warning('stream rejected: %s', cause)
+        stream.abort(cause)
 
-    def _adopt(self, stream: peer.Stream) -> bool:
+    def _register(self, stream: peer.Stream) -> bool:
         """Make it the VM's stream unless both ends opened one at once."""
         hello = stream.hello
-        old = self.current.get(hello.vm)
+        old = self.by_vm.get(hello.vm)
         if old is not None:
-            if self._crosses(old, stream):
+            if self._is_simultaneous_open(old, stream):
                 return False
             old.abort('replaced')
-            self._forget(old)
-        self.current[hello.vm] = stream
+            self._unregister(old)
+        self.by_vm[hello.vm] = stream
         _log.info('stream to %s open', hello.vm)
-        self._events.opened(stream)
+        self._events.stream_opened(stream)
         return True
 
-    def _crosses(self, old: peer.Stream, new: peer.Stream) -> bool:
+    def _is_simultaneous_open(self, old: peer.Stream, new: peer.Stream) -> bool:
         """Tell whether the VM with the smaller id has just opened ``old``.
 
         Both ends reach the same answer, so that one stream stays.
@@ -287,12 +287,12 @@
             and self._ctx.clock.now() - old.since < SIMULTANEOUS_OPEN_S
         )
 
-    def _forget(self, stream: peer.Stream) -> None:
+    def _unregister(self, stream: peer.Stream) -> None:
         hello = getattr(stream, 'hello', None)
-        if hello is None or self.current.get(hello.vm) is not stream:
+        if hello is None or self.by_vm.get(hello.vm) is not stream:
             return
-        self.current.pop(hello.vm)
+        self.by_vm.pop(hello.vm)
         if self._ctx.clock.now() - stream.since >= BACK_OFF_MAX_S:
             self._retries.pop(hello.vm, None)
         self._back_off(hello.vm)
-        self._events.closed(stream)
+        self._events.stream_closed(stream)
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -78,9 +78,9 @@
             slot_table=self.table,
             handler=self,
             gossip=types.SimpleNamespace(
-                number=lambda: self.version,
+                version_number=lambda: self.version,
                 changes_since=lambda _: str(self.version).encode(),
-                offer=self.offer,
+                offer_changes=self.offer_changes,
                 listing_revision=int,
             ),
             metrics=self.metrics,
@@ -99,7 +99,7 @@
             await self.hold.wait()
         return b'reply to ' + payload
 
-    def offer(self, payload: bytes) -> None:
+    def offer_changes(self, payload: bytes) -> None:
         self.version = int(payload)
 
     def free_for_backlog(self) -> int:
@@ -358,7 +358,7 @@
         listing = test_views.listing(1, entries)
         chosen = {
             vm: neighbors.choose(
-                listing=listing, vm=vm, zone=zone, each_zone=2
+                listing=listing, vm=vm, zone=zone, peers_per_zone=2
             ).chosen
             for vm, zone, _ in entries
         }
