--- a/sardineproxy/process/dispatch_timing.py
+++ b/sardineproxy/process/dispatch_timing.py
@@ -55,7 +55,7 @@
         self._measure = measure
         self._interval_s = interval_s
         self._stream: subject.Subject[demand.Demand] = subject.Subject()
-        self._is_due = False
+        self._is_scheduled = False
         self._not_before = float('-inf')
 
     @property
@@ -63,11 +63,11 @@
         """Return the stream."""
         return self._stream
 
-    def notice(self) -> None:
+    def schedule(self) -> None:
         """Emit a demand soon, because tasks wait and no slot is free."""
-        if self._is_due or not self._stream.observers:
+        if self._is_scheduled or not self._stream.observers:
             return
-        self._is_due = True
+        self._is_scheduled = True
         loop = asyncio.get_running_loop()
         pause_s = self._not_before - loop.time()
         if pause_s > 0:
@@ -80,7 +80,7 @@
         self._stream.on_completed()
 
     def _emit(self) -> None:
-        self._is_due = False
+        self._is_scheduled = False
         self._not_before = asyncio.get_running_loop().time() + self._interval_s
         current = self._measure()
         if any(customer.waiting for customer in current.customers):
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -39,7 +39,7 @@
     )
 
     #: Customers that could use no free slot are tried again after this time.
-    held_s: float = 0.05
+    blocked_retry_s: float = 0.05
 
     #: Least time between two demands on the backlog stream, in seconds.
     backlog_interval_s: float = 0.001
@@ -51,7 +51,7 @@
     refusals_before_pause: int = 3
 
     #: Mean of that pause, in seconds.
-    pause_s: float = 0.2
+    refusal_pause_s: float = 0.2
 
 
 class Dispatcher:
@@ -85,13 +85,13 @@
             zone=zone,
             health=health,
         )
-        self._alarm = dispatch_timing.EarliestTimer(self._on_alarm)
+        self._timer = dispatch_timing.EarliestTimer(self._on_timer)
         self._next_housekeeping = -math.inf
         self._backlog = dispatch_timing.DemandStream(
             measure=self.demand, interval_s=self._cfg.backlog_interval_s
         )
         self._closed = False
-        self._subscription = directory.listing.subscribe(self._take_listing)
+        self._subscription = directory.listing.subscribe(self._on_listing)
 
     @property
     def backlog(self) -> reactivex.Observable[demand.Demand]:
@@ -163,7 +163,7 @@
         if self._queue.waiting:
             now = self._clock.now()
             self._matcher.match_all(now=now)
-            self._note_backlog(now)
+            self._report_backlog(now)
 
     def close(self) -> None:
         """Refuse all waiting tasks and stop the timers."""
@@ -171,7 +171,7 @@
         self._subscription.dispose()
         for entry in self._queue.expire(now=math.inf):
             self._refuse(entry, _shutting_down())
-        self._alarm.close()
+        self._timer.close()
         self._backlog.close()
 
     def state(self, *, now: float) -> dict[str, object]:
@@ -187,7 +187,7 @@
                 }
                 for flow in self._queue.flows.values()
             },
-            'held_customers': sorted(self._matcher.held),
+            'held_customers': sorted(self._matcher.blocked),
             'longest_run_s': max(
                 (now - placement.started for placement in running),
                 default=0,
@@ -195,13 +195,13 @@
             'endpoints': self._health.state(now=now),
         }
 
-    def _take_listing(self, vm_list: platform.VmList) -> None:
+    def _on_listing(self, vm_list: platform.VmList) -> None:
         self._matcher.router.set_listing(vm_list)
         self.wake()
 
     def _prepare_wait(self, entry: flows.Entry, now: float) -> None:
         entry.waiter = asyncio.get_running_loop().create_future()
-        self._alarm.set(
+        self._timer.set(
             min(entry.task.deadline, now + self._cfg.housekeeping_s), now=now
         )
 
@@ -210,7 +210,7 @@
     ) -> matching.Placement | work.Refused:
         waiter = entry.waiter
         assert waiter is not None, 'only prepared tasks wait'
-        self._backlog.notice()
+        self._backlog.schedule()
         try:
             return await waiter
         except asyncio.CancelledError:
@@ -218,7 +218,9 @@
                 self._queue.end(entry)
             placement = self._matcher.running.get(entry.number)
             if placement is not None:
-                self._settle(placement, work.Refused(problem=_cancelled()))
+                self._finish_attempt(
+                    placement, work.Refused(problem=_cancelled())
+                )
             raise
 
     async def _attempt(
@@ -235,16 +237,16 @@
                     task=entry.task, vm=placement.vm
                 )
         finally:
-            self._settle(placement, outcome)
+            self._finish_attempt(placement, outcome)
         if entry.state in _PENDING:
             return None
         if _is_unreachable(outcome):
             return work.Refused(
-                problem=_why_not_again(entry, closed=self._closed)
+                problem=_final_refusal(entry, closed=self._closed)
             )
         return outcome
 
-    def _settle(
+    def _finish_attempt(
         self, placement: matching.Placement, outcome: work.Outcome | None
     ) -> None:
         """Account for an ended attempt and start the next task."""
@@ -252,7 +254,7 @@
         now = self._clock.now()
         run_s = now - placement.started
         in_service = len(self._health.ranks)
-        self._matcher.router.learn(
+        self._matcher.router.record_outcome(
             entry.task,
             placement.ticket.endpoint,
             outcome,
@@ -267,7 +269,7 @@
                 and _is_unreachable(outcome)
                 and now < entry.task.deadline
             ):
-                self._put_back(entry, placement.ticket.endpoint, now)
+                self._requeue(entry, placement.ticket.endpoint, now)
             else:
                 self._queue.end(entry)
         else:
@@ -276,9 +278,9 @@
         if len(self._health.ranks) > in_service:
             self.wake()
         elif self._queue.waiting:
-            self._note_backlog(now)
+            self._report_backlog(now)
 
-    def _put_back(
+    def _requeue(
         self, entry: flows.Entry, endpoint: ids.EndpointId, now: float
     ) -> None:
         """Put a task of which nothing was sent at the front again."""
@@ -292,8 +294,12 @@
         # Most endpoints are unreachable; trying the rest at once is a storm.
         entry.refused = NOTHING_EXCLUDED
         self._queue.rest(entry)
-        pause_s = self._cfg.pause_s * self._rng.uniform(0.5, 1.5)
-        asyncio.get_running_loop().call_later(pause_s, self._resume, entry)
+        refusal_pause_s = self._cfg.refusal_pause_s * self._rng.uniform(
+            0.5, 1.5
+        )
+        asyncio.get_running_loop().call_later(
+            refusal_pause_s, self._resume, entry
+        )
 
     def _resume(self, entry: flows.Entry) -> None:
         if entry.state is flows.State.WAITING:
@@ -305,13 +311,13 @@
         if entry.waiter is not None and not entry.waiter.done():
             entry.waiter.set_result(work.Refused(problem=problem))
 
-    def _note_backlog(self, now: float) -> None:
+    def _report_backlog(self, now: float) -> None:
         """Ask for slots, and see to customers that were passed over."""
-        self._backlog.notice()
-        if self._matcher.held:
-            self._alarm.set(now + self._cfg.held_s, now=now)
+        self._backlog.schedule()
+        if self._matcher.blocked:
+            self._timer.set(now + self._cfg.blocked_retry_s, now=now)
 
-    def _on_alarm(self) -> None:
+    def _on_timer(self) -> None:
         """Act on deadlines, ended ejections, held customers, stragglers."""
         now = self._clock.now()
         for entry in self._queue.expire(now=now):
@@ -319,17 +325,17 @@
         if now >= self._next_housekeeping:
             self._next_housekeeping = now + self._cfg.housekeeping_s
             self._matcher.report_stragglers(now=now)
-            self._health.forget_unused(now=now)
+            self._health.decay_unused(now=now)
         self.wake()
         if not self._queue.waiting and not self._matcher.running:
             return
         for due in (
             self._next_housekeeping,
             self._queue.next_deadline(),
-            self._health.next_return(now=now),
+            self._health.next_probe_at(now=now),
         ):
             if due is not None:
-                self._alarm.set(due, now=now)
+                self._timer.set(due, now=now)
 
 
 #: States of a task whose attempt ended and that waits for another slot.
@@ -342,7 +348,7 @@
     return outcome.problem.code == endpoint_conn.UNREACHABLE
 
 
-def _why_not_again(entry: flows.Entry, *, closed: bool) -> problems.Problem:
+def _final_refusal(entry: flows.Entry, *, closed: bool) -> problems.Problem:
     """Tell why an unreachable endpoint was the last one tried."""
     if entry.cancelled:
         return _cancelled()
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -36,17 +36,17 @@
             collections.Counter()
         )
         self._ejected: dict[ids.EndpointId, health_estimates.Estimate] = {}
-        self._fleet_run_s: dict[ids.CustomerId, float] = {}
+        self._mean_run_s: dict[ids.CustomerId, float] = {}
 
         #: Geometric means of the customers' run times, in seconds.
-        self._typical_run_s: dict[ids.CustomerId, float] = {}
+        self._geometric_mean_run_s: dict[ids.CustomerId, float] = {}
         self._requests = health_estimates.RequestFailures()
 
         #: Place of the expected run time of each endpoint that is listed and
         #: not ejected, least first; only the estimates change it.
         self.ranks: dict[ids.EndpointId, int] = {}
 
-    def set_zones(
+    def set_endpoints(
         self,
         zones: Mapping[ids.EndpointId, ids.ZoneId],
         *,
@@ -94,7 +94,7 @@
             and self._ejected[endpoint].is_on_probation(now)
         ]
 
-    def for_unsafe_probes(
+    def filter_unsafe_probes(
         self, probes: list[ids.EndpointId], *, now: float
     ) -> list[ids.EndpointId]:
         """Return those of ``probes`` that any task may probe.
@@ -108,7 +108,7 @@
             probes, now=now - self._cfg.unsafe_probe_after_s
         )
 
-    def next_return(self, *, now: float) -> float | None:
+    def next_probe_at(self, *, now: float) -> float | None:
         """Return when more tasks may probe an endpoint, None if never."""
         ends = [
             estimate.ejected_until + wait_s
@@ -130,7 +130,7 @@
         if estimate is None:
             return
         if estimate.is_ejected:
-            self._finish_probe(endpoint, estimate, now=now)
+            self._readmit(endpoint, estimate, now=now)
         estimate.failures_in_row = 0
         estimate.last_success = now
 
@@ -145,15 +145,15 @@
         """Learn from a whole answer without an error status."""
         self.record_answer(endpoint, now=now)
         cfg = self._cfg
-        fleet_s = self._fleet_run_s.get(customer, run_s)
-        self._fleet_run_s[customer] = fleet_s + cfg.fleet_gain * (
+        fleet_s = self._mean_run_s.get(customer, run_s)
+        self._mean_run_s[customer] = fleet_s + cfg.fleet_gain * (
             run_s - fleet_s
         )
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
-        estimate.failure_rate -= cfg.gain * estimate.failure_rate
-        estimate.learn_slowness(self._compare(customer, run_s), cfg)
+        estimate.failure_rate -= cfg.failure_gain * estimate.failure_rate
+        estimate.update_slowness(self._relative_run_time(customer, run_s), cfg)
         estimate.last_change = now
         if not estimate.is_ejected:
             self.ranks[endpoint] = estimate.rank(cfg)
@@ -181,7 +181,7 @@
         if estimate.is_ejected:
             estimate.renew_ejection(cfg=self._cfg, rng=self._rng, now=now)
             return
-        if self._requests.are_to_blame(request_id, endpoint):
+        if self._requests.is_at_fault(request_id, endpoint):
             return
         estimate.failures_in_row += 1
         self._count_failure(endpoint, estimate, now=now)
@@ -205,19 +205,19 @@
         self._count_failure(endpoint, estimate, now=now)
         self._eject(endpoint, estimate, now=now)
 
-    def record_nothing(self, endpoint: ids.EndpointId) -> None:
+    def record_inconclusive(self, endpoint: ids.EndpointId) -> None:
         """Note that a started task ended without a sign of health."""
         estimate = self._ejected.get(endpoint)
         if estimate is not None and estimate.probes:
             estimate.probes -= 1
 
-    def usual_run_s(self, customer: ids.CustomerId) -> float:
+    def mean_run_s(self, customer: ids.CustomerId) -> float:
         """Return the fleet's mean run time of the customer's tasks, or 0."""
-        return self._fleet_run_s.get(customer, 0)
+        return self._mean_run_s.get(customer, 0)
 
     def straggler_after_s(self, customer: ids.CustomerId) -> float:
         """Return the run time, in seconds, that makes a task a straggler."""
-        usual_s = self.usual_run_s(customer)
+        usual_s = self.mean_run_s(customer)
         return max(
             self._cfg.min_straggler_s, self._cfg.straggler_factor * usual_s
         )
@@ -239,7 +239,7 @@
             self._count_failure(endpoint, estimate, now=now)
             self._eject(endpoint, estimate, now=now)
 
-    def forget_unused(self, *, now: float) -> None:
+    def decay_unused(self, *, now: float) -> None:
         """Move estimates without recent observations towards the mean.
 
         Called about once a second; otherwise an endpoint that was slow once
@@ -270,12 +270,14 @@
             for endpoint, estimate in sorted(self._estimates.items())
         }
 
-    def _compare(self, customer: ids.CustomerId, run_s: float) -> float:
+    def _relative_run_time(
+        self, customer: ids.CustomerId, run_s: float
+    ) -> float:
         """Return a run time relative to the customer's, and learn from it."""
         run_s = max(run_s, MIN_RUN_S)
-        typical_s = self._typical_run_s.get(customer, run_s)
+        typical_s = self._geometric_mean_run_s.get(customer, run_s)
         relative = run_s / typical_s
-        self._typical_run_s[customer] = typical_s * math.pow(
+        self._geometric_mean_run_s[customer] = typical_s * math.pow(
             relative, self._cfg.fleet_gain
         )
         return relative
@@ -287,7 +289,9 @@
         *,
         now: float,
     ) -> None:
-        estimate.failure_rate += self._cfg.gain * (1 - estimate.failure_rate)
+        estimate.failure_rate += self._cfg.failure_gain * (
+            1 - estimate.failure_rate
+        )
         estimate.last_change = now
         self.ranks[endpoint] = estimate.rank(self._cfg)
 
@@ -303,7 +307,7 @@
         allowed = self._cfg.max_ejected_fraction * self._zone_sizes[zone]
         if ejected + 1 > allowed:
             return
-        if now - estimate.returned_at > self._cfg.forgive_s:
+        if now - estimate.readmitted_at > self._cfg.ejection_reset_s:
             estimate.ejections = 0
         estimate.is_ejected = True
         self._ejected[endpoint] = estimate
@@ -311,7 +315,7 @@
         estimate.renew_ejection(cfg=self._cfg, rng=self._rng, now=now)
         _log.warning('endpoint ejected', extra={'endpoint': endpoint})
 
-    def _finish_probe(
+    def _readmit(
         self,
         endpoint: ids.EndpointId,
         estimate: health_estimates.Estimate,
@@ -322,7 +326,7 @@
         if now < estimate.ejected_until:
             return
         estimate.is_ejected = False
-        estimate.returned_at = now
+        estimate.readmitted_at = now
         estimate.probes = 0
         self._ejected.pop(endpoint, None)
         _log.info('endpoint returned', extra={'endpoint': endpoint})
--- a/sardineproxy/process/health_estimates.py
+++ b/sardineproxy/process/health_estimates.py
@@ -48,10 +48,10 @@
     unsafe_probe_after_s: float = 10
 
     #: Time in service after which ejections start short again, in seconds.
-    forgive_s: float = 120
+    ejection_reset_s: float = 120
 
     #: Part of a new observation in a learned failure rate.
-    gain: float = 0.1
+    failure_gain: float = 0.1
 
     #: Least part of a new observation in a learned speed. Run times of equal
     #: tasks spread over a factor of 20, so at 0.1 the noise of an estimate
@@ -99,11 +99,11 @@
     is_ejected: bool = False
     ejected_until: float = 0
     probes: int = 0
-    returned_at: float = -math.inf
+    readmitted_at: float = -math.inf
     last_success: float = -math.inf
     last_change: float = 0
 
-    def learn_slowness(self, relative: float, cfg: Config) -> None:
+    def update_slowness(self, relative: float, cfg: Config) -> None:
         """Move the slowness towards a task's; the first ones count most.
 
         The mean is geometric, so that one long task does not outweigh many.
@@ -159,7 +159,7 @@
         self._first_failed[request_id] = _SUCCEEDED
         self._drop_oldest()
 
-    def are_to_blame(
+    def is_at_fault(
         self, request_id: ids.RequestId, endpoint: ids.EndpointId
     ) -> bool:
         """Tell whether the request, not the endpoint, explains a failure."""
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -70,7 +70,7 @@
         self.running: dict[int, Placement] = {}
 
         #: Flows that could use no free slot while others could.
-        self.held: dict[ids.CustomerId, flows.Flow] = {}
+        self.blocked: dict[ids.CustomerId, flows.Flow] = {}
 
     def place_new(self, entry: flows.Entry, *, now: float) -> Placement | None:
         """Start a new task at once if a free slot fits it.
@@ -90,22 +90,22 @@
         if not self._queue.waiting:
             return
         flow = placement.entry.flow
-        was_held = self.held.pop(flow.customer, None) is not None
-        if was_held:
+        was_blocked = self.blocked.pop(flow.customer, None) is not None
+        if was_blocked:
             self._queue.offer(flow)
         started = self._match_one(now)
-        if started is None and self.held:
-            self._unhold_all()
+        if started is None and self.blocked:
+            self._unblock_all()
             started = self._match_one(now)
         # A limit of its own held the customer back, maybe from other slots
         # than the one that was released.
-        if was_held and started is not flow and flow.is_backlogged:
+        if was_blocked and started is not flow and flow.is_backlogged:
             if self._start_next(flow, now):
                 self._queue.offer(flow)
 
     def match_all(self, *, now: float) -> None:
         """Start all tasks that fit a free slot."""
-        self._unhold_all()
+        self._unblock_all()
         misfits = []
         flow = self._queue.pop_flow()
         while flow is not None:
@@ -147,7 +147,7 @@
             if flow is None:
                 self._queue.offer(misfit)
             else:
-                self.held[misfit.customer] = misfit
+                self.blocked[misfit.customer] = misfit
         if flow is not None:
             self._queue.offer(flow)
         return flow
@@ -165,12 +165,12 @@
     def _candidates(self, flow: flows.Flow) -> tuple[flows.Entry, ...]:
         """Return the tasks to try, without those that nobody waits for."""
         entries = self._queue.candidates(flow)
-        gone = [each for each in entries if _is_gone(each)]
-        while gone:
-            for entry in gone:
+        abandoned = [each for each in entries if _is_abandoned(each)]
+        while abandoned:
+            for entry in abandoned:
                 self._queue.end(entry)
             entries = self._queue.candidates(flow)
-            gone = [each for each in entries if _is_gone(each)]
+            abandoned = [each for each in entries if _is_abandoned(each)]
         return entries
 
     def _place(self, entry: flows.Entry, now: float) -> Placement | None:
@@ -178,7 +178,7 @@
         customer = entry.task.customer
         free = self._slots.free_endpoints(customer=customer, now=now)
         while free:
-            endpoint = self.router.choose(entry, free, now=now)
+            endpoint = self.router.choose_endpoint(entry, free, now=now)
             if endpoint is None:
                 return None
             ticket = self._slots.take(
@@ -197,17 +197,17 @@
         placement = Placement(
             entry=entry,
             ticket=ticket,
-            vm=self.router.vm(ticket.endpoint),
+            vm=self.router.listed_vm(ticket.endpoint),
             started=now,
         )
         self.running[entry.number] = placement
         return placement
 
-    def _unhold_all(self) -> None:
-        for flow in self.held.values():
+    def _unblock_all(self) -> None:
+        for flow in self.blocked.values():
             self._queue.offer(flow)
-        self.held.clear()
+        self.blocked.clear()
 
 
-def _is_gone(entry: flows.Entry) -> bool:
+def _is_abandoned(entry: flows.Entry) -> bool:
     return entry.waiter is None or entry.waiter.done()
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -40,16 +40,16 @@
             if vm.role is platform.VmRole.ENDPOINT
             and vm.state is platform.VmState.LIVE
         }
-        self._health.set_zones(
+        self._health.set_endpoints(
             {endpoint: vm.zone for endpoint, vm in self._vms.items()},
             own=self._zone,
         )
 
-    def vm(self, endpoint: ids.EndpointId) -> platform.Vm:
+    def listed_vm(self, endpoint: ids.EndpointId) -> platform.Vm:
         """Return the list's entry of a live endpoint."""
         return self._vms[endpoint]
 
-    def choose(
+    def choose_endpoint(
         self,
         entry: flows.Entry,
         free: tuple[ids.EndpointId, ...],
@@ -63,7 +63,7 @@
         last, or not at all, with any other.
         """
         if entry.exclude or entry.refused:
-            free = self._without(free, entry.exclude | entry.refused)
+            free = self._remove_excluded(free, entry.exclude | entry.refused)
         probes = self._health.on_probation(free, now=now)
         if probes and _is_harmless_probe(entry.task):
             return self._rng.choice(probes)
@@ -71,7 +71,7 @@
         ranks = [rank_of(endpoint, _NO_RANK) for endpoint in free]
         least = min(ranks, default=_NO_RANK)
         if least == _NO_RANK:
-            probes = self._health.for_unsafe_probes(probes, now=now)
+            probes = self._health.filter_unsafe_probes(probes, now=now)
             return self._rng.choice(probes) if probes else None
         if ranks.count(least) == 1:
             return free[ranks.index(least)]
@@ -80,7 +80,7 @@
         ]
         return ties[int(self._rng.random() * len(ties))]
 
-    def learn(
+    def record_outcome(
         self,
         task: work.Task,
         endpoint: ids.EndpointId,
@@ -92,8 +92,10 @@
         """Tell the health estimates how a task ended; None if cancelled."""
         match outcome:
             case work.Answer(status=status):
-                self._learn_answer(task, endpoint, status, run_s, now)
-            case work.Unknown() if not self._gave_up_early(task, run_s, now):
+                self._record_answer(task, endpoint, status, run_s, now)
+            case work.Unknown() if not self._is_deadline_too_short(
+                task, run_s, now
+            ):
                 self._health.record_failure(
                     endpoint, request_id=task.request_id, now=now
                 )
@@ -104,9 +106,9 @@
                     endpoint, request_id=task.request_id, now=now
                 )
             case _:
-                self._health.record_nothing(endpoint)
+                self._health.record_inconclusive(endpoint)
 
-    def _learn_answer(
+    def _record_answer(
         self,
         task: work.Task,
         endpoint: ids.EndpointId,
@@ -132,14 +134,16 @@
             if task.kind is work.Kind.JOB:
                 self._health.record_job_success(request_id)
 
-    def _gave_up_early(self, task: work.Task, run_s: float, now: float) -> bool:
+    def _is_deadline_too_short(
+        self, task: work.Task, run_s: float, now: float
+    ) -> bool:
         """Tell whether the caller's short deadline explains the loss."""
         if now < task.deadline:
             return False
-        usual_s = self._health.usual_run_s(task.customer)
+        usual_s = self._health.mean_run_s(task.customer)
         return run_s < MIN_MEAN_RUNS_TO_FAIL * usual_s
 
-    def _without(
+    def _remove_excluded(
         self,
         free: tuple[ids.EndpointId, ...],
         exclude: frozenset[ids.EndpointId],
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -103,7 +103,7 @@
             client=self.client,  # type: ignore[arg-type]
             health=self.health,
             metrics=metrics.Metrics(),
-            cfg=dispatcher.Config(pause_s=0.01),
+            cfg=dispatcher.Config(refusal_pause_s=0.01),
         )
 
     def list_vms(self, *vms: platform.Vm) -> None:
--- a/tests/process/test_health.py
+++ b/tests/process/test_health.py
@@ -19,7 +19,7 @@
     def __init__(self, count: int) -> None:
         super().__init__(rng=random.Random(1), cfg=health.Config(jitter=0))
         zone = ids.ZoneId('z')
-        self.set_zones(dict.fromkeys(NAMES[:count], zone), own=zone)
+        self.set_endpoints(dict.fromkeys(NAMES[:count], zone), own=zone)
 
     def fail(
         self, endpoint: Any, request: str | None = None, now: float = 0
@@ -75,7 +75,7 @@
             estimates.fail(FIRST)
         now = float(0)
         for period_s in (1, 2, 4, 8):
-            self.assertEqual(now + period_s, estimates.next_return(now=now))
+            self.assertEqual(now + period_s, estimates.next_probe_at(now=now))
             now += period_s
             self.assertEqual([FIRST], estimates.on_probation(NAMES, now=now))
             estimates.record_start(FIRST, now=now)
@@ -97,7 +97,7 @@
         self.assertEqual([], estimates.on_probation(NAMES, now=0.9))
         estimates.record_start(FIRST, now=1)
         self.assertEqual([], estimates.on_probation(NAMES, now=1))
-        estimates.record_nothing(FIRST)
+        estimates.record_inconclusive(FIRST)
         self.assertEqual([FIRST], estimates.on_probation(NAMES, now=1))
         estimates.succeed(FIRST, now=1)
         self.assertIn(FIRST, estimates.ranks)
@@ -106,16 +106,20 @@
         """Guards against a job that fails as the probe of a bad endpoint."""
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
-        self.assertEqual([], estimates.for_unsafe_probes([FIRST], now=2))
-        self.assertEqual(11, estimates.next_return(now=2))
-        self.assertEqual([FIRST], estimates.for_unsafe_probes([FIRST], now=11))
+        self.assertEqual([], estimates.filter_unsafe_probes([FIRST], now=2))
+        self.assertEqual(11, estimates.next_probe_at(now=2))
+        self.assertEqual(
+            [FIRST], estimates.filter_unsafe_probes([FIRST], now=11)
+        )
 
     def test_any_task_may_probe_the_only_endpoint(self) -> None:
         """Guards against jobs that wait while no endpoint is in service."""
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
         estimates.ranks.clear()
-        self.assertEqual([FIRST], estimates.for_unsafe_probes([FIRST], now=2))
+        self.assertEqual(
+            [FIRST], estimates.filter_unsafe_probes([FIRST], now=2)
+        )
 
     def test_half_of_a_zone_stays(self) -> None:
         """Guards against a zone without endpoints when all seem to fail."""
@@ -156,5 +160,5 @@
             estimates.succeed(FIRST, 0.1)
             estimates.succeed(SECOND, 0.4)
         for now in range(1, 300):
-            estimates.forget_unused(now=now)
+            estimates.decay_unused(now=now)
         self.assertEqual(0, estimates.ranks[SECOND])
