--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -193,7 +193,7 @@
     """Return all parts of an entry process, with a zone's division."""
     built = components.build(
         cfg=slopes_samples.entry_settings(),
-        outside=components.Dependencies(
+        dependencies=components.Dependencies(
             clock=slopes_samples.system_clock(),
             rng=random.Random(1),
             platform=slopes_samples.MemoryPlatform(
--- a/sardineproxy/bench/slopes_http.py
+++ b/sardineproxy/bench/slopes_http.py
@@ -213,7 +213,7 @@
 
 async def _start_entry(port: int) -> tuple[entry.EntryProcess, int]:
     """Start an entry process that owns all slots, and return its port."""
-    outside = components.Dependencies(
+    dependencies = components.Dependencies(
         clock=slopes_samples.system_clock(),
         rng=random.Random(1),
         platform=slopes_samples.MemoryPlatform(
@@ -225,10 +225,10 @@
         ),
     )
     process = entry.EntryProcess(
-        cfg=slopes_samples.entry_settings(), outside=outside
+        cfg=slopes_samples.entry_settings(), dependencies=dependencies
     )
     ports = (await process.start()).unwrap()
-    built = process._parts  # noqa: SLF001
+    built = process._components  # noqa: SLF001
     assert built is not None
     while not (process.is_ready() and built.slots.owned):
         await asyncio.sleep(0.01)
@@ -237,7 +237,7 @@
 
 async def _stop_entry(process: entry.EntryProcess) -> None:
     # A graceful shutdown first waits for the balancer.
-    built = process._parts  # noqa: SLF001
+    built = process._components  # noqa: SLF001
     assert built is not None
     await process._close(built)  # noqa: SLF001
 
--- a/sardineproxy/bench/slopes_listing.py
+++ b/sardineproxy/bench/slopes_listing.py
@@ -117,7 +117,7 @@
     """Return all parts of an entry process, of which none runs."""
     return components.build(
         cfg=slopes_samples.entry_settings(),
-        outside=components.Dependencies(
+        dependencies=components.Dependencies(
             clock=slopes_samples.system_clock(),
             rng=random.Random(1),
             platform=slopes_samples.MemoryPlatform(
--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -31,11 +31,11 @@
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Parse the command line; the error is one sentence."""
     values = _define_flags()
-    asked = command_line.read(values, argv, USAGE)
-    if isinstance(asked, result.Err):
-        return asked
-    if asked.ok_value is not None:
-        return result.Ok(asked.ok_value)
+    help_requested = command_line.read(values, argv, USAGE)
+    if isinstance(help_requested, result.Err):
+        return help_requested
+    if help_requested.ok_value is not None:
+        return result.Ok(help_requested.ok_value)
     if not values.settings:
         return result.Err('--settings FILE is required; see --help.')
     return result.Ok(
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -105,44 +105,44 @@
     )
 
 
-def build(*, cfg: settings.Settings, outside: Dependencies) -> Components:
+def build(*, cfg: settings.Settings, dependencies: Dependencies) -> Components:
     """Build all parts; nothing runs and no port is open yet."""
     incarnation = ids.Incarnation(secrets.token_hex(INCARNATION_BYTES))
-    registry = outside.registry
+    registry = dependencies.registry
     vm_directory = directory.VmDirectory(seeds=_seeds(cfg))
     vm_list = listing.ListFollower(
-        platform=outside.platform,
+        platform=dependencies.platform,
         directory=vm_directory,
-        clock=outside.clock,
-        rng=outside.rng,
+        clock=dependencies.clock,
+        rng=dependencies.rng,
         cfg=listing.Config(),
     )
     version_follower = follower.Follower(
-        platform=outside.platform,
-        clock=outside.clock,
-        rng=outside.rng,
+        platform=dependencies.platform,
+        clock=dependencies.clock,
+        rng=dependencies.rng,
         metrics=registry,
         cfg=follower.Config(),
     )
     slot_table = slots.SlotTable()
     client = endpoint.EndpointClient(
-        clock=outside.clock, metrics=registry, cfg=endpoint.Config()
+        clock=dependencies.clock, metrics=registry, cfg=endpoint.Config()
     )
     task_dispatcher = dispatcher.Dispatcher(
-        clock=outside.clock,
-        rng=outside.rng,
+        clock=dependencies.clock,
+        rng=dependencies.rng,
         zone=ids.ZoneId(cfg.zone),
         directory=vm_directory,
         slot_table=slot_table,
         client=client,
-        health=health.Health(rng=outside.rng),
+        health=health.Health(rng=dependencies.rng),
         metrics=registry,
         cfg=dispatcher.Config(),
     )
     forwarder = _DeferredForwarder()
     accepted = submissions.Submissions(
-        clock=outside.clock,
-        rng=outside.rng,
+        clock=dependencies.clock,
+        rng=dependencies.rng,
         vm=ids.VmId(cfg.vm),
         incarnation=incarnation,
         secret=secrets.token_bytes(SECRET_BYTES),
@@ -150,16 +150,16 @@
         runner=runner.Runner(
             dispatcher=task_dispatcher,
             budget=retries.RetryBudget(),
-            clock=outside.clock,
-            rng=outside.rng,
+            clock=dependencies.clock,
+            rng=dependencies.rng,
             metrics=registry,
         ),
         forwarder=forwarder,
         metrics=registry,
     )
     peer_streams = peers.Peers(
-        clock=outside.clock,
-        rng=outside.rng,
+        clock=dependencies.clock,
+        rng=dependencies.rng,
         vm=ids.VmId(cfg.vm),
         incarnation=incarnation,
         zone=ids.ZoneId(cfg.zone),
@@ -170,11 +170,11 @@
         gossip=gossip.Gossip(versions=version_follower, vm_list=vm_list),
         metrics=registry,
         cfg=_peers_config(cfg.peering),
-        connect=outside.connect,
-        listen=outside.listen,
+        connect=dependencies.connect,
+        listen=dependencies.listen,
     )
     forwarder.target = peer_streams
-    parts = Components(
+    components = Components(
         incarnation=incarnation,
         metrics=registry,
         directory=vm_directory,
@@ -186,8 +186,8 @@
         submissions=accepted,
         peers=peer_streams,
     )
-    _subscribe(parts)
-    return parts
+    _subscribe(components)
+    return components
 
 
 def _seeds(cfg: settings.Settings) -> tuple[platform.Vm, ...]:
@@ -224,27 +224,29 @@
     )
 
 
-def _subscribe(parts: Components) -> None:
+def _subscribe(components: Components) -> None:
     """Subscribe each part to what it follows."""
-    parts.versions.in_force.subscribe(
-        lambda version: _apply_version(parts, version)
+    components.versions.in_force.subscribe(
+        lambda version: _apply_version(components, version)
     )
-    parts.peers.live_vms.subscribe(parts.submissions.set_live_vms)
-    parts.dispatcher.backlog.subscribe(parts.peers.on_backlog)
-    parts.slots.changed.subscribe(lambda _: parts.dispatcher.wake())
+    components.peers.live_vms.subscribe(components.submissions.set_live_vms)
+    components.dispatcher.backlog.subscribe(components.peers.on_backlog)
+    components.slots.changed.subscribe(lambda _: components.dispatcher.wake())
 
 
-def _apply_version(parts: Components, version: versions.Version | None) -> None:
-    parts.submissions.set_version(version)
+def _apply_version(
+    components: Components, version: versions.Version | None
+) -> None:
+    components.submissions.set_version(version)
     if version is None:
         return
-    parts.dispatcher.set_weights(
+    components.dispatcher.set_weights(
         {
             customer: contract.weight
             for customer, contract in version.contracts.items()
         }
     )
-    parts.slots.set_holds(
+    components.slots.set_holds(
         {
             customer: contract.hold
             for customer, contract in version.contracts.items()
--- a/sardineproxy/process/core.py
+++ b/sardineproxy/process/core.py
@@ -39,8 +39,8 @@
     ready.announce(started.ok_value)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     await stop.wait()
     return await process.shut_down()
 
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -25,67 +25,71 @@
         self,
         *,
         cfg: settings.Settings,
-        outside: components.Dependencies | None = None,
+        dependencies: components.Dependencies | None = None,
     ) -> None:
         """Prepare the process; without ``outside`` it uses real ones."""
         self._cfg = cfg
-        self._outside = outside
+        self._dependencies = dependencies
         self._session: aiohttp.ClientSession | None = None
-        self._parts: components.Components | None = None
+        self._components: components.Components | None = None
         self._callers: caller.Listener | None = None
         self._admin: web.AppRunner | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self._draining = False
+        self._is_draining = False
 
         #: True once all work in progress has ended during a shutdown.
-        self._idle = False
-        self._clock = outside.clock if outside else clock.SystemClock()
-        self._started = self._clock.now()
+        self._has_drained = False
+        self._clock = (
+            dependencies.clock if dependencies else clock.SystemClock()
+        )
+        self._started_at = self._clock.now()
 
     async def start(self) -> result.Result[Ports, str]:
         """Open all listeners; the error is one sentence."""
-        self._parts = components.build(cfg=self._cfg, outside=self._connect())
-        await self._parts.client.start()
+        self._components = components.build(
+            cfg=self._cfg, dependencies=self._connect_dependencies()
+        )
+        await self._components.client.start()
         try:
-            ports = await self._listen(self._parts)
+            ports = await self._open_listeners(self._components)
         except OSError as exc:
             return result.Err(f'cannot open a listener: {exc}.')
         self._tasks = [
-            asyncio.create_task(self._parts.versions.run()),
-            asyncio.create_task(self._parts.vm_list.run()),
+            asyncio.create_task(self._components.versions.run()),
+            asyncio.create_task(self._components.vm_list.run()),
         ]
         _LOG.info('Started.', extra={'vm': self._cfg.vm, 'ports': ports})
         return result.Ok(ports)
 
     def is_ready(self) -> bool:
         """Tell whether the balancer may send new callers."""
-        if self._draining or self._parts is None:
+        if self._is_draining or self._components is None:
             return False
-        return self._parts.versions.number() > 0
+        return self._components.versions.number() > 0
 
     def state(self) -> dict[str, object]:
         """Return the state dump of all parts."""
         now = self._clock.now()
-        own: dict[str, object] = {
+        process_state: dict[str, object] = {
             'vm': self._cfg.vm,
             'zone': self._cfg.zone,
             'region': self._cfg.region,
-            'uptime_s': now - self._started,
+            'uptime_s': now - self._started_at,
             'ready': self.is_ready(),
-            'draining': self._draining,
+            'draining': self._is_draining,
             **_resource_usage(),
         }
-        if self._parts is None:
-            return own
+        if self._components is None:
+            return process_state
         return {
-            **own,
-            'incarnation': self._parts.incarnation,
-            'config': self._parts.versions.state(now=now),
-            'list_revision': self._parts.vm_list.revision(),
-            'submissions': self._parts.submissions.state(now=now),
-            'dispatcher': self._parts.dispatcher.state(now=now),
-            'slots': self._parts.slots.state(now=now),
-            'peers': self._parts.peers.state(now=now),
+            **process_state,
+            'incarnation': self._components.incarnation,
+            'config': self._components.versions.state(now=now),
+            'list_revision': self._components.vm_list.revision(),
+            'submissions': self._components.submissions.state(now=now),
+            'dispatcher': self._components.dispatcher.state(now=now),
+            'slots': self._components.slots.state(now=now),
+            'peers': self._components.peers.state(now=now),
         }
 
     async def shut_down(self) -> exit_status.ExitStatus:
@@ -94,37 +98,37 @@
         Readiness turns first, so that the balancer stops sending callers
         before any is refused. Ends within the settings' ``limit_s``.
         """
-        assert self._parts is not None
+        assert self._components is not None
         status = exit_status.ExitStatus.SUCCESS
         try:
             async with asyncio.timeout(
                 self._cfg.shutdown.limit_s - settings.CLOSE_TIMEOUT_S
             ):
-                await self._drain(self._parts)
+                await self._drain(self._components)
         except TimeoutError:
             _LOG.warning('Shutdown limit reached.')
-            if not self._idle:
+            if not self._has_drained:
                 status = exit_status.ExitStatus.ERROR
         try:
             async with asyncio.timeout(settings.CLOSE_TIMEOUT_S):
-                await self._close(self._parts)
+                await self._close(self._components)
         except TimeoutError:
             _LOG.warning('Connections were still open at the end.')
         _LOG.info('Ended.')
         return status
 
-    async def _drain(self, own: components.Components) -> None:
-        self._draining = True
+    async def _drain(self, components: components.Components) -> None:
+        self._is_draining = True
         _LOG.info('Shutting down: not ready any more.')
         await asyncio.sleep(self._cfg.shutdown.notice_s)
-        own.submissions.drain()
-        await own.submissions.idle()
-        self._idle = True
-        await own.peers.goodbye()
-
-    def _connect(self) -> components.Dependencies:
-        if self._outside is not None:
-            return self._outside
+        components.submissions.drain()
+        await components.submissions.idle()
+        self._has_drained = True
+        await components.peers.goodbye()
+
+    def _connect_dependencies(self) -> components.Dependencies:
+        if self._dependencies is not None:
+            return self._dependencies
         self._session = aiohttp.ClientSession(trust_env=False)
         registry = metrics.Metrics()
         return components.Dependencies(
@@ -136,18 +140,20 @@
             ),
         )
 
-    async def _listen(self, own: components.Components) -> Ports:
+    async def _open_listeners(self, components: components.Components) -> Ports:
         limits = caller.EdgeLimits()
         self._callers = await caller.start(
             app=caller.build_app(
-                submissions=own.submissions, limits=limits, clock=self._clock
+                submissions=components.submissions,
+                limits=limits,
+                clock=self._clock,
             ),
             limits=limits,
             host=self._cfg.callers.host,
             port=self._cfg.callers.port,
         )
         self._admin = web.AppRunner(
-            admin.build_app(process=self, metrics=own.metrics),
+            admin.build_app(process=self, metrics=components.metrics),
             access_log=None,
         )
         await self._admin.setup()
@@ -155,24 +161,24 @@
             self._admin, self._cfg.admin.host, self._cfg.admin.port
         )
         await admin_site.start()
-        await own.peers.start(
+        await components.peers.start(
             host=self._cfg.peers.host, port=self._cfg.peers.port
         )
         return {
             'callers': self._callers.port,
             'admin': self._admin.addresses[0][1],
-            'peers': own.peers.port,
+            'peers': components.peers.port,
         }
 
-    async def _close(self, own: components.Components) -> None:
+    async def _close(self, components: components.Components) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._callers is not None:
             await self._callers.close()
-        await own.peers.close()
-        own.dispatcher.close()
-        await own.client.close()
+        await components.peers.close()
+        components.dispatcher.close()
+        await components.client.close()
         if self._admin is not None:
             await self._admin.cleanup()
         if self._session is not None:
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -90,14 +90,14 @@
             page = await self._read_page(prefix, after, strict)
             if isinstance(page, result.Err):
                 return page
-            members, more = page.ok_value
-            rows.extend(members)
-            size += sum(len(row.body) for row in members)
-            if not more:
+            page_rows, has_more = page.ok_value
+            rows.extend(page_rows)
+            size += sum(len(row.body) for row in page_rows)
+            if not has_more:
                 return result.Ok(tuple(rows))
-            if not members or size > MAX_ROWS_BYTES:
+            if not page_rows or size > MAX_ROWS_BYTES:
                 return _invalid(f'rows under {prefix} exceed their bound')
-            after = members[-1].key
+            after = page_rows[-1].key
 
     async def transact(
         self,
@@ -142,7 +142,7 @@
         )
         if isinstance(reply, result.Ok) and reply.ok_value.status == 404:
             return result.Ok(None)
-        return reply.and_then(_check_read).map(lambda found: found.body)
+        return reply.and_then(_check_read).map(lambda reply: reply.body)
 
     async def put_object(
         self, name: str, body: bytes
@@ -164,19 +164,21 @@
         The platform sends the list only if its revision is another than that
         of the last answer.
         """
-        known = self._vm_list
-        tag = {} if known is None else {'If-None-Match': f'"{known.revision}"'}
+        cached = self._vm_list
+        headers = (
+            {} if cached is None else {'If-None-Match': f'"{cached.revision}"'}
+        )
         reply = await self._exchange(
             _Request(
                 method='GET',
                 path='/v1/vms',
                 max_bytes=listing.MAX_LIST_BYTES,
-                headers=tag,
+                headers=headers,
             )
         )
         if isinstance(reply, result.Ok) and reply.ok_value.status == 304:
-            if known is not None:
-                return result.Ok(known)
+            if cached is not None:
+                return result.Ok(cached)
         # Decoding 9,700 VMs took 0.13 s, too long for the event loop.
         listed = await asyncio.to_thread(_parse_vm_list, reply)
         if isinstance(listed, result.Ok):
@@ -204,7 +206,7 @@
         )
         return (
             reply.and_then(_check_read)
-            .and_then(lambda found: _parse(found, MAX_PAGE_BYTES))
+            .and_then(lambda reply: _parse(reply, MAX_PAGE_BYTES))
             .and_then(lambda document: _to_page(document, prefix, after))
         )
 
@@ -312,7 +314,7 @@
 ) -> result.Result[platform.VmList, _Error]:
     return (
         reply.and_then(_check_read)
-        .and_then(lambda found: _parse(found, listing.MAX_LIST_BYTES))
+        .and_then(lambda reply: _parse(reply, listing.MAX_LIST_BYTES))
         .and_then(_to_vm_list)
     )
 
@@ -326,15 +328,15 @@
 ) -> result.Result[tuple[tuple[platform.Row, ...], bool], _Error]:
     try:
         rows = tuple(_to_row(member) for member in document['rows'])
-        more = document['more']
+        has_more = document['more']
     except (KeyError, TypeError, ValueError):
         return _invalid('the platform answered with a malformed page of rows')
     keys = [after, *(row.key for row in rows)]
     is_sorted = all(low < high for low, high in zip(keys, keys[1:]))
     has_prefix = all(row.key.startswith(prefix) for row in rows)
-    if not is_sorted or not has_prefix or not isinstance(more, bool):
+    if not is_sorted or not has_prefix or not isinstance(has_more, bool):
         return _invalid('the platform answered with rows not asked for')
-    return result.Ok((rows, more))
+    return result.Ok((rows, has_more))
 
 
 def _to_row(member: Mapping[str, Any]) -> platform.Row:
--- a/sardineproxy/process/settings.py
+++ b/sardineproxy/process/settings.py
@@ -183,12 +183,12 @@
     )
 
 
-def _describe_error(place: str, error: Mapping[str, Any]) -> str:
+def _describe_error(location: str, error: Mapping[str, Any]) -> str:
     if error['type'] == 'missing':
-        return f'{place}: this key is required.'
+        return f'{location}: this key is required.'
     message = _simplify_message(error['msg'])
-    found = error['input']
-    return f'{place or "settings"}: {message}, found {found!r}.'
+    given = error['input']
+    return f'{location or "settings"}: {message}, found {given!r}.'
 
 
 def _simplify_message(message: str) -> str:
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -69,7 +69,7 @@
         self.rows = row_store.RowStore()
         self.rng = rng
         self.fault_share = fault_share
-        self.is_down = False
+        self.is_unavailable = False
         self.calls = 0
 
         #: Rows whose writing is refused begin so, none if empty.
@@ -77,41 +77,43 @@
         self._late: set[asyncio.Task[None]] = set()
 
     async def read(self, name: str, *, part: str = '') -> Any:
-        if not await self._passes():
-            return _failed(store.ErrorKind.UNAVAILABLE)
+        if not await self._is_reachable():
+            return _error(store.ErrorKind.UNAVAILABLE)
         page = self.rows.read(name, part=part, limit=10**6)
         return result.Ok(store.Rows(rows=page.rows, revision=page.revision))
 
     async def get(self, key: str, *, part: str = '') -> Any:
-        if not await self._passes():
-            return _failed(store.ErrorKind.UNAVAILABLE)
+        if not await self._is_reachable():
+            return _error(store.ErrorKind.UNAVAILABLE)
         return result.Ok(self.rows.get(key, part=part))
 
     async def transact(self, **changes: Any) -> Any:
-        if not await self._passes() or self._refuses(changes['writes']):
-            return _failed(store.ErrorKind.UNAVAILABLE)
+        if not await self._is_reachable() or self._is_refused(
+            changes['writes']
+        ):
+            return _error(store.ErrorKind.UNAVAILABLE)
         if self.rng.random() < self.fault_share:
-            self._do_later(changes)
-            return _failed(store.ErrorKind.UNKNOWN)
+            self._apply_later(changes)
+            return _error(store.ErrorKind.UNKNOWN)
         done = self.rows.transact(**changes)
         if self.rng.random() < self.fault_share:
-            return _failed(store.ErrorKind.UNKNOWN)
+            return _error(store.ErrorKind.UNKNOWN)
         if isinstance(done, row_store.Conflict):
-            return _failed(store.ErrorKind.CONFLICT)
+            return _error(store.ErrorKind.CONFLICT)
         return result.Ok(done)
 
-    async def _passes(self) -> bool:
+    async def _is_reachable(self) -> bool:
         self.calls += 1
         await asyncio.sleep(self.rng.uniform(0.004, 0.012))
-        return not self.is_down and self.rng.random() >= self.fault_share
+        return not self.is_unavailable and self.rng.random() >= self.fault_share
 
-    def _refuses(self, writes: tuple[store.Write, ...]) -> bool:
+    def _is_refused(self, writes: tuple[store.Write, ...]) -> bool:
         prefix = self.refused_prefix
         return bool(prefix) and any(
             write.key.startswith(prefix) for write in writes
         )
 
-    def _do_later(self, changes: Any) -> None:
+    def _apply_later(self, changes: Any) -> None:
         async def later() -> None:
             await asyncio.sleep(self.rng.uniform(0.1, 4))
             self.rows.transact(**changes)
@@ -143,19 +145,19 @@
 class Process:
     """An owner of the cell with its keeper."""
 
-    def __init__(self, world: 'Cluster', epoch: int) -> None:
-        self.world = world
+    def __init__(self, cluster: 'Cluster', epoch: int) -> None:
+        self.cluster = cluster
         self.epoch = epoch
         self.is_up = True
         self.link: Any = Link(self)
         api = wire.Wire(
-            models=world.rig.models,
-            clock=world.rig.clock,
-            fate_of=world.fate_of,
-            delay_s=lambda: world.rng.uniform(0.0001, 0.003),
+            models=cluster.rig.models,
+            clock=cluster.rig.clock,
+            fate_of=cluster.fate_of,
+            delay_s=lambda: cluster.rng.uniform(0.0001, 0.003),
         )
-        api.late_s = world.rng.uniform(0.5, 4)
-        self.shard: shards.ShardLeader = world.rig.own(
+        api.late_s = cluster.rng.uniform(0.5, 4)
+        self.shard: shards.ShardLeader = cluster.rig.own(
             epoch=epoch, api=api, around=self
         )
         self.manager = job_manager.JobManager(
@@ -165,13 +167,13 @@
                     right=fences.Right(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
                 ),
-                store=world.store,
-                clock=world.rig.clock,
-                rng=world.rng,
+                store=cluster.store,
+                clock=cluster.rig.clock,
+                rng=cluster.rng,
                 metrics=metrics.Metrics(),
             ),
             router=self,
-            clock=world.rig.clock,
+            clock=cluster.rig.clock,
             metrics=metrics.Metrics(),
             states_s=120,
         )
@@ -181,7 +183,7 @@
     def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
         shards_kept = [samples.SHARD] if self.manager.is_loaded else []
-        self._keepers.update(vm, shards_kept, self.world.rig.clock.now())
+        self._keepers.update(vm, shards_kept, self.cluster.rig.clock.now())
         return self._keepers.get(samples.SHARD, vm)
 
     def keeper_of(self, job: ids.JobId) -> Any:
@@ -191,7 +193,7 @@
         return now
 
     def listed_at(self) -> float:
-        return self.world.rig.clock.now()
+        return self.cluster.rig.clock.now()
 
     def list_answers(self) -> bool:
         return True
@@ -203,16 +205,16 @@
         return self.link
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
-        return self.world.routes.get(route)
+        return self.cluster.routes.get(route)
 
     def receive(self, message: Any) -> None:
         if self.is_up:
-            self._take(message)
+            self._dispatch(message)
 
     async def crash(self) -> None:
         """End without a word."""
         self.is_up = False
-        self.world.rig.superseded_shards.append(self.shard)
+        self.cluster.rig.superseded_shards.append(self.shard)
         await self.manager.close()
         await self.shard.close()
 
@@ -220,13 +222,13 @@
         """Lose the link between keeper and cell, and open a new one."""
         lost = self.link
         self.link = Link(self)
-        self.shard.link_lost(lost, self.world.rig.clock.now())
+        self.shard.link_lost(lost, self.cluster.rig.clock.now())
         self.manager.broadcast(
             open_tasks.LeaderLost(shard=samples.SHARD, source=lost)
         )
 
-    def _take(self, message: Any) -> None:
-        now = self.world.rig.clock.now()
+    def _dispatch(self, message: Any) -> None:
+        now = self.cluster.rig.clock.now()
         match message:
             case messages.Submit():
                 self.shard.submit(self.link, message, now)
@@ -283,12 +285,12 @@
         return self.take_over()
 
     def restart_workers(self) -> None:
-        for each in self.rig.models.values():
-            if not each.is_up:
-                each.restart(self.rig.clock.now())
+        for model in self.rig.models.values():
+            if not model.is_up:
+                model.restart(self.rig.clock.now())
         self.rig.list_workers(self.leader.shard, list(self.rig.models.values()))
 
-    async def settle(self, job: ids.JobId, limit_s: float = 30) -> str:
+    async def wait_for_end(self, job: ids.JobId, limit_s: float = 30) -> str:
         """Wait for the end of a job; return its last state."""
         until = self.rig.clock.now() + limit_s
         answer = job_manager.JobReply.UNAVAILABLE
@@ -299,7 +301,7 @@
             await asyncio.sleep(0.05)
         return answer.value
 
-    def complaints(self) -> list[str]:
+    def violations(self) -> list[str]:
         found = self.rig.records()
         return [
             *self.rig.complaints(),
@@ -308,5 +310,5 @@
         ]
 
 
-def _failed(kind: store.ErrorKind) -> Any:
+def _error(kind: store.ErrorKind) -> Any:
     return result.Err(store.StoreError(kind=kind, detail=kind.value))
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -8,19 +8,19 @@
 from sardineproxy.process.stored_jobs import job_manager, job_table
 from tests import virtual_time
 from tests.process.shards import samples
-from tests.process.stored_jobs import cluster as worlds
+from tests.process.stored_jobs import cluster as clusters
 
 _Answer = job_manager.JobReply
 
 
-def with_world(
-    scenario: Callable[[worlds.Cluster], Coroutine[Any, Any, None]],
+def with_cluster(
+    scenario: Callable[[clusters.Cluster], Coroutine[Any, Any, None]],
     **settings: Any,
 ) -> None:
     async def main() -> None:
-        world = worlds.Cluster(**settings)
+        cluster = clusters.Cluster(**settings)
         await asyncio.sleep(0.1)
-        await scenario(world)
+        await scenario(cluster)
 
     virtual_time.run(main)
 
@@ -29,58 +29,64 @@
     def test_accepted_job_is_stored_and_completes(self) -> None:
         """Guards against an answer for a job that nobody keeps."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 3)
-            answer = await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 3)
+            answer = await cluster.leader.manager.accept(stored)
             self.assertEqual(_Answer.ACCEPTED, answer)
             key = f'{job_table.JOB_PREFIX}{stored.job.job}'
-            self.assertIsNotNone(world.store.rows.get(key, part=samples.SHARD))
-            self.assertEqual('completed', await world.settle(stored.job.job))
-            self.assertEqual(3, len(world.rig.records()))
-            self.assertEqual([], world.complaints())
+            self.assertIsNotNone(
+                cluster.store.rows.get(key, part=samples.SHARD)
+            )
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual(3, len(cluster.rig.records()))
+            self.assertEqual([], cluster.violations())
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_many_jobs_at_once_are_all_accepted(self) -> None:
         """Guards against commits that the store refuses for their size."""
 
-        async def scenario(world: worlds.Cluster) -> None:
+        async def scenario(cluster: clusters.Cluster) -> None:
             answers = await asyncio.gather(
                 *(
-                    world.leader.manager.accept(worlds.make_job(number, 1))
+                    cluster.leader.manager.accept(clusters.make_job(number, 1))
                     for number in range(120)
                 )
             )
             self.assertEqual([_Answer.ACCEPTED] * 120, answers)
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_same_id_remains_one_job(self) -> None:
         """Guards against a second run for a request that came twice."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 1)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 1)
             answers = await asyncio.gather(
-                *(world.leader.manager.accept(stored) for _ in range(3))
+                *(cluster.leader.manager.accept(stored) for _ in range(3))
             )
             self.assertEqual([_Answer.ACCEPTED] * 3, answers)
-            await world.settle(stored.job.job)
-            answer = await world.leader.manager.accept(stored)
+            await cluster.wait_for_end(stored.job.job)
+            answer = await cluster.leader.manager.accept(stored)
             self.assertEqual(_Answer.ACCEPTED, answer)
             await asyncio.sleep(2)
-            self.assertEqual(1, len(world.rig.records()))
+            self.assertEqual(1, len(cluster.rig.records()))
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_step_waits_for_earlier_ones(self) -> None:
         """Guards against tasks whose input does not exist yet."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 2, 3, 1)
-            await world.leader.manager.accept(stored)
-            self.assertEqual('completed', await world.settle(stored.job.job))
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 2, 3, 1)
+            await cluster.leader.manager.accept(stored)
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
             spans: dict[str, list[tuple[float, float]]] = {}
-            for record in world.rig.records():
+            for record in cluster.rig.records():
                 step = record.task.split('.')[2]
                 spans.setdefault(step, []).append(
                     (record.started_at, record.ended_at or 0)
@@ -90,193 +96,209 @@
                 begun = min(start for start, _ in spans[after])
                 self.assertLess(ended, begun)
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_task_that_fails_too_often_fails_the_job(self) -> None:
         """Guards against attempts beyond the route's limit."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 1)
-            await world.leader.manager.accept(stored)
-            self.assertEqual('failed', await world.settle(stored.job.job))
-            self.assertEqual(worlds.MAX_ATTEMPTS, len(world.rig.records()))
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 1)
+            await cluster.leader.manager.accept(stored)
+            self.assertEqual(
+                'failed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual(clusters.MAX_ATTEMPTS, len(cluster.rig.records()))
 
-        with_world(scenario, failing_percent=100)
+        with_cluster(scenario, failing_percent=100)
 
     def test_cancelled_job_stops_and_starts_no_more(self) -> None:
         """Guards against work for a job that was called off."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 30)
-            await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 30)
+            await cluster.leader.manager.accept(stored)
             await asyncio.sleep(0.03)
-            answer = await world.leader.manager.cancel(stored.job.job)
+            answer = await cluster.leader.manager.cancel(stored.job.job)
             self.assertEqual(_Answer.CANCELLED, answer)
             await asyncio.sleep(0.05)
-            before = len(world.rig.records())
+            before = len(cluster.rig.records())
             await asyncio.sleep(2)
-            self.assertEqual(before, len(world.rig.records()))
-            for record in world.rig.records():
+            self.assertEqual(before, len(cluster.rig.records()))
+            for record in cluster.rig.records():
                 self.assertIsNotNone(record.ended_at)
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_job_is_refused_while_the_store_is_away(self) -> None:
         """Guards against a refused job that runs later."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 1)
-            world.store.is_down = True
-            answer = await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 1)
+            cluster.store.is_unavailable = True
+            answer = await cluster.leader.manager.accept(stored)
             self.assertEqual(_Answer.REFUSED, answer)
-            world.store.is_down = False
+            cluster.store.is_unavailable = False
             await asyncio.sleep(5)
-            self.assertEqual([], world.rig.records())
-            answer = await world.leader.manager.query(stored.job.job)
+            self.assertEqual([], cluster.rig.records())
+            answer = await cluster.leader.manager.query(stored.job.job)
             self.assertEqual(_Answer.ABSENT, answer)
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_ends_are_acknowledged_once_they_are_stored(self) -> None:
         """Guards against done tasks that a new owner does not know."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 4)
-            await world.leader.manager.accept(stored)
-            world.store.is_down = True
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored)
+            cluster.store.is_unavailable = True
             await asyncio.sleep(3)
-            records = world.rig.records()
+            records = cluster.rig.records()
             self.assertEqual(4, len(records))
-            self.assertEqual([None] * 4, [each.acked_at for each in records])
-            world.store.is_down = False
-            self.assertEqual('completed', await world.settle(stored.job.job))
+            self.assertEqual(
+                [None] * 4, [record.acked_at for record in records]
+            )
+            cluster.store.is_unavailable = False
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
             await asyncio.sleep(1)
-            for each in world.rig.records():
-                self.assertIsNotNone(each.acked_at)
+            for record in cluster.rig.records():
+                self.assertIsNotNone(record.acked_at)
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_states_are_removed_when_nobody_asks_any_more(self) -> None:
         """Guards against a table that grows without end."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 1)
-            await world.leader.manager.accept(stored)
-            await world.settle(stored.job.job)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 1)
+            await cluster.leader.manager.accept(stored)
+            await cluster.wait_for_end(stored.job.job)
             await asyncio.sleep(150)
-            answer = await world.leader.manager.query(stored.job.job)
+            answer = await cluster.leader.manager.query(stored.job.job)
             self.assertEqual(_Answer.ABSENT, answer)
             key = f'{job_table.JOB_PREFIX}{stored.job.job}'
-            self.assertIsNone(world.store.rows.get(key, part=samples.SHARD))
+            self.assertIsNone(cluster.store.rows.get(key, part=samples.SHARD))
 
-        with_world(scenario)
+        with_cluster(scenario)
 
 
 class TestTakeover(testtools.TestCase):
     def test_next_leader_continues_the_running_tasks(self) -> None:
         """Guards against accepted jobs that end with their process."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 6)
-            await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 6)
+            await cluster.leader.manager.accept(stored)
             await asyncio.sleep(0.15)
-            await world.replace()
-            self.assertEqual('completed', await world.settle(stored.job.job))
-            self.assertEqual(6, len(world.rig.records()))
-            self.assertEqual([], world.complaints())
+            await cluster.replace()
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual(6, len(cluster.rig.records()))
+            self.assertEqual([], cluster.violations())
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_ended_job_is_known_to_the_next_leader(self) -> None:
         """Guards against states that are lost with a process."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 1)
-            await world.leader.manager.accept(stored)
-            await world.settle(stored.job.job)
-            await world.replace()
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 1)
+            await cluster.leader.manager.accept(stored)
+            await cluster.wait_for_end(stored.job.job)
+            await cluster.replace()
             await asyncio.sleep(0.2)
-            answer = await world.leader.manager.query(stored.job.job)
+            answer = await cluster.leader.manager.query(stored.job.job)
             self.assertEqual(_Answer.COMPLETED, answer)
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_former_leader_stores_nothing_more(self) -> None:
         """Guards against two owners that both accept jobs of a cell."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            former = world.leader
-            world.take_over()
+        async def scenario(cluster: clusters.Cluster) -> None:
+            former = cluster.leader
+            cluster.take_over()
             await asyncio.sleep(0.2)
-            answer = await former.manager.accept(worlds.make_job(1, 1))
+            answer = await former.manager.accept(clusters.make_job(1, 1))
             self.assertEqual(_Answer.UNKNOWN, answer)
-            answer = await former.manager.accept(worlds.make_job(2, 1))
+            answer = await former.manager.accept(clusters.make_job(2, 1))
             self.assertEqual(_Answer.UNAVAILABLE, answer)
             await asyncio.sleep(2)
-            self.assertEqual([], world.rig.records())
+            self.assertEqual([], cluster.rig.records())
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_done_task_is_not_repeated_after_a_crash(self) -> None:
         """Guards against a second original of what an owner saw done."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 4)
-            await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored)
             # The ends are known to the owner and listed, but not stored.
-            world.store.is_down = True
+            cluster.store.is_unavailable = True
             await asyncio.sleep(1.2)
-            await world.replace()
+            await cluster.replace()
             await asyncio.sleep(2)
-            world.store.is_down = False
-            self.assertEqual('completed', await world.settle(stored.job.job))
-            self.assertEqual(4, len(world.rig.records()))
-            self.assertEqual([], world.complaints())
+            cluster.store.is_unavailable = False
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual(4, len(cluster.rig.records()))
+            self.assertEqual([], cluster.violations())
 
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_progress_stays_until_the_end_of_the_job_is_stored(self) -> None:
         """Guards against done tasks of a job that is stored as running."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 4)
-            await world.leader.manager.accept(stored)
-            world.store.refused_prefix = job_table.JOB_PREFIX
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored)
+            cluster.store.refused_prefix = job_table.JOB_PREFIX
             await asyncio.sleep(3)
-            await world.replace()
+            await cluster.replace()
             await asyncio.sleep(1)
-            world.store.refused_prefix = ''
-            self.assertEqual('completed', await world.settle(stored.job.job))
-            self.assertEqual(4, len(world.rig.records()))
-            self.assertEqual([], world.complaints())
+            cluster.store.refused_prefix = ''
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual(4, len(cluster.rig.records()))
+            self.assertEqual([], cluster.violations())
 
         # Each row goes into a commit of its own, as in a commit that is full.
         self.patch(job_table, 'MAX_ROWS', 1)
-        with_world(scenario)
+        with_cluster(scenario)
 
     def test_failures_count_across_leaders(self) -> None:
         """Guards against attempts beyond the limit after a crash."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 2)
-            await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 2)
+            await cluster.leader.manager.accept(stored)
             for _ in range(3):
                 await asyncio.sleep(0.12)
-                await world.replace()
-            self.assertEqual('failed', await world.settle(stored.job.job))
-            self.assertEqual([], world.complaints())
+                await cluster.replace()
+            self.assertEqual(
+                'failed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual([], cluster.violations())
 
-        with_world(scenario, failing_percent=100)
+        with_cluster(scenario, failing_percent=100)
 
     def test_lost_link_to_the_keeper_does_not_stop_its_runs(self) -> None:
         """Guards against work thrown away for a reset connection."""
 
-        async def scenario(world: worlds.Cluster) -> None:
-            stored = worlds.make_job(1, 4)
-            await world.leader.manager.accept(stored)
+        async def scenario(cluster: clusters.Cluster) -> None:
+            stored = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored)
             await asyncio.sleep(0.1)
-            world.leader.relink()
-            self.assertEqual('completed', await world.settle(stored.job.job))
-            self.assertEqual(4, len(world.rig.records()))
+            cluster.leader.relink()
+            self.assertEqual(
+                'completed', await cluster.wait_for_end(stored.job.job)
+            )
+            self.assertEqual(4, len(cluster.rig.records()))
 
-        with_world(scenario)
+        with_cluster(scenario)
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -15,14 +15,14 @@
 from sardineproxy import ids
 from sardineproxy.process.stored_jobs import job_manager
 from tests import examples, virtual_time
-from tests.process.stored_jobs import cluster as worlds
+from tests.process.stored_jobs import cluster as clusters
 
 JOBS = 30
 
 #: Longest time until all accepted jobs have ended once the faults are over.
 FINISH_S = 60
 
-_KINDS = (
+_FAULTS = (
     'crash of the owner',
     'silent takeover',
     'relink',
@@ -36,17 +36,17 @@
 _events = strategies.lists(
     strategies.tuples(
         strategies.floats(min_value=0, max_value=6),
-        strategies.sampled_from(_KINDS),
+        strategies.sampled_from(_FAULTS),
     ),
     max_size=10,
 )
 
 
-class Play:
+class FaultScenario:
     """Six seconds of jobs and faults."""
 
-    def __init__(self, world: worlds.Cluster) -> None:
-        self.world = world
+    def __init__(self, cluster: clusters.Cluster) -> None:
+        self.cluster = cluster
         self.accepted: set[ids.JobId] = set()
         self.refused: set[ids.JobId] = set()
         self.cancelled: set[ids.JobId] = set()
@@ -55,24 +55,26 @@
     def at(self, time_s: float, kind: str) -> None:
         """Let something happen later."""
         asyncio.get_running_loop().call_later(
-            time_s, lambda: self._spawn(self._happen(kind))
+            time_s, lambda: self._spawn(self._inject(kind))
         )
 
-    def hand_in(self, number: int) -> None:
+    def submit(self, number: int) -> None:
         """Hand a job in, once more after an answer that says nothing."""
-        self._spawn(self._hand_in(number))
+        self._spawn(self._submit(number))
 
     def _spawn(self, work: object) -> None:
         task = asyncio.ensure_future(work)  # type: ignore[call-overload]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _hand_in(self, number: int) -> None:
-        counts = [self.world.rng.randint(1, 4)] * self.world.rng.randint(1, 2)
-        stored = worlds.make_job(number, *counts)
+    async def _submit(self, number: int) -> None:
+        counts = [self.cluster.rng.randint(1, 4)] * self.cluster.rng.randint(
+            1, 2
+        )
+        stored = clusters.make_job(number, *counts)
         answers = []
         for _ in range(2):
-            answers.append(await self.world.leader.manager.accept(stored))
+            answers.append(await self.cluster.leader.manager.accept(stored))
             if answers[-1] is not job_manager.JobReply.UNKNOWN:
                 break
             await asyncio.sleep(1.3)
@@ -81,38 +83,38 @@
         elif job_manager.JobReply.UNKNOWN not in answers:
             self.refused.add(stored.job.job)
 
-    async def _happen(self, kind: str) -> None:
-        world = self.world
-        model = world.rng.choice(list(world.rig.models.values()))
+    async def _inject(self, kind: str) -> None:
+        cluster = self.cluster
+        model = cluster.rng.choice(list(cluster.rig.models.values()))
         match kind:
             case 'crash of the owner':
-                await world.replace()
+                await cluster.replace()
             case 'silent takeover':
-                world.take_over()
+                cluster.take_over()
             case 'relink':
-                world.leader.relink()
+                cluster.leader.relink()
             case 'crash of a worker':
-                model.crash(world.rig.clock.now())
+                model.crash(cluster.rig.clock.now())
             case 'restart of workers':
-                world.restart_workers()
+                cluster.restart_workers()
             case 'store down' | 'store back':
-                world.store.is_down = kind == 'store down'
+                cluster.store.is_unavailable = kind == 'store down'
             case 'cancel':
                 await self._cancel()
 
     async def _cancel(self) -> None:
         running = sorted(self.accepted - self.cancelled)
         if running:
-            job = self.world.rng.choice(running)
+            job = self.cluster.rng.choice(running)
             self.cancelled.add(job)
-            await self.world.leader.manager.cancel(job)
+            await self.cluster.leader.manager.cancel(job)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
     """What became of a play's jobs."""
 
-    complaints: list[str]
+    violations: list[str]
     states: dict[ids.JobId, str]
 
     #: Jobs of which a task was started.
@@ -121,34 +123,36 @@
     cancelled: set[ids.JobId]
 
 
-async def play(
+async def run_scenario(
     seed: int, fault_share: float, events: list[tuple[float, str]]
 ) -> Report:
     """Play, end all faults, and wait for the ends of accepted jobs."""
-    world = worlds.Cluster(seed, fault_share=fault_share, failing_percent=10)
-    played = Play(world)
+    cluster = clusters.Cluster(
+        seed, fault_share=fault_share, failing_percent=10
+    )
+    scenario = FaultScenario(cluster)
     loop = asyncio.get_running_loop()
     for at, kind in events:
-        played.at(at, kind)
+        scenario.at(at, kind)
     for number in range(JOBS):
-        loop.call_later(0.2 + number * 0.2, played.hand_in, number)
+        loop.call_later(0.2 + number * 0.2, scenario.submit, number)
     await asyncio.sleep(9)
-    world.fault_share = 0
-    world.store.fault_share = 0
-    world.store.is_down = False
-    world.restart_workers()
-    until = world.rig.clock.now() + FINISH_S
+    cluster.fault_share = 0
+    cluster.store.fault_share = 0
+    cluster.store.is_unavailable = False
+    cluster.restart_workers()
+    until = cluster.rig.clock.now() + FINISH_S
     states = {
-        job: await world.settle(job, until - world.rig.clock.now())
-        for job in sorted(played.accepted)
+        job: await cluster.wait_for_end(job, until - cluster.rig.clock.now())
+        for job in sorted(scenario.accepted)
     }
     await asyncio.sleep(2)
     return Report(
-        complaints=world.complaints(),
+        violations=cluster.violations(),
         states=states,
-        ran={record.task.partition('.')[0] for record in world.rig.records()},
-        refused=played.refused,
-        cancelled=played.cancelled,
+        ran={record.task.partition('.')[0] for record in cluster.rig.records()},
+        refused=scenario.refused,
+        cancelled=scenario.cancelled,
     )
 
 
@@ -163,8 +167,10 @@
         self, seed: int, fault_share: float, events: list[tuple[float, str]]
     ) -> None:
         """Guards what must hold whatever is lost, late or replaced."""
-        report = virtual_time.run(lambda: play(seed, fault_share, events))
-        self.assertEqual([], report.complaints)
+        report = virtual_time.run(
+            lambda: run_scenario(seed, fault_share, events)
+        )
+        self.assertEqual([], report.violations)
         self.assertEqual(set(), report.ran & report.refused)
         for job, state in report.states.items():
             self.assertIn(state, {'completed', 'failed', 'cancelled'}, job)
@@ -174,6 +180,6 @@
     def test_all_jobs_complete_without_faults(self) -> None:
         """Guards against a model in which nothing happens."""
 
-        report = virtual_time.run(lambda: play(1, 0, []))
+        report = virtual_time.run(lambda: run_scenario(1, 0, []))
         self.assertEqual(JOBS, len(report.states))
         self.assertNotIn('cancelled', report.states.values())
--- a/tests/process/test_platform_http.py
+++ b/tests/process/test_platform_http.py
@@ -42,7 +42,7 @@
 list_vms = operator.methodcaller('list_vms')
 
 
-async def kind_of(answer, call, timeout_s=20):
+async def error_kind(answer, call, timeout_s=20):
     """Return the error's kind when the platform sends ``answer``.
 
     ``None`` for an answer means that the platform stays silent.
@@ -72,7 +72,7 @@
 
     def expect(self, kind, call, *answers, **options):
         for answer in answers:
-            found = asyncio.run(kind_of(answer, call, **options))
+            found = asyncio.run(error_kind(answer, call, **options))
             self.assertThat((answer, found), matchers.Equals((answer, kind)))
 
     def test_refused_connections_had_no_effect(self):
@@ -82,8 +82,8 @@
                 for call in (read, write, put, get, list_vms)
             ]
 
-        nobody = platform_thread.RunningPlatform(port=1)
-        kinds = samples.with_client(nobody, act)
+        unreachable = platform_thread.RunningPlatform(port=1)
+        kinds = samples.with_client(unreachable, act)
         self.assertThat(set(kinds), matchers.Equals({UNAVAILABLE}))
 
     def test_a_write_without_a_whole_answer_may_have_taken_effect(self):
