--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -15,28 +15,28 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Rhythm:
+class HeartbeatTiming:
     """Signs of life on a link, in seconds."""
 
     #: Time without sending after which a beat is sent.
-    beat_s: float
+    interval_s: float
 
     #: Silence after which the link is closed: three lost beats.
-    silent_s: float
+    timeout_s: float
 
 
 #: Between a VM and the owner of its zone's cell. A client sends a job again
 #: no sooner than 1.3 s after a failure, and what ran for a silent VM must
 #: have ended by then.
-CLOSE = Rhythm(beat_s=0.1, silent_s=0.4)
+HOME_LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.1, timeout_s=0.4)
 
 #: Between a VM and the owners of other cells. Each beat lost costs tasks that
 #: were sent to another zone, and the time in which a zone that has lost all
 #: its VMs does no work.
-LEADER = Rhythm(beat_s=0.2, silent_s=0.7)
+LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.2, timeout_s=0.7)
 
 #: Between VMs that own nothing.
-FAR = Rhythm(beat_s=0.3, silent_s=1.1)
+FOLLOWER_HEARTBEAT = HeartbeatTiming(interval_s=0.3, timeout_s=1.1)
 
 #: Longest wait for a connection, in seconds.
 CONNECT_TIMEOUT_S = 0.3
@@ -47,12 +47,12 @@
 
 #: Age at which a link that is not needed is closed, in seconds. The other
 #: end may have learned of a new owner a moment earlier.
-UNUSED_S = 5.0
+UNUSED_LINK_AGE_S = 5.0
 
 _LOG = logs.get_logger('link')
 
 
-class Events(Protocol):
+class LinkEvents(Protocol):
     """Hears of links."""
 
     def opened(self, opened: link.Link) -> None:
@@ -84,8 +84,8 @@
         clock: clock.Clock,
         rng: random.Random,
         me: messages.Greeting,
-        events: Events,
-        rhythm: Callable[[messages.Greeting], Rhythm],
+        events: LinkEvents,
+        heartbeat_timing: Callable[[messages.Greeting], HeartbeatTiming],
         connect: link.Connect = asyncio.open_connection,
         listen: Listen = asyncio.start_server,
     ) -> None:
@@ -94,17 +94,17 @@
         self._rng = rng
         self._me = me
         self._events = events
-        self._rhythm = rhythm
+        self._heartbeat_timing = heartbeat_timing
         self._connect = connect
         self._listen = listen
         self._server: asyncio.Server | None = None
         self._targets: dict[deployment.Address, _Target] = {}
         self._tasks = background.Tasks()
-        self._kept: Collection[ids.VmId] | None = None
+        self._needed: Collection[ids.VmId] | None = None
 
         #: Rhythm of each open link, and since when.
-        self._rhythms: dict[link.Link, tuple[Rhythm, float]] = {}
-        self.open: dict[ids.VmId, list[link.Link]] = {}
+        self._timings: dict[link.Link, tuple[HeartbeatTiming, float]] = {}
+        self.open_links: dict[ids.VmId, list[link.Link]] = {}
 
     async def start(self, address: deployment.Address) -> None:
         """Open the listener."""
@@ -118,32 +118,35 @@
             self._server.close()
         await self._tasks.close()
 
-    def use(self, waits_s: Mapping[deployment.Address, float]) -> None:
+    def set_targets(
+        self, dial_delays_s: Mapping[deployment.Address, float]
+    ) -> None:
         """Keep links to these addresses from now on.
 
         A new address is called after its wait, so that of two VMs one calls.
         """
         now = self._clock.now()
         self._targets = {
-            address: self._targets.get(address, _Target(retry_at=now + wait_s))
-            for address, wait_s in waits_s.items()
+            address: self._targets.get(address, _Target(retry_at=now + delay_s))
+            for address, delay_s in dial_delays_s.items()
         }
 
-    def to(self, vm: ids.VmId) -> link.Link | None:
+    def get(self, vm: ids.VmId) -> link.Link | None:
         """Return an open link to a VM."""
-        for candidate in self.open.get(vm, ()):
+        for candidate in self.open_links.get(vm, ()):
             if not candidate.is_closing():
                 return candidate
         return None
 
     def tick(self, now: float, beat: messages.Beat) -> None:
         """Close silent links, send beats, open missing links."""
-        for candidate in self._all():
-            rhythm = self._rhythm(candidate.peer)
+        for candidate in self._all_links():
+            heartbeat_timing = self._heartbeat_timing(candidate.peer)
             silent_since = max(
-                candidate.heard_at, self._since(candidate, rhythm, now)
+                candidate.heard_at,
+                self._timing_since(candidate, heartbeat_timing, now),
             )
-            if now - silent_since >= rhythm.silent_s:
+            if now - silent_since >= heartbeat_timing.timeout_s:
                 _LOG.warning(
                     'Link silent, closed.',
                     extra={
@@ -152,33 +155,33 @@
                     },
                 )
                 candidate.abort()
-                self._forget(candidate)
-            elif self._is_unused(candidate, now):
+                self._remove(candidate)
+            elif self._is_unneeded(candidate, now):
                 candidate.abort()
-                self._forget(candidate)
-            elif now - candidate.sent_at >= rhythm.beat_s:
+                self._remove(candidate)
+            elif now - candidate.sent_at >= heartbeat_timing.interval_s:
                 candidate.send(beat)
         for address, target in self._targets.items():
             if self._is_missing(target) and now >= target.retry_at:
                 target.is_dialing = True
                 self._tasks.spawn(self._dial(address, target))
 
-    def send_all(self, message: messages.Message) -> None:
+    def broadcast(self, message: messages.Message) -> None:
         """Send a message on one link to each VM."""
-        for vm in list(self.open):
-            open_link = self.to(vm)
+        for vm in list(self.open_links):
+            open_link = self.get(vm)
             if open_link is not None:
                 open_link.send(message)
 
     def abort_all(self) -> None:
         """Close all links at once."""
-        for candidate in self._all():
+        for candidate in self._all_links():
             candidate.abort()
-            self._forget(candidate)
+            self._remove(candidate)
 
-    def keep(self, vms: Collection[ids.VmId]) -> None:
+    def set_needed(self, vms: Collection[ids.VmId]) -> None:
         """Close links to other VMs after a while."""
-        self._kept = vms
+        self._needed = vms
 
     def known(self, address: deployment.Address, vm: ids.VmId) -> None:
         """Note which VM listens at an address."""
@@ -186,32 +189,34 @@
         if target is not None:
             target.vm = vm
 
-    def _all(self) -> list[link.Link]:
-        return [each for of_vm in self.open.values() for each in of_vm]
+    def _all_links(self) -> list[link.Link]:
+        return [each for of_vm in self.open_links.values() for each in of_vm]
 
-    def _since(self, of: link.Link, rhythm: Rhythm, now: float) -> float:
+    def _timing_since(
+        self, of: link.Link, heartbeat_timing: HeartbeatTiming, now: float
+    ) -> float:
         """Return since when a link has its present rhythm.
 
         The other end learns of a new owner a little later, and sends beats
         more slowly until then.
         """
-        known = self._rhythms.get(of)
-        if known is None or known[0] is not rhythm:
-            known = (rhythm, now)
-            self._rhythms[of] = known
+        known = self._timings.get(of)
+        if known is None or known[0] is not heartbeat_timing:
+            known = (heartbeat_timing, now)
+            self._timings[of] = known
         return known[1]
 
-    def _is_unused(self, candidate: link.Link, now: float) -> bool:
+    def _is_unneeded(self, candidate: link.Link, now: float) -> bool:
         return (
-            self._kept is not None
-            and candidate.peer.vm not in self._kept
-            and now - candidate.opened_at >= UNUSED_S
+            self._needed is not None
+            and candidate.peer.vm not in self._needed
+            and now - candidate.opened_at >= UNUSED_LINK_AGE_S
         )
 
     def _is_missing(self, target: _Target) -> bool:
         if target.is_dialing:
             return False
-        return target.vm is None or self.to(target.vm) is None
+        return target.vm is None or self.get(target.vm) is None
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -269,26 +274,26 @@
                 target.failures = 0
             if greeting.ok_value.vm == self._me.vm:
                 return
-            self._adopt(opened)
+            self._add(opened)
             await self._read(opened)
         finally:
             opened.abort()
-            self._forget(opened)
+            self._remove(opened)
 
-    def _adopt(self, opened: link.Link) -> None:
+    def _add(self, opened: link.Link) -> None:
         peer = opened.peer
-        for old in list(self.open.get(peer.vm, ())):
+        for old in list(self.open_links.get(peer.vm, ())):
             if old.peer.incarnation != peer.incarnation:
                 old.abort()
-                self._forget(old)
-        self.open.setdefault(peer.vm, []).append(opened)
+                self._remove(old)
+        self.open_links.setdefault(peer.vm, []).append(opened)
         _LOG.info('Link open.', extra={'vm': peer.vm, 'dialed': opened.dialed})
         self._events.opened(opened)
 
     async def _read(self, opened: link.Link) -> None:
         while True:
             received = await opened.receive()
-            if opened not in self.open.get(opened.peer.vm, ()):
+            if opened not in self.open_links.get(opened.peer.vm, ()):
                 return
             if isinstance(received, result.Err):
                 if not link.is_regular_end(received.err_value):
@@ -302,13 +307,13 @@
                 return
             self._events.received(opened, received.ok_value)
 
-    def _forget(self, closed: link.Link) -> None:
+    def _remove(self, closed: link.Link) -> None:
         peer = getattr(closed, 'peer', None)
-        if peer is None or closed not in self.open.get(peer.vm, ()):
+        if peer is None or closed not in self.open_links.get(peer.vm, ()):
             return
-        self.open[peer.vm].remove(closed)
-        self._rhythms.pop(closed, None)
-        if not self.open[peer.vm]:
-            self.open.pop(peer.vm)
+        self.open_links[peer.vm].remove(closed)
+        self._timings.pop(closed, None)
+        if not self.open_links[peer.vm]:
+            self.open_links.pop(peer.vm)
         _LOG.info('Link closed.', extra={'vm': peer.vm})
         self._events.closed(closed)
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/holdings.py
@@ -229,7 +229,7 @@
         self._refresh(now)
         if now >= self._return_at:
             self._return_shards(now)
-        in_reach = frozenset(self._links.open)
+        in_reach = frozenset(self._links.open_links)
         for shard in self._around.all_shards:
             vm = self._around.leader_of(shard)
             if self._claims.due(shard, leader=vm, in_reach=in_reach, now=now):
@@ -259,7 +259,7 @@
     ) -> link.Link | None:
         """Return the link to an heir that has been in reach for a while."""
         for vm, _ in self._claims.successors(shard):
-            found = self._links.to(vm)
+            found = self._links.get(vm)
             if found is not None and now - found.opened_at > RETURN_AFTER_S:
                 return found
         return None
@@ -309,7 +309,7 @@
 
     def _hand_over(self, shard: ids.ShardId) -> None:
         for vm, _ in self._claims.successors(shard):
-            successor = self._links.to(vm)
+            successor = self._links.get(vm)
             if successor is not None:
                 _LOG.info('Cell handed over.', extra={'cell': shard, 'to': vm})
                 successor.send(messages.TakeOver(shard=shard))
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -95,7 +95,7 @@
             rng=dependencies.rng,
             me=self.me,
             events=self,
-            rhythm=self._rhythm,
+            heartbeat_timing=self._heartbeat_timing,
         )
         self._local = local_link.LocalLink(me=self.me, receiver=self)
         self.member = registry.Member(
@@ -213,7 +213,7 @@
         vm = self.leader_of(shard)
         if vm is None:
             return None
-        return self._local if vm == self.cfg.vm else self.links.to(vm)
+        return self._local if vm == self.cfg.vm else self.links.get(vm)
 
     # Links.
 
@@ -226,7 +226,7 @@
         """Forget what the link told."""
         self.holdings.link_lost(closed, self._clock.now())
         self.job_service.closed(closed)
-        if self.links.to(closed.peer.vm) is None:
+        if self.links.get(closed.peer.vm) is None:
             self.leaders.forget(closed.peer.vm)
         self._choose_leaders()
         for shard in self.all_shards:
@@ -310,7 +310,7 @@
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return when this process last knew that it owns a cell."""
         successors = self._claims.successors_of_claim(shard)
-        if all(self.links.to(vm) is not None for vm in successors):
+        if all(self.links.get(vm) is not None for vm in successors):
             return now
         return self._feeds.last_answer_at()
 
@@ -320,18 +320,18 @@
 
     def is_alone(self) -> bool:
         """Tell whether no other VM of several is in reach."""
-        return not self.links.open and len(self.directory.members) > 1
+        return not self.links.open_links and len(self.directory.members) > 1
 
     def gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
         self._feeds.roster.poll_now()
         self._choose_leaders()
-        self.links.send_all(self._beat(self._clock.now()))
+        self.links.broadcast(self._beat(self._clock.now()))
 
     def lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
-        self.links.send_all(messages.Disowned(shard=shard))
-        self.links.send_all(self._beat(self._clock.now()))
+        self.links.broadcast(messages.Disowned(shard=shard))
+        self.links.broadcast(self._beat(self._clock.now()))
         self._choose_leaders()
         self._tell_lost(shard, self._local)
 
@@ -396,16 +396,18 @@
         self.links.abort_all()
         self.holdings.doubt_all('process stood still')
 
-    def _rhythm(self, peer: messages.Greeting) -> links.Rhythm:
+    def _heartbeat_timing(
+        self, peer: messages.Greeting
+    ) -> links.HeartbeatTiming:
         """Return the signs of life between this VM and another."""
         owns_home = self.home_shard in self.holdings.shards
         if owns_home and peer.zone == self.cfg.zone:
-            return links.CLOSE
+            return links.HOME_LEADER_HEARTBEAT
         if self.leader_of(self.home_shard) == peer.vm:
-            return links.CLOSE
+            return links.HOME_LEADER_HEARTBEAT
         if self.holdings.shards or peer.vm in self.leaders.by_shard.values():
-            return links.LEADER
-        return links.FAR
+            return links.LEADER_HEARTBEAT
+        return links.FOLLOWER_HEARTBEAT
 
     def _beat(self, now: float) -> messages.Beat:
         return messages.Beat(
--- a/sardineproxy/process/node/peering.py
+++ b/sardineproxy/process/node/peering.py
@@ -25,14 +25,14 @@
         if member.vm != cfg.vm and claims.needs_link(cfg.vm, member.vm)
     ]
     if not others:
-        own.use({seed: 0 for seed in cfg.seeds if seed != cfg.peers})
+        own.set_targets({seed: 0 for seed in cfg.seeds if seed != cfg.peers})
         return
-    own.use(
+    own.set_targets(
         {
             member.address: 0 if cfg.vm < member.vm else CALL_WAIT_S
             for member in others
         }
     )
-    own.keep({member.vm for member in others})
+    own.set_needed({member.vm for member in others})
     for known in others:
         own.known(known.address, known.vm)
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -20,7 +20,7 @@
         'draining': own.draining,
         'owners': dict(own.leaders.by_shard),
         'rooms': own.rooms.state(now),
-        'links': {vm: len(of_vm) for vm, of_vm in own.links.open.items()},
+        'links': {vm: len(of_vm) for vm, of_vm in own.links.open_links.items()},
         'members': sorted(own.directory.members),
         'claims': {
             shard: dataclasses.asdict(claim)
--- a/tests/process/membership/test_links.py
+++ b/tests/process/membership/test_links.py
@@ -43,17 +43,17 @@
     """Links of one VM, with one link open since 1000 s."""
 
     def __init__(self) -> None:
-        self.rhythm = links.FAR
+        self.heartbeat_timing = links.FOLLOWER_HEARTBEAT
         self.closed_links: list[Any] = []
         self.tested = links.Links(
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
             me=FakeLink(0).peer,
             events=self,
-            rhythm=lambda _: self.rhythm,
+            heartbeat_timing=lambda _: self.heartbeat_timing,
         )
         self.link = FakeLink(1000)
-        self.tested.open[self.link.peer.vm] = [self.link]  # type: ignore[list-item]
+        self.tested.open_links[self.link.peer.vm] = [self.link]  # type: ignore[list-item]
         self.tick(0)
 
     def closed(self, closed: Any) -> None:
@@ -78,7 +78,7 @@
         self.assertTrue(rig.tick(1))
         self.assertFalse(rig.tick(1.2))
         self.assertEqual([rig.link], rig.closed_links)
-        self.assertIsNone(rig.tested.to(ids.VmId('b')))
+        self.assertIsNone(rig.tested.get(ids.VmId('b')))
 
     def test_heard_link_stays(self) -> None:
         """Guards against links that are closed for no reason."""
@@ -99,7 +99,7 @@
         """Guards against a link closed before the other end beats faster."""
         rig = Rig()
         self.assertTrue(rig.tick(0.1))
-        rig.rhythm = links.CLOSE
+        rig.heartbeat_timing = links.HOME_LEADER_HEARTBEAT
         self.assertTrue(rig.tick(0.45))
         self.assertTrue(rig.tick(0.8))
         self.assertFalse(rig.tick(0.9))
