--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -96,7 +96,7 @@
         """Do not try a claim again at once."""
         self._retry_at[shard] = now + RETRY_S
 
-    def note_reach(
+    def record_probe(
         self, shard: ids.ShardId, *, reached: bool, now: float
     ) -> bool:
         """Note whether workers of another zone's cell can be reached.
--- a/sardineproxy/process/node/holdings.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -19,8 +19,8 @@
 
 #: Workers that are asked before another zone's cell is claimed, and the
 #: longest wait for their answers, in seconds.
-REACH_SAMPLE = 3
-REACH_TIMEOUT_S = 0.2
+PROBE_SAMPLE_SIZE = 3
+PROBE_TIMEOUT_S = 0.2
 
 _LOG = logs.get_logger('node')
 
@@ -49,10 +49,10 @@
     def is_worker_list_complete(self) -> bool:
         """Tell whether no worker can be missing from the list."""
 
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether no other VM of several is in reach."""
 
-    def gained(self, shard: ids.ShardId) -> None:
+    def shard_gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
 
     def lost(self, shard: ids.ShardId) -> None:
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Tools:
+class ShardDependencies:
     """What each owned cell is built from."""
 
     api: workers.WorkerApi
@@ -72,13 +72,13 @@
     ]
 
 
-class Holdings:  # noqa: WPS214
+class LedShards:  # noqa: WPS214
     """Owned cells and the claims that are under way."""
 
     def __init__(
         self,
         *,
-        tools: Tools,
+        dependencies: ShardDependencies,
         claims: claiming.Claiming,
         links: links.Links,
         around: Surroundings,
@@ -86,13 +86,13 @@
         tasks: background.Tasks,
     ) -> None:
         """Start without cells."""
-        self._tools = tools
+        self._dependencies = dependencies
         self._job_service = job_service
         self._claims = claims
         self._links = links
         self._around = around
         self._tasks = tasks
-        self._under_way: set[ids.ShardId] = set()
+        self._claims_in_progress: set[ids.ShardId] = set()
         self._return_at: float = 0
         self.shards: dict[ids.ShardId, shards.ShardLeader] = {}
 
@@ -159,18 +159,18 @@
         for owned in self.shards.values():
             owned.doubt_all(why)
 
-    def give_workers(self) -> None:
+    def update_workers(self) -> None:
         """Hand the newest list of workers to all cells."""
         for owned in self.shards.values():
-            self._give_workers(owned)
+            self._update_workers(owned)
 
     def start_claim(self, shard: ids.ShardId) -> None:
         """Claim a cell unless that is under way."""
-        if shard not in self._under_way:
-            self._under_way.add(shard)
+        if shard not in self._claims_in_progress:
+            self._claims_in_progress.add(shard)
             self._tasks.spawn(self._claim(shard))
 
-    def won(self, shard: ids.ShardId, right: fences.Right) -> None:
+    def lead(self, shard: ids.ShardId, right: fences.Right) -> None:
         """Own a cell from now on."""
         former = self.shards.get(shard)
         if former is not None:
@@ -180,20 +180,22 @@
         owned = shards.ShardLeader(
             shard=shard,
             right=right,
-            api=self._tools.api,
-            clock=self._tools.clock,
-            metrics=self._tools.metrics,
+            api=self._dependencies.api,
+            clock=self._dependencies.clock,
+            metrics=self._dependencies.metrics,
             events=self,
             others=self._around.rooms,
             around=self._around,
-            cfg=self._tools.cfg,
+            cfg=self._dependencies.cfg,
         )
         self.shards[shard] = owned
-        self._job_service.add_manager(self._tools.new_job_manager(shard, right))
-        self._give_workers(owned)
-        self._around.gained(shard)
+        self._job_service.add_manager(
+            self._dependencies.new_job_manager(shard, right)
+        )
+        self._update_workers(owned)
+        self._around.shard_gained(shard)
 
-    def lose(self, shard: ids.ShardId, cause: str) -> None:
+    def give_up(self, shard: ids.ShardId, cause: str) -> None:
         """Give up a cell at once."""
         lost = self.shards.pop(shard)
         _LOG.warning(
@@ -212,14 +214,14 @@
     def superseded(self, lost: shards.ShardLeader) -> None:
         """Give up a cell that another process has taken over."""
         if self.shards.get(lost.shard) is lost:
-            self.lose(lost.shard, 'a worker knows a newer owner')
+            self.give_up(lost.shard, 'a worker knows a newer owner')
 
     def hand_over(self) -> None:
         """Ask other VMs to take all cells."""
         for shard in self.shards:
             self._hand_over(shard)
 
-    def _give_workers(self, owned: shards.ShardLeader) -> None:
+    def _update_workers(self, owned: shards.ShardLeader) -> None:
         owned.set_workers(
             self._around.workers_of(owned.shard),
             complete=self._around.is_worker_list_complete(),
@@ -237,7 +239,7 @@
 
     def _refresh(self, now: float) -> None:
         """Write the rows of own cells anew where that is due."""
-        isolated = self._around.is_alone()
+        isolated = self._around.is_isolated()
         for shard, owned in self.shards.items():
             if self._claims.is_stale(
                 shard, owned.right, isolated=isolated, now=now
@@ -271,9 +273,9 @@
                 or shard in self.shards
                 or await self._may_claim(shard)
             ):
-                await self._claims.claim(shard, self._tools.clock.now())
+                await self._claims.claim(shard, self._dependencies.clock.now())
         finally:
-            self._under_way.discard(shard)
+            self._claims_in_progress.discard(shard)
 
     async def _may_claim(self, shard: ids.ShardId) -> bool:
         """Tell whether another zone's cell may be claimed.
@@ -281,9 +283,9 @@
         If its workers cannot be reached, this VM and not the cell's owner may
         be cut off.
         """
-        self._claims.postpone(shard, self._tools.clock.now())
-        asked = self._around.workers_of(shard)[:REACH_SAMPLE]
-        answers = await asyncio.gather(*map(self._ask, asked))
+        self._claims.postpone(shard, self._dependencies.clock.now())
+        asked = self._around.workers_of(shard)[:PROBE_SAMPLE_SIZE]
+        answers = await asyncio.gather(*map(self._probe, asked))
         reached = sum(
             not isinstance(answer, workers.Unanswered) for answer in answers
         )
@@ -291,20 +293,20 @@
             'Workers asked.',
             extra={'cell': shard, 'asked': len(asked), 'reached': reached},
         )
-        return self._claims.note_reach(
+        return self._claims.record_probe(
             shard,
             reached=reached * 2 > len(asked),
-            now=self._tools.clock.now(),
+            now=self._dependencies.clock.now(),
         )
 
-    async def _ask(
+    async def _probe(
         self, worker: workers.Worker
     ) -> workers.Report | workers.Refused | workers.Unanswered:
         """Look at a worker without any effect on it."""
-        return await self._tools.api.look(
+        return await self._dependencies.api.look(
             worker,
             workers.Look(fence=0, acked=0, expires_ms=None, wait_s=0),
-            timeout_s=REACH_TIMEOUT_S,
+            timeout_s=PROBE_TIMEOUT_S,
         )
 
     def _hand_over(self, shard: ids.ShardId) -> None:
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -25,7 +25,7 @@
     claiming,
     dependencies,
     feeds,
-    holdings,
+    led_shards,
     intake,
     local_link,
     peering,
@@ -113,10 +113,10 @@
             store=dependencies.store,
             directory=self.directory,
             me=self.member,
-            on_right=self._won,
+            on_right=self._lead,
         )
-        self.holdings = holdings.Holdings(
-            tools=holdings.Tools(
+        self.led_shards = led_shards.LedShards(
+            dependencies=led_shards.ShardDependencies(
                 api=dependencies.workers,
                 clock=self._clock,
                 metrics=self.metrics,
@@ -168,13 +168,13 @@
         """Stop everything."""
         await self._tasks.close()
         await self.job_service.close()
-        await self.holdings.close()
+        await self.led_shards.close()
         await self.links.close()
 
     def drain(self, *, ends_at: float) -> None:
         """Ask other VMs to take the cells; this process ends at ``ends_at``."""
         self.intake.ends_at = ends_at
-        self.holdings.hand_over()
+        self.led_shards.hand_over()
 
     @property
     def draining(self) -> bool:
@@ -224,7 +224,7 @@
 
     def closed(self, closed: link.Link) -> None:
         """Forget what the link told."""
-        self.holdings.link_lost(closed, self._clock.now())
+        self.led_shards.link_lost(closed, self._clock.now())
         self.job_service.closed(closed)
         if self.links.get(closed.peer.vm) is None:
             self.leaders.forget(closed.peer.vm)
@@ -238,11 +238,11 @@
             return
         match message:
             case messages.EndsNoted():
-                self.holdings.note_ends(message)
+                self.led_shards.note_ends(message)
             case messages.Submit():
-                self.holdings.submit(source, message, self._clock.now())
+                self.led_shards.submit(source, message, self._clock.now())
             case messages.Withdraw(shard=shard, job=job):
-                self.holdings.withdraw(source, shard, job)
+                self.led_shards.withdraw(source, shard, job)
             case messages.Ended() | messages.Declined():
                 self.board.tell(message)
             case messages.Greeting():
@@ -318,11 +318,11 @@
         """Tell whether the store answers about the list of workers."""
         return self._feeds.list_answers()
 
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether no other VM of several is in reach."""
         return not self.links.open_links and len(self.directory.members) > 1
 
-    def gained(self, shard: ids.ShardId) -> None:
+    def shard_gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
         self._feeds.roster.poll_now()
         self._choose_leaders()
@@ -356,11 +356,11 @@
         now = self._clock.now()
         self.workers.update(rows, now)
         self.workers.drop_removed(self._feeds.roster.healthy_since, now)
-        self.holdings.give_workers()
+        self.led_shards.update_workers()
 
     def roster_timing(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
-        if self.holdings.shards:
+        if self.led_shards.shards:
             return feeds.LEADER_ROSTER_PACE
         if self._claims.is_successor():
             return feeds.SUCCESSOR_ROSTER_PACE
@@ -372,7 +372,7 @@
         while True:
             self._tick(self._clock.now())
             await asyncio.sleep(
-                LEADER_TICK_S if self.holdings.shards else TICK_S
+                LEADER_TICK_S if self.led_shards.shards else TICK_S
             )
 
     def _tick(self, now: float) -> None:
@@ -382,7 +382,7 @@
             self.cfg.vm, self.job_service.loaded_shards(), now
         )
         self.links.tick(now, self._beat(now))
-        self.holdings.tick(now, may_claim=not self.draining)
+        self.led_shards.tick(now, may_claim=not self.draining)
 
     def _check_stall(self, now: float) -> None:
         gap_s = now - self._ticked_at
@@ -394,25 +394,25 @@
         self._refuse_until = now + STALL_REFUSAL_S
         self.board.stalled()
         self.links.abort_all()
-        self.holdings.doubt_all('process stood still')
+        self.led_shards.doubt_all('process stood still')
 
     def _heartbeat_timing(
         self, peer: messages.Greeting
     ) -> links.HeartbeatTiming:
         """Return the signs of life between this VM and another."""
-        owns_home = self.home_shard in self.holdings.shards
+        owns_home = self.home_shard in self.led_shards.shards
         if owns_home and peer.zone == self.cfg.zone:
             return links.HOME_LEADER_HEARTBEAT
         if self.leader_of(self.home_shard) == peer.vm:
             return links.HOME_LEADER_HEARTBEAT
-        if self.holdings.shards or peer.vm in self.leaders.by_shard.values():
+        if self.led_shards.shards or peer.vm in self.leaders.by_shard.values():
             return links.LEADER_HEARTBEAT
         return links.FOLLOWER_HEARTBEAT
 
     def _beat(self, now: float) -> messages.Beat:
         return messages.Beat(
             version=self.versions.number,
-            shards=self.holdings.offers(now),
+            shards=self.led_shards.offers(now),
             pending=tuple(self.job_service.pending().items()),
         )
 
@@ -438,14 +438,14 @@
                 self._choose_leaders()
                 self._tell_lost(shard, source)
             case messages.TakeOver(shard=shard):
-                self.holdings.start_claim(shard)
+                self.led_shards.start_claim(shard)
 
     def _choose_leaders(self) -> None:
-        change = self.leaders.choose(self.holdings.rights())
+        change = self.leaders.choose(self.led_shards.rights())
         for shard, vm in change.lost.items():
             # Each loss leads to a new choice, which may have lost them all.
-            if shard in self.holdings.shards:
-                self.holdings.lose(shard, f'{vm} has a higher right')
+            if shard in self.led_shards.shards:
+                self.led_shards.give_up(shard, f'{vm} has a higher right')
         for found in change.found:
             self.board.leader_found(found)
             self.job_service.broadcast(open_tasks.LeaderFound(shard=found))
@@ -479,5 +479,5 @@
             cfg=self.cfg,
         )
 
-    def _won(self, shard: ids.ShardId, right: fences.Right) -> None:
-        self.holdings.won(shard, right)
+    def _lead(self, shard: ids.ShardId, right: fences.Right) -> None:
+        self.led_shards.lead(shard, right)
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -28,5 +28,5 @@
         },
         'jobs': own.board.state(),
         'kept': [kept.state(now) for kept in own.job_service.managers.values()],
-        'cells': [owned.state(now) for owned in own.holdings.shards.values()],
+        'cells': [owned.state(now) for owned in own.led_shards.shards.values()],
     }
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -115,10 +115,10 @@
     def test_workers_must_be_in_reach_for_a_while(self) -> None:
         """Guards against claims by the side that is cut off."""
         claims = Rig(make_member('a')).claims
-        self.assertFalse(claims.note_reach(SHARD, reached=True, now=0))
-        self.assertFalse(claims.note_reach(SHARD, reached=False, now=0.5))
-        self.assertFalse(claims.note_reach(SHARD, reached=True, now=1))
-        self.assertTrue(claims.note_reach(SHARD, reached=True, now=1.9))
+        self.assertFalse(claims.record_probe(SHARD, reached=True, now=0))
+        self.assertFalse(claims.record_probe(SHARD, reached=False, now=0.5))
+        self.assertFalse(claims.record_probe(SHARD, reached=True, now=1))
+        self.assertTrue(claims.record_probe(SHARD, reached=True, now=1.9))
 
 
 class TestClaim(testtools.TestCase):
