--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -134,7 +134,7 @@
     def take() -> None:  # noqa: WPS430
         built.versions.offer(payload)
         for customer in first.documents:
-            built.slots.part(customer)
+            built.slots.limit_share(customer)
 
     took_us = slopes_fit.cpu_us(take)
     assert built.versions.number() == first.number + 1, 'the change is taken'
@@ -201,7 +201,7 @@
             ),
         ),
     )
-    built.slots.set_divisions((_division(),))
+    built.slots.set_limit_divisions((_division(),))
     return built
 
 
--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -70,7 +70,7 @@
             }
         )
 
-    def take(
+    def acquire(
         self, endpoint: ids.EndpointId, customer: ids.CustomerId, now: float
     ) -> Loan | None:
         """Use an idle slot, or return None."""
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -246,7 +246,7 @@
             for customer, contract in version.contracts.items()
         }
     )
-    components.slots.set_holds(
+    components.slots.set_concurrency_limits(
         {
             customer: contract.hold
             for customer, contract in version.contracts.items()
--- a/sardineproxy/process/lending.py
+++ b/sardineproxy/process/lending.py
@@ -90,7 +90,7 @@
             else:
                 account.recalled.discard(endpoint)
             if back:
-                self._table.take_back(customer, endpoint, back)
+                self._table.end_loan(customer, endpoint, back)
         self._table.changed.on_next(None)
 
     def handle_disconnect(self, vm: ids.VmId, now: float) -> None:
@@ -214,7 +214,9 @@
     def _usable_slots(self, own: demand.CustomerDemand) -> int:
         """Return how many own slots the customer's tasks here could use."""
         return int(
-            min(own.waiting + own.running, self._table.part(own.customer))
+            min(
+                own.waiting + own.running, self._table.limit_share(own.customer)
+            )
         )
 
     def _build_recall(
@@ -286,7 +288,7 @@
         self._expiring = [entry for entry in self._expiring if now < entry[0]]
         for lots in ended:
             for (customer, endpoint), lent in lots.items():
-                self._table.take_back(customer, endpoint, lent)
+                self._table.end_loan(customer, endpoint, lent)
         self._table.changed.on_next(None)
 
 
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -21,7 +21,7 @@
     ) -> tuple[ids.EndpointId, ...]:
         """Return endpoints with a free slot that ``customer`` may use."""
 
-    def take(
+    def acquire(
         self,
         *,
         endpoint: ids.EndpointId,
@@ -181,7 +181,7 @@
             endpoint = self.router.choose_endpoint(entry, free, now=now)
             if endpoint is None:
                 return None
-            ticket = self._slots.take(
+            ticket = self._slots.acquire(
                 endpoint=endpoint, customer=customer, now=now
             )
             if ticket is not None:
--- a/sardineproxy/process/ownership.py
+++ b/sardineproxy/process/ownership.py
@@ -23,24 +23,24 @@
         self.settled = False
         self._drain_until: float = 0
 
-    def review(self, now: float) -> borrowing.OutgoingFrames:
+    def update(self, now: float) -> borrowing.OutgoingFrames:
         """Apply what changed and return the views to state, and to whom."""
-        if self._views.refresh(now):
+        if self._views.update_candidate(now):
             self.settled = False
             self._drain_until = now + self._drain_s
             self._restrict()
         if not self.settled:
             candidate = self._views.candidate
-            self.settled = now >= self._drain_until or self._table.fits(
+            self.settled = now >= self._drain_until or self._table.is_within(
                 candidate.owned, candidate.division
             )
-        if self._views.confirm(now, settled=self.settled):
-            self._take_up()
-        return self._views.outgoing(settled=self.settled)
+        if self._views.confirm_candidate(now, settled=self.settled):
+            self._adopt_candidate()
+        return self._views.pending_statements(settled=self.settled)
 
-    def drop(self) -> None:
+    def drop_owned(self) -> None:
         """Give up all slots until the peers confirm a view anew."""
-        self._views.drop()
+        self._views.drop_owned()
         self._table.set_owned({})
 
     def leave(self) -> None:
@@ -53,10 +53,10 @@
         division = self._views.candidate.division
         if division not in self._divisions:
             self._divisions = (*self._divisions, division)
-        self._table.set_divisions(self._divisions)
+        self._table.set_limit_divisions(self._divisions)
         self._table.set_owned(self._views.owned)
 
-    def _take_up(self) -> None:
+    def _adopt_candidate(self) -> None:
         self._divisions = (self._views.candidate.division,)
-        self._table.set_divisions(self._divisions)
+        self._table.set_limit_divisions(self._divisions)
         self._table.set_owned(self._views.owned)
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -47,31 +47,31 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
         #: True if the peers were told that this process ends.
-        self.said_goodbye = False
+        self.goodbye_sent = False
 
     def stream_opened(self, stream: peer.Stream) -> None:
         """Use a new stream."""
         if stream.hello.zone == self._zone:
-            self._views.joined(stream.hello.vm, stream.hello.incarnation)
+            self._views.add_peer(stream.hello.vm, stream.hello.incarnation)
         self._forwards.resend(stream)
-        if self.said_goodbye:
+        if self.goodbye_sent:
             stream.send(frames.Goodbye())
         self._record_contact(stream)
-        self.review()
+        self.update_ownership()
 
     def stream_closed(self, stream: peer.Stream) -> None:
         """Forget a stream; outstanding forwards wait for the next one."""
-        self._views.lost(stream.hello.vm, self._clock.now())
+        self._views.remove_peer(stream.hello.vm, self._clock.now())
         self._loans.handle_disconnect(stream.hello.vm, self._clock.now())
-        self.review()
+        self.update_ownership()
 
     def frame_received(self, stream: peer.Stream, frame: frames.Frame) -> None:
         """Act on a frame."""
         self._record_contact(stream)
         match frame:
             case frames.View() | frames.Goodbye():
-                self._views.heard(stream.hello.vm, frame)
-                self.review()
+                self._views.handle_frame(stream.hello.vm, frame)
+                self.update_ownership()
             case frames.Forward():
                 self._start_reply(stream, frame)
             case frames.ForwardReply():
@@ -87,9 +87,9 @@
                     )
                 )
 
-    def review(self) -> None:
+    def update_ownership(self) -> None:
         """Apply what changed in the zone's view."""
-        self._send_all(self._ownership.review(self._clock.now()))
+        self._send_all(self._ownership.update(self._clock.now()))
 
     async def close(self) -> None:
         """Stop answering forwards."""
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -73,7 +73,7 @@
         self._clock = clock
         self._cfg = cfg
         self._size = size
-        self._me = frames.Hello(
+        self._own_hello = frames.Hello(
             vm=vm, incarnation=incarnation, zone=zone, version=0, revision=0
         )
         self._directory = directory
@@ -145,11 +145,11 @@
         the longest task time.
         """
         self._ownership.leave()
-        self._events.review()
+        self._events.update_ownership()
         while not self._ownership.settled:
             await asyncio.sleep(self._cfg.tick_s)
-            self._events.review()
-        self._events.said_goodbye = True
+            self._events.update_ownership()
+        self._events.goodbye_sent = True
         self._send_all(self._loans.return_all_idle())
         open_streams = list(self._streams.by_vm.values())
         for stream in open_streams:
@@ -209,7 +209,7 @@
         )
         self._streams.open_missing(self._forwards.pending_vms(), now)
         self._exchange.tick(list(self._streams.by_vm.values()), now)
-        self._events.review()
+        self._events.update_ownership()
         self._send_all(self._loans.tick(self._lenders, now))
         live = self._streams.neighbors.count_live(self._streams.by_vm) + 1
         if live != self._live_vms.value:
@@ -241,15 +241,17 @@
 
     def _hello(self) -> frames.Hello:
         version, revision = self._exchange.local_versions()
-        return dataclasses.replace(self._me, version=version, revision=revision)
+        return dataclasses.replace(
+            self._own_hello, version=version, revision=revision
+        )
 
     def _apply_listing(self, listing: platform.VmList) -> None:
         self._views.set_listing(listing)
         self._streams.set_neighbors(
             neighbors.choose(
                 listing=listing,
-                vm=self._me.vm,
-                zone=self._me.zone,
+                vm=self._own_hello.vm,
+                zone=self._own_hello.zone,
                 peers_per_zone=self._cfg.cross_zone_peers,
             )
         )
@@ -263,7 +265,7 @@
         return [
             borrowing.LenderPeer(
                 vm=vm,
-                is_same_zone=stream.hello.zone == self._me.zone,
+                is_same_zone=stream.hello.zone == self._own_hello.zone,
                 free_slots=stream.free,
             )
             for vm, stream in self._streams.by_vm.items()
@@ -280,6 +282,6 @@
         self._ticked_at = now
         if last is not None and now - last >= self._cfg.stream.peer_silent_s:
             _log.warning('event loop stood still for %.1f s', now - last)
-            self._ownership.drop()
+            self._ownership.drop_owned()
             self._streams.abort_all('process stood still')
         self._table.set_valid_until(now + self._cfg.stream.peer_silent_s)
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -22,7 +22,7 @@
 class LimitDivision(Protocol):
     """Divides a customer's holding limit among VMs."""
 
-    def part(self, customer: ids.CustomerId, limit: int) -> int:
+    def limit_share(self, customer: ids.CustomerId, limit: int) -> int:
         """Return this VM's part of the limit."""
 
 
@@ -39,18 +39,18 @@
         self._owned: dict[ids.EndpointId, int] = {}
 
         #: Own slots of each endpoint that are in use or lent.
-        self._busy: dict[ids.EndpointId, int] = {}
+        self._used_by_endpoint: dict[ids.EndpointId, int] = {}
         self._free: dict[ids.EndpointId, int] = {}
-        self._free_names: tuple[ids.EndpointId, ...] | None = ()
+        self._free_endpoints: tuple[ids.EndpointId, ...] | None = ()
 
         #: How many own slots are free.
         self.free_slots = 0
 
         #: Own slots that each customer uses or that are lent for it.
-        self._held: dict[ids.CustomerId, int] = {}
+        self._used_by_customer: dict[ids.CustomerId, int] = {}
         self._limits: dict[ids.CustomerId, int] | None = None
         self._divisions: tuple[LimitDivision, ...] = ()
-        self._parts: dict[ids.CustomerId, float] = {}
+        self._limit_shares: dict[ids.CustomerId, float] = {}
         self._tickets: dict[int, borrowed_slots.Loan | None] = {}
         self._last_number = 0
         self._valid_until = math.inf
@@ -75,20 +75,22 @@
             self._refresh(endpoint)
         self.changed.on_next(None)
 
-    def set_holds(self, limits: Mapping[ids.CustomerId, int]) -> None:
+    def set_concurrency_limits(
+        self, limits: Mapping[ids.CustomerId, int]
+    ) -> None:
         """Replace the customers' whole holding limits.
 
         A customer that is not named may hold nothing. Before the first call
         there are no limits.
         """
         self._limits = dict(limits)
-        self._parts.clear()
+        self._limit_shares.clear()
         self.changed.on_next(None)
 
-    def set_divisions(self, divisions: Iterable[LimitDivision]) -> None:
+    def set_limit_divisions(self, divisions: Iterable[LimitDivision]) -> None:
         """Hold each customer to its smallest part; the limit if none."""
         self._divisions = tuple(divisions)
-        self._parts.clear()
+        self._limit_shares.clear()
         self.changed.on_next(None)
 
     def set_valid_until(self, until: float) -> None:
@@ -102,17 +104,17 @@
         if now >= self._valid_until:
             return ()
         lent_to_us = self.borrowed.free_endpoints(customer, now)
-        if not self._own_allowed(customer):
+        if not self._can_use_own(customer):
             return lent_to_us
-        if self._free_names is None:
-            self._free_names = tuple(self._free)
+        if self._free_endpoints is None:
+            self._free_endpoints = tuple(self._free)
         if not lent_to_us:
-            return self._free_names
-        return self._free_names + tuple(
+            return self._free_endpoints
+        return self._free_endpoints + tuple(
             endpoint for endpoint in lent_to_us if endpoint not in self._free
         )
 
-    def take(
+    def acquire(
         self,
         *,
         endpoint: ids.EndpointId,
@@ -125,11 +127,11 @@
         """
         if now >= self._valid_until:
             return None
-        loan = self.borrowed.take(endpoint, customer, now)
+        loan = self.borrowed.acquire(endpoint, customer, now)
         if loan is None:
-            if endpoint not in self._free or not self._own_allowed(customer):
+            if endpoint not in self._free or not self._can_use_own(customer):
                 return None
-            self._hold(endpoint, customer, 1)
+            self._add_use(endpoint, customer, 1)
         self._last_number += 1
         self._tickets[self._last_number] = loan
         return Ticket(
@@ -142,7 +144,7 @@
             return
         loan = self._tickets.pop(ticket.number)
         if loan is None:
-            self._hold(ticket.endpoint, ticket.customer, -1)
+            self._add_use(ticket.endpoint, ticket.customer, -1)
         else:
             self.borrowed.release(loan, now)
 
@@ -150,7 +152,11 @@
         self, customer: ids.CustomerId, count: int
     ) -> dict[ids.EndpointId, int]:
         """Set up to ``count`` own free slots aside for a borrower."""
-        left = min(count, self.part(customer) - self._held.get(customer, 0))
+        left = min(
+            count,
+            self.limit_share(customer)
+            - self._used_by_customer.get(customer, 0),
+        )
         lots: dict[ids.EndpointId, int] = {}
         for endpoint, free in list(self._free.items()):
             lot = int(min(left, free))
@@ -158,46 +164,46 @@
                 break
             lots[endpoint] = lot
             left -= lot
-            self._hold(endpoint, customer, lot)
+            self._add_use(endpoint, customer, lot)
         return lots
 
-    def take_back(
+    def end_loan(
         self, customer: ids.CustomerId, endpoint: ids.EndpointId, count: int
     ) -> None:
         """End a loan; the caller makes ``changed`` emit."""
-        self._hold(endpoint, customer, -count)
+        self._add_use(endpoint, customer, -count)
 
-    def part(self, customer: ids.CustomerId) -> float:
+    def limit_share(self, customer: ids.CustomerId) -> float:
         """Return this VM's part of the customer's holding limit."""
-        part = self._parts.get(customer)
-        if part is None:
-            part = self._compute_part(customer)
-            self._parts[customer] = part
-        return part
+        limit_share = self._limit_shares.get(customer)
+        if limit_share is None:
+            limit_share = self._compute_limit_share(customer)
+            self._limit_shares[customer] = limit_share
+        return limit_share
 
-    def fits(
+    def is_within(
         self, owned: Mapping[ids.EndpointId, int], division: LimitDivision
     ) -> bool:
         """Tell whether all use and loans are within what a view gives."""
         if any(
             busy > owned.get(endpoint, 0)
-            for endpoint, busy in self._busy.items()
+            for endpoint, busy in self._used_by_endpoint.items()
         ):
             return False
         limits = self._limits
         return limits is None or all(
-            held <= division.part(customer, limits.get(customer, 0))
-            for customer, held in self._held.items()
+            used <= division.limit_share(customer, limits.get(customer, 0))
+            for customer, used in self._used_by_customer.items()
         )
 
     def state(self, *, now: float) -> dict[str, object]:
         """Return the counts for the state dump."""
         return {
             'owned': dict(self._owned),
-            'busy': dict(self._busy),
-            'held': dict(self._held),
+            'busy': dict(self._used_by_endpoint),
+            'held': dict(self._used_by_customer),
             'parts': {
-                customer: self.part(customer)
+                customer: self.limit_share(customer)
                 for customer in (self._limits or {})
             },
             'valid': now < self._valid_until,
@@ -205,35 +211,42 @@
             'borrowed': self.borrowed.state(),
         }
 
-    def _own_allowed(self, customer: ids.CustomerId) -> bool:
+    def _can_use_own(self, customer: ids.CustomerId) -> bool:
         if self.free_slots <= self.reserved:
             return False
-        return self._held.get(customer, 0) < self.part(customer)
+        return self._used_by_customer.get(customer, 0) < self.limit_share(
+            customer
+        )
 
-    def _compute_part(self, customer: ids.CustomerId) -> float:
+    def _compute_limit_share(self, customer: ids.CustomerId) -> float:
         if self._limits is None:
             return math.inf
         limit = self._limits.get(customer, 0)
         return min(
-            (division.part(customer, limit) for division in self._divisions),
+            (
+                division.limit_share(customer, limit)
+                for division in self._divisions
+            ),
             default=limit,
         )
 
-    def _hold(
+    def _add_use(
         self, endpoint: ids.EndpointId, customer: ids.CustomerId, by: int
     ) -> None:
-        busy = self._busy.get(endpoint, 0) + by
-        held = self._held.get(customer, 0) + by
-        self._busy[endpoint] = busy
-        self._held[customer] = held
+        busy = self._used_by_endpoint.get(endpoint, 0) + by
+        used = self._used_by_customer.get(customer, 0) + by
+        self._used_by_endpoint[endpoint] = busy
+        self._used_by_customer[customer] = used
         if not busy:
-            self._busy.pop(endpoint)
-        if not held:
-            self._held.pop(customer)
+            self._used_by_endpoint.pop(endpoint)
+        if not used:
+            self._used_by_customer.pop(customer)
         self._refresh(endpoint)
 
     def _refresh(self, endpoint: ids.EndpointId) -> None:
-        free = self._owned.get(endpoint, 0) - self._busy.get(endpoint, 0)
+        free = self._owned.get(endpoint, 0) - self._used_by_endpoint.get(
+            endpoint, 0
+        )
         known = self._free.get(endpoint, 0)
         free = max(free, 0)
         self.free_slots += free - known
@@ -242,4 +255,4 @@
         else:
             self._free.pop(endpoint, None)
         if bool(free) != bool(known):
-            self._free_names = None
+            self._free_endpoints = None
--- a/sardineproxy/process/views.py
+++ b/sardineproxy/process/views.py
@@ -28,7 +28,7 @@
     zone_slots: Mapping[ids.ZoneId, int]
     vm_slots: Mapping[ids.VmId, int]
 
-    def part(self, customer: ids.CustomerId, limit: int) -> int:
+    def limit_share(self, customer: ids.CustomerId, limit: int) -> int:
         """Return this VM's part of the limit."""
         zones = rendezvous.divide(limit, self.zone_slots, customer)
         vms = rendezvous.divide(
@@ -48,18 +48,18 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Peer:
+class _MemberPeer:
     """A connected process of the zone."""
 
     incarnation: ids.Incarnation
-    stated: frames.View | None = None
-    said_goodbye: bool = False
+    statement: frames.View | None = None
+    is_leaving: bool = False
 
     #: Epoch, epoch of the peer that was heard, and settled, as last sent.
     sent: tuple[int, int, bool] = (0, 0, False)
 
-    def heard(self) -> int:
-        return self.stated.epoch if self.stated else 0
+    def received_epoch(self) -> int:
+        return self.statement.epoch if self.statement else 0
 
 
 class MembershipViews:
@@ -74,17 +74,17 @@
         grace_s: float,
     ) -> None:
         """Start without peers, owning nothing."""
-        self._me = (vm, incarnation)
+        self._own_member = (vm, incarnation)
         self._zone = zone
         self._grace_s = grace_s
         self._listing = platform.VmList(revision=0, vms=())
-        self._peers: dict[ids.VmId, _Peer] = {}
+        self._peers: dict[ids.VmId, _MemberPeer] = {}
         self._absent: dict[ids.VmId, float] = {}
         self._departed: set[ids.VmId] = set()
-        self._winners: dict[str, ids.VmId | None] = {}
-        self._winners_for: dict[ids.VmId, float] = {}
+        self._owner_cache: dict[str, ids.VmId | None] = {}
+        self._owner_cache_sizes: dict[ids.VmId, float] = {}
         self._live: dict[ids.VmId, int] = {}
-        self._stale = True
+        self._is_stale = True
         self._leaving = False
         self._epoch = 0
         self.candidate = self._build(())
@@ -101,56 +101,58 @@
             and vm.zone == self._zone
             and vm.state is platform.VmState.LIVE
         }
-        self._stale = True
+        self._is_stale = True
 
-    def joined(self, vm: ids.VmId, incarnation: ids.Incarnation) -> None:
+    def add_peer(self, vm: ids.VmId, incarnation: ids.Incarnation) -> None:
         """Note a stream to a process of the zone."""
-        self._peers[vm] = _Peer(incarnation=incarnation)
-        self._stale = True
+        self._peers[vm] = _MemberPeer(incarnation=incarnation)
+        self._is_stale = True
         self._absent.pop(vm, None)
         self._departed.discard(vm)
 
-    def lost(self, vm: ids.VmId, now: float) -> None:
+    def remove_peer(self, vm: ids.VmId, now: float) -> None:
         """Note that the stream to the process is closed."""
         peer = self._peers.pop(vm, None)
-        self._stale = True
-        if peer and peer.said_goodbye:
+        self._is_stale = True
+        if peer and peer.is_leaving:
             self._departed.add(vm)
         elif peer:
             self._absent[vm] = now
 
-    def heard(self, vm: ids.VmId, frame: frames.View | frames.Goodbye) -> None:
+    def handle_frame(
+        self, vm: ids.VmId, frame: frames.View | frames.Goodbye
+    ) -> None:
         """Note the view that the process states, or that it ends."""
         peer = self._peers.get(vm)
         if peer is None:
             return
         match frame:
             case frames.View():
-                peer.stated = frame
+                peer.statement = frame
             case frames.Goodbye():
-                peer.said_goodbye = True
-                self._stale = True
+                peer.is_leaving = True
+                self._is_stale = True
 
     def leave(self) -> None:
         """Give up everything for good."""
         self._leaving = True
-        self._stale = True
+        self._is_stale = True
 
-    def drop(self) -> None:
+    def drop_owned(self) -> None:
         """Give up everything until the peers confirm a view anew."""
         self.owned = {}
         self._epoch += 1
         self.confirmed = False
 
-    def refresh(self, now: float) -> bool:
+    def update_candidate(self, now: float) -> bool:
         """Compute the candidate view; tell whether it is a new one.
 
         What a new candidate takes away is given up here.
         """
-        self._note_absent(now)
-        if not self._stale:
+        self._update_absent(now)
+        if not self._is_stale:
             return False
-        self._stale = False
+        self._is_stale = False
         fresh = self._build(self._members())
         if fresh.digest == self.candidate.digest and self._epoch:
             return False
@@ -164,7 +166,7 @@
         }
         return True
 
-    def confirm(self, now: float, *, settled: bool) -> bool:
+    def confirm_candidate(self, now: float, *, settled: bool) -> bool:
         """Take up the candidate if all confirmed it; tell whether it did."""
         if self.confirmed or not settled or self._in_grace(now):
             return False
@@ -174,14 +176,17 @@
         self.owned = dict(self.candidate.owned)
         return True
 
-    def outgoing(self, *, settled: bool) -> list[tuple[ids.VmId, frames.Frame]]:
+    def pending_statements(
+        self, *, settled: bool
+    ) -> list[tuple[ids.VmId, frames.Frame]]:
         """Return the views to state now, and to whom."""
         statements: list[tuple[ids.VmId, frames.Frame]] = []
         for vm, peer in self._peers.items():
-            heard = peer.heard()
+            heard = peer.received_epoch()
             epoch, sent_heard, sent_settled = peer.sent
             same = bool(
-                peer.stated and peer.stated.digest == self.candidate.digest
+                peer.statement
+                and peer.statement.digest == self.candidate.digest
             )
             if (
                 epoch == self._epoch
@@ -223,13 +228,13 @@
             settled=settled,
         )
 
-    def _agrees(self, peer: _Peer) -> bool:
+    def _agrees(self, peer: _MemberPeer) -> bool:
         """Tell whether the peer stated this view after seeing it stated."""
-        return peer.said_goodbye or bool(
-            peer.stated
-            and peer.stated.digest == self.candidate.digest
-            and peer.stated.heard == self._epoch
-            and peer.stated.settled
+        return peer.is_leaving or bool(
+            peer.statement
+            and peer.statement.digest == self.candidate.digest
+            and peer.statement.heard == self._epoch
+            and peer.statement.settled
         )
 
     def _in_grace(self, now: float) -> bool:
@@ -237,11 +242,11 @@
             now - since < self._grace_s for since in self._absent.values()
         )
 
-    def _note_absent(self, now: float) -> None:
+    def _update_absent(self, now: float) -> None:
         live = self._live
         self._departed.intersection_update(live)
         for vm in live:
-            if vm != self._me[0] and vm not in self._peers:
+            if vm != self._own_member[0] and vm not in self._peers:
                 if vm not in self._departed:
                     self._absent.setdefault(vm, now)
         for vm, since in list(self._absent.items()):
@@ -253,22 +258,22 @@
         members = [
             (vm, peer.incarnation)
             for vm, peer in self._peers.items()
-            if vm in live and not peer.said_goodbye
+            if vm in live and not peer.is_leaving
         ]
-        if self._me[0] in live and not self._leaving:
-            members.append(self._me)
+        if self._own_member[0] in live and not self._leaving:
+            members.append(self._own_member)
         return tuple(sorted(members))
 
-    def _winner(
+    def _owner_of(
         self, endpoint: str, sizes: dict[ids.VmId, float]
     ) -> ids.VmId | None:
         """Return the endpoint's owner; most changes move few endpoints."""
-        if self._winners_for != sizes:
-            self._winners_for = sizes
-            self._winners = {}
-        if endpoint not in self._winners:
-            self._winners[endpoint] = rendezvous.winner(endpoint, sizes)
-        return self._winners[endpoint]
+        if self._owner_cache_sizes != sizes:
+            self._owner_cache_sizes = sizes
+            self._owner_cache = {}
+        if endpoint not in self._owner_cache:
+            self._owner_cache[endpoint] = rendezvous.winner(endpoint, sizes)
+        return self._owner_cache[endpoint]
 
     def _build(self, members: tuple[Member, ...]) -> CandidateView:
         live = self._live
@@ -284,10 +289,10 @@
             if endpoint.zone != self._zone:
                 continue
             digest.update(f'{endpoint.name} {endpoint.slots}\n'.encode())
-            owner = self._winner(endpoint.name, sizes)
+            owner = self._owner_of(endpoint.name, sizes)
             if owner:
                 vm_slots[owner] += endpoint.slots
-            if owner == self._me[0]:
+            if owner == self._own_member[0]:
                 owned[ids.EndpointId(endpoint.name)] = endpoint.slots
         digest.update(repr(sorted(zone_slots.items())).encode())
         return CandidateView(
@@ -295,7 +300,7 @@
             digest=digest.hexdigest(),
             owned=owned,
             division=LimitDivision(
-                vm=self._me[0],
+                vm=self._own_member[0],
                 zone=self._zone,
                 zone_slots=zone_slots,
                 vm_slots=vm_slots,
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -65,8 +65,8 @@
         held = self.held.values()
         return sum(customer in {None, ticket.customer} for ticket in held)
 
-    def take(self, **place: Any) -> slots.Ticket | None:
-        ticket = super().take(**place)
+    def acquire(self, **place: Any) -> slots.Ticket | None:
+        ticket = super().acquire(**place)
         if ticket is not None:
             self.held[ticket.number] = ticket
         return ticket
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -47,8 +47,8 @@
             owned = [f'{name}{number}' for number in range(ENDPOINTS)]
             self.tables[name] = slots.SlotTable()
             self.tables[name].set_owned(dict.fromkeys(owned, SLOTS))
-            self.tables[name].set_divisions([division])
-            self.tables[name].set_holds(limits)
+            self.tables[name].set_limit_divisions([division])
+            self.tables[name].set_concurrency_limits(limits)
             self.loans[name] = loans.Loans(cfg=CFG, table=self.tables[name])
             for other in names.replace(name, ''):
                 self.links[name, other] = collections.deque()
@@ -107,7 +107,7 @@
     def take(self, name: str, customer: ids.CustomerId) -> bool:
         table = self.tables[name]
         for endpoint in table.free_endpoints(customer=customer, now=self.now):
-            ticket = table.take(
+            ticket = table.acquire(
                 endpoint=endpoint, customer=customer, now=self.now
             )
             if ticket:
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -223,7 +223,7 @@
             one.clock.shift = CFG.stream.peer_silent_s
             now = one.clock.now()
             self.assertIs(
-                None, one.table.take(endpoint=endpoint, customer=X, now=now)
+                None, one.table.acquire(endpoint=endpoint, customer=X, now=now)
             )
             one.peers.tick(now)
             self.assertEqual([], owned(one))
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -27,7 +27,7 @@
     def take(
         self, endpoint: ids.EndpointId, customer: ids.CustomerId = X
     ) -> slots.Ticket | None:
-        return self.table.take(endpoint=endpoint, customer=customer, now=0)
+        return self.table.acquire(endpoint=endpoint, customer=customer, now=0)
 
     def free(self, customer: ids.CustomerId = X) -> set[str]:
         return set(self.table.free_endpoints(customer=customer, now=0))
@@ -46,16 +46,16 @@
         self.assertEqual(2, self.table.free_slots)
 
     def test_holds_each_customer_to_its_limit(self) -> None:
-        self.table.set_holds({X: 1})
+        self.table.set_concurrency_limits({X: 1})
         self.assertIsNot(None, self.take(E1))
         self.assertEqual(0, len(self.free(X)))
         self.assertIs(None, self.take(E2))
         self.assertEqual(0, len(self.free(Y)))
-        self.table.set_holds({X: 1, Y: 1})
+        self.table.set_concurrency_limits({X: 1, Y: 1})
         self.assertEqual({E1, E2}, self.free(Y))
 
     def test_loans_count_against_the_limit(self) -> None:
-        self.table.set_holds({X: 2})
+        self.table.set_concurrency_limits({X: 2})
         self.take(E1)
         self.assertEqual(1, sum(self.table.lend(X, 5).values()))
         self.assertIs(None, self.take(E2))
@@ -78,7 +78,7 @@
         told: list[None] = []
         self.table.changed.subscribe(told.append)
         self.table.set_owned({E1: 3})
-        self.table.set_holds({X: 1})
+        self.table.set_concurrency_limits({X: 1})
         self.assertEqual(2, len(told))
 
     def test_uses_borrowed_slots_of_its_customer_only(self) -> None:
@@ -137,7 +137,7 @@
                 vm_slots={
                     f'v{each}': count for each, count in enumerate(owned)
                 },
-            ).part(X, limit)
+            ).limit_share(X, limit)
             for zone, owned in enumerate(zones)
             for vm, _ in enumerate(owned)
         ]
--- a/tests/process/test_views.py
+++ b/tests/process/test_views.py
@@ -74,22 +74,22 @@
 
     def connect(self, one: str, other: str) -> None:
         self.links[one, other] = collections.deque()
-        self.views[one].joined(other, '1')
+        self.views[one].add_peer(other, '1')
 
     def cut(self, one: str, other: str) -> None:
         for here, there in ((one, other), (other, one)):
             self.links[here, there].clear()
-            self.views[here].lost(there, self.now)
+            self.views[here].remove_peer(there, self.now)
 
     def review(self, name: str) -> None:
-        for to, view in self.owners[name].review(self.now):
+        for to, view in self.owners[name].update(self.now):
             self.links[name, to].append(view)
 
     def deliver(self, one: str, other: str) -> bool:
         link = self.links.get((one, other))
         if not link:
             return False
-        self.views[other].heard(one, link.popleft())
+        self.views[other].handle_frame(one, link.popleft())
         self.review(other)
         return True
 
@@ -151,7 +151,7 @@
                 case 'l':
                     zone.use(step + 2, data.draw(lists), data.draw(names))
                 case 'f':
-                    zone.owners[data.draw(names)].drop()
+                    zone.owners[data.draw(names)].drop_owned()
                 case 't':
                     zone.review(data.draw(names))
                 case _:
@@ -205,7 +205,7 @@
         zone = _whole_zone()
         zone.owners['c'].leave()
         for other in 'ab':
-            zone.views[other].heard('c', views.frames.Goodbye())
+            zone.views[other].handle_frame('c', views.frames.Goodbye())
             zone.links['c', other].clear()
         zone.settle()
         self.assert_all_owned(zone, 'ab')
@@ -217,7 +217,7 @@
     def test_frozen_member_owns_nothing_until_confirmed_again(self) -> None:
         zone = _whole_zone()
         before = zone.owned('b')
-        zone.owners['b'].drop()
+        zone.owners['b'].drop_owned()
         self.assertEqual(0, len(zone.owned('b')))
         zone.use(2, 'b', 'b')
         zone.review('b')
@@ -248,7 +248,7 @@
         zone = _whole_zone('ab')
         table = zone.tables['a']
         tickets = [
-            table.take(endpoint=endpoint, customer='x', now=0)
+            table.acquire(endpoint=endpoint, customer='x', now=0)
             for endpoint in zone.owned('a')
         ]
         zone.use(2, 'b', 'ab')
