--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -46,7 +46,7 @@
     ) -> work.Outcome:
         """Return an answer without a connection."""
         await asyncio.sleep(0)
-        return work.Answer(
+        return work.Response(
             status=200, headers=(), body=b'', endpoint=ids.EndpointId(vm.name)
         )
 
@@ -214,15 +214,15 @@
     return slopes_fit.cpu_us(lambda: _fill_table(count))
 
 
-def _fill_table(count: int) -> records.Table:
+def _fill_table(count: int) -> records.RecordStore:
     """Return a table of answered records."""
-    ring = keys.KeyRing(
+    ring = keys.KeyIssuer(
         vm=ids.VmId('entry-00000'),
         incarnation=ids.Incarnation('0' * 16),
         secret=b'secret',
         ttl_s=slopes_samples.LONG_S,
     )
-    table = records.Table(
+    table = records.RecordStore(
         ring=ring,
         key_ttl_s=slopes_samples.LONG_S,
         record_ttl_s=slopes_samples.LONG_S,
@@ -235,7 +235,7 @@
 
 
 def _keep_record(
-    table: records.Table, ring: keys.KeyRing, customer: ids.CustomerId
+    table: records.RecordStore, ring: keys.KeyIssuer, customer: ids.CustomerId
 ) -> None:
     """Mint a key, look it up, run its work and keep the answer."""
     text = ring.mint(customer=customer, now=0)
@@ -246,7 +246,7 @@
     record = records.Record(
         request_id=text,
         customer=customer,
-        kind=work.Kind.SINGLE,
+        kind=work.TaskKind.SINGLE,
         fingerprint=bytes.fromhex(key.mac),
         size=ANSWER_BYTES,
         tasks=1,
--- a/sardineproxy/connection/caller.py
+++ b/sardineproxy/connection/caller.py
@@ -12,7 +12,7 @@
 from sardineproxy.request import admission, documents, keys, submissions, work
 
 KINDS = types.MappingProxyType(
-    {'requests': work.Kind.SINGLE, 'jobs': work.Kind.JOB}
+    {'requests': work.TaskKind.SINGLE, 'jobs': work.TaskKind.JOB}
 )
 WAITS = types.MappingProxyType({'true': True, 'false': False})
 BEARER = 'bearer '
@@ -172,7 +172,7 @@
 
 def _refusal(problem: problems.Problem, key_text: str | None) -> web.Response:
     return edge.render(
-        documents.render_problem(keys.without_minter(problem, key_text))
+        documents.render_problem(keys.without_issuer_verdict(problem, key_text))
     )
 
 
--- a/sardineproxy/connection/edge.py
+++ b/sardineproxy/connection/edge.py
@@ -380,7 +380,7 @@
     )
     key_text = req.headers.get(KEY_HEADER)
     return render(
-        documents.render_problem(keys.without_minter(problem, key_text))
+        documents.render_problem(keys.without_issuer_verdict(problem, key_text))
     )
 
 
--- a/sardineproxy/connection/endpoint.py
+++ b/sardineproxy/connection/endpoint.py
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Lost(work.Unknown):
+class Lost(work.OutcomeUnknown):
     """No whole answer came from a known endpoint."""
 
     endpoint: ids.EndpointId
@@ -180,7 +180,7 @@
         vm: platform.Vm,
         headers: _Headers,
         exchange: endpoint_pool.Exchange,
-    ) -> work.Answer:
+    ) -> work.Response:
         """Keep within the number of connections that the endpoint takes."""
         key = (vm.host, vm.port)
         gate = self._gates.get(key)
@@ -204,7 +204,7 @@
         vm: platform.Vm,
         headers: _Headers,
         exchange: endpoint_pool.Exchange,
-    ) -> work.Answer:
+    ) -> work.Response:
         assert self._session is not None, 'start() was not called'
         host = f'[{vm.host}]' if ':' in vm.host else vm.host
         reply = await self._session.request(
@@ -222,7 +222,7 @@
             on_failure.pop_all()
         assert exchange.protocol is not None
         exchange.protocol.approve(framing)
-        return work.Answer(
+        return work.Response(
             status=reply.status,
             headers=kept,
             body=body,
@@ -345,7 +345,7 @@
 
 def _cut_off(
     vm: platform.Vm, exchange: endpoint_pool.Exchange
-) -> work.Refused | work.Unknown:
+) -> work.Refused | work.OutcomeUnknown:
     if exchange.protocol is None:
         return work.Refused(problem=deadline_passed())
     return _failed(vm, exchange, TimeoutError())
@@ -353,7 +353,7 @@
 
 def _failed(
     vm: platform.Vm, exchange: endpoint_pool.Exchange, exc: Exception
-) -> work.Refused | work.Unknown:
+) -> work.Refused | work.OutcomeUnknown:
     if exchange.protocol is None:
         return work.Refused(
             problem=problems.refusal(
--- a/sardineproxy/platform/roster.py
+++ b/sardineproxy/platform/roster.py
@@ -55,9 +55,9 @@
     )
 
 
-def shape(document: Mapping[str, Any]) -> jobs.Shape:
+def shape(document: Mapping[str, Any]) -> jobs.Resources:
     """Decode resources; ``cpu`` is in thousandths of a core."""
-    return jobs.Shape(
+    return jobs.Resources(
         millicores=fields.whole(document, 'cpu', 0),
         memory_mb=fields.whole(document, 'mem_mb', 0),
         gpus=fields.whole(document, 'gpu', 0),
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -199,14 +199,14 @@
         self._matcher.router.set_listing(vm_list)
         self.wake()
 
-    def _prepare_wait(self, entry: flows.Entry, now: float) -> None:
+    def _prepare_wait(self, entry: flows.QueueEntry, now: float) -> None:
         entry.waiter = asyncio.get_running_loop().create_future()
         self._timer.set(
             min(entry.task.deadline, now + self._cfg.housekeeping_s), now=now
         )
 
     async def _wait(
-        self, entry: flows.Entry
+        self, entry: flows.QueueEntry
     ) -> matching.Placement | work.Refused:
         waiter = entry.waiter
         assert waiter is not None, 'only prepared tasks wait'
@@ -214,7 +214,7 @@
         try:
             return await waiter
         except asyncio.CancelledError:
-            if entry.state is flows.State.WAITING:
+            if entry.state is flows.EntryState.WAITING:
                 self._queue.end(entry)
             placement = self._matcher.running.get(entry.number)
             if placement is not None:
@@ -281,7 +281,7 @@
             self._report_backlog(now)
 
     def _requeue(
-        self, entry: flows.Entry, endpoint: ids.EndpointId, now: float
+        self, entry: flows.QueueEntry, endpoint: ids.EndpointId, now: float
     ) -> None:
         """Put a task of which nothing was sent at the front again."""
         self._metrics.count('dispatch_put_back_total')
@@ -301,12 +301,14 @@
             refusal_pause_s, self._resume, entry
         )
 
-    def _resume(self, entry: flows.Entry) -> None:
-        if entry.state is flows.State.WAITING:
+    def _resume(self, entry: flows.QueueEntry) -> None:
+        if entry.state is flows.EntryState.WAITING:
             self._queue.wait(entry, first=True)
             self.wake()
 
-    def _refuse(self, entry: flows.Entry, problem: problems.Problem) -> None:
+    def _refuse(
+        self, entry: flows.QueueEntry, problem: problems.Problem
+    ) -> None:
         self._metrics.count('dispatch_refused_total', code=problem.code)
         if entry.waiter is not None and not entry.waiter.done():
             entry.waiter.set_result(work.Refused(problem=problem))
@@ -339,7 +341,7 @@
 
 
 #: States of a task whose attempt ended and that waits for another slot.
-_PENDING = frozenset((flows.State.WAITING, flows.State.STARTED))
+_PENDING = frozenset((flows.EntryState.WAITING, flows.EntryState.STARTED))
 
 
 def _is_unreachable(outcome: work.Outcome | None) -> bool:
@@ -348,7 +350,9 @@
     return outcome.problem.code == endpoint_conn.UNREACHABLE
 
 
-def _final_refusal(entry: flows.Entry, *, closed: bool) -> problems.Problem:
+def _final_refusal(
+    entry: flows.QueueEntry, *, closed: bool
+) -> problems.Problem:
     """Tell why an unreachable endpoint was the last one tried."""
     if entry.cancelled:
         return _cancelled()
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -38,7 +38,7 @@
 class Placement:
     """A started task and its slot."""
 
-    entry: flows.Entry
+    entry: flows.QueueEntry
     ticket: slots.Ticket
     vm: platform.Vm
 
@@ -72,7 +72,9 @@
         #: Flows that could use no free slot while others could.
         self.blocked: dict[ids.CustomerId, flows.Flow] = {}
 
-    def place_new(self, entry: flows.Entry, *, now: float) -> Placement | None:
+    def place_new(
+        self, entry: flows.QueueEntry, *, now: float
+    ) -> Placement | None:
         """Start a new task at once if a free slot fits it.
 
         The waiting tasks of its customer fit no free slot, nor do those of
@@ -162,7 +164,7 @@
                 return True
         return False
 
-    def _candidates(self, flow: flows.Flow) -> tuple[flows.Entry, ...]:
+    def _candidates(self, flow: flows.Flow) -> tuple[flows.QueueEntry, ...]:
         """Return the tasks to try, without those that nobody waits for."""
         entries = self._queue.candidates(flow)
         abandoned = [each for each in entries if _is_abandoned(each)]
@@ -173,7 +175,7 @@
             abandoned = [each for each in entries if _is_abandoned(each)]
         return entries
 
-    def _place(self, entry: flows.Entry, now: float) -> Placement | None:
+    def _place(self, entry: flows.QueueEntry, now: float) -> Placement | None:
         """Take the best free slot for a task and start it."""
         customer = entry.task.customer
         free = self._slots.free_endpoints(customer=customer, now=now)
@@ -190,7 +192,7 @@
         return None
 
     def _start(
-        self, entry: flows.Entry, ticket: slots.Ticket, now: float
+        self, entry: flows.QueueEntry, ticket: slots.Ticket, now: float
     ) -> Placement:
         self._queue.start(entry)
         self._health.record_start(ticket.endpoint, now=now)
@@ -209,5 +211,5 @@
         self.blocked.clear()
 
 
-def _is_abandoned(entry: flows.Entry) -> bool:
+def _is_abandoned(entry: flows.QueueEntry) -> bool:
     return entry.waiter is None or entry.waiter.done()
--- a/sardineproxy/process/node/intake.py
+++ b/sardineproxy/process/node/intake.py
@@ -3,7 +3,7 @@
 from sardineproxy import clock, ids, logs
 from sardineproxy.process import metrics
 from sardineproxy.process.stored_jobs import job_service, job_manager, records
-from sardineproxy.request import board, coordinator, jobs, open_tasks
+from sardineproxy.request import active_jobs, coordinator, jobs, open_tasks
 from sardineproxy.version import in_force, routes
 
 #: When to come back after a refusal by a process that ends, in seconds; other
@@ -20,7 +20,7 @@
         self,
         *,
         job_service: job_service.JobService,
-        board: board.Board,
+        board: active_jobs.ActiveJobs,
         router: open_tasks.Router,
         versions: in_force.InForce,
         clock: clock.Clock,
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -33,7 +33,7 @@
     sharing,
     state_dump,
 )
-from sardineproxy.request import board, open_tasks
+from sardineproxy.request import active_jobs, open_tasks
 from sardineproxy.version import in_force, routes
 
 #: Time between two rounds of what is due, in seconds: half a beat, and less
@@ -78,7 +78,7 @@
         self.versions = in_force.InForce(
             decode=dependencies.formats.decode_configuration
         )
-        self.board = board.Board()
+        self.board = active_jobs.ActiveJobs()
         self.directory = registry.Registry()
         self._sharing = sharing.Sharing(
             versions=self.versions,
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -51,7 +51,7 @@
 
     def choose_endpoint(
         self,
-        entry: flows.Entry,
+        entry: flows.QueueEntry,
         free: tuple[ids.EndpointId, ...],
         *,
         now: float,
@@ -91,9 +91,9 @@
     ) -> None:
         """Tell the health estimates how a task ended; None if cancelled."""
         match outcome:
-            case work.Answer(status=status):
+            case work.Response(status=status):
                 self._record_answer(task, endpoint, status, run_s, now)
-            case work.Unknown() if not self._is_deadline_too_short(
+            case work.OutcomeUnknown() if not self._is_deadline_too_short(
                 task, run_s, now
             ):
                 self._health.record_failure(
@@ -131,7 +131,7 @@
             self._health.record_success(
                 endpoint, customer=task.customer, run_s=run_s, now=now
             )
-            if task.kind is work.Kind.JOB:
+            if task.kind is work.TaskKind.JOB:
                 self._health.record_job_success(request_id)
 
     def _is_deadline_too_short(
@@ -155,4 +155,4 @@
 
 
 def _is_harmless_probe(task: work.Task) -> bool:
-    return task.idempotent and task.kind is work.Kind.SINGLE
+    return task.idempotent and task.kind is work.TaskKind.SINGLE
--- a/sardineproxy/process/shards/backlog.py
+++ b/sardineproxy/process/shards/backlog.py
@@ -82,7 +82,7 @@
         if task is not None and task.run is run:
             task.run = None
 
-    def end(self, run: runs.Run, how: jobs.TaskEnd) -> None:
+    def end(self, run: runs.Run, how: jobs.TaskResult) -> None:
         """End a task as its run ended, and tell its coordinator."""
         run.batch.tasks.pop(run.index)
         self._forget_if_empty(run.batch)
@@ -100,7 +100,7 @@
             },
         )
         if how is workers.Ending.DONE:
-            self._note(run.task, run.number, jobs.TaskEnd.DONE)
+            self._note(run.task, run.number, jobs.TaskResult.DONE)
 
     # Batches.
 
@@ -113,7 +113,9 @@
         """
         if known.link is not None and known.link is not source:
             for index, task in known.tasks.items():
-                self.send_end(known, index, task.number, jobs.TaskEnd.REPLACED)
+                self.send_end(
+                    known, index, task.number, jobs.TaskResult.REPLACED
+                )
         known.link = source
         for index, number in tasks.items():
             if index in known.tasks:
@@ -131,7 +133,7 @@
         left: dict[int, int] = {}
         for index, number in tasks.items():
             last = self._recall.find(batch.task_name(index))
-            if last is not None and last.how is jobs.TaskEnd.DONE:
+            if last is not None and last.how is jobs.TaskResult.DONE:
                 self.send_end(batch, index, last.number, last.how)
             else:
                 left[index] = number
@@ -208,7 +210,7 @@
                 stop(task.run)
 
     def send_end(
-        self, batch: runs.Batch, index: int, number: int, how: jobs.TaskEnd
+        self, batch: runs.Batch, index: int, number: int, how: jobs.TaskResult
     ) -> None:
         """Tell a coordinator how a task ended, and remember it."""
         self._note(batch.task_name(index), number, how)
@@ -226,7 +228,7 @@
             )
 
     def _note(
-        self, task: workers.TaskName, number: int, how: jobs.TaskEnd
+        self, task: workers.TaskName, number: int, how: jobs.TaskResult
     ) -> None:
         self._recall.note(task, number=number, how=how, now=self._clock.now())
 
--- a/sardineproxy/process/shards/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -9,7 +9,7 @@
 class Ledger:
     """Runs that this process ordered, and those that others did."""
 
-    def __init__(self, *, capacity: jobs.Shape) -> None:
+    def __init__(self, *, capacity: jobs.Resources) -> None:
         """Start without runs."""
         self.runs: dict[workers.TaskName, runs.Run] = {}
 
@@ -39,7 +39,7 @@
         self.runs.pop(run.task)
         self.free = self.free.plus(run.batch.shape)
 
-    def resize(self, before: jobs.Shape, after: jobs.Shape) -> None:
+    def resize(self, before: jobs.Resources, after: jobs.Resources) -> None:
         """Use a changed capacity."""
         self.free = after.minus(before.minus(self.free))
 
--- a/sardineproxy/process/shards/ordering.py
+++ b/sardineproxy/process/shards/ordering.py
@@ -208,7 +208,7 @@
     def _give_up(self, batch: runs.Batch) -> None:
         for index in list(batch.tasks):
             self._backlog.send_end(
-                batch, index, batch.tasks[index].number, jobs.TaskEnd.LATE
+                batch, index, batch.tasks[index].number, jobs.TaskResult.LATE
             )
         self.drop(batch, 'too late')
 
--- a/sardineproxy/process/shards/recall.py
+++ b/sardineproxy/process/shards/recall.py
@@ -16,7 +16,7 @@
     """The last run of a task, and how it ended."""
 
     number: int
-    how: jobs.TaskEnd
+    how: jobs.TaskResult
 
     #: Local time, in seconds.
     at: float
@@ -42,12 +42,12 @@
         task: workers.TaskName,
         *,
         number: int,
-        how: jobs.TaskEnd,
+        how: jobs.TaskResult,
         now: float,
     ) -> None:
         """Note an end; one that was good stays."""
         known = self._ends.get(task)
-        if known is not None and known.how is jobs.TaskEnd.DONE:
+        if known is not None and known.how is jobs.TaskResult.DONE:
             return
         self._ends[task] = RecentEnd(number=number, how=how, at=now)
         self._in_order.append((now, task))
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -391,9 +391,9 @@
             case _ if not is_wanted:
                 self._backlog.note_dropped_end(run, how)
             case workers.Ending.DONE:
-                self._backlog.end(run, jobs.TaskEnd.DONE)
+                self._backlog.end(run, jobs.TaskResult.DONE)
             case workers.Ending.FAILED if run.batch.stored or not is_suspect:
-                self._backlog.end(run, jobs.TaskEnd.FAILED)
+                self._backlog.end(run, jobs.TaskResult.FAILED)
             case _:
                 self._backlog.requeue(run)
 
--- a/sardineproxy/process/shards/stored_ends.py
+++ b/sardineproxy/process/shards/stored_ends.py
@@ -128,8 +128,8 @@
 
 _TASK_ENDS = types.MappingProxyType(
     {
-        workers.Ending.DONE: jobs.TaskEnd.DONE,
-        workers.Ending.FAILED: jobs.TaskEnd.FAILED,
+        workers.Ending.DONE: jobs.TaskResult.DONE,
+        workers.Ending.FAILED: jobs.TaskResult.FAILED,
     }
 )
 
--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -135,7 +135,7 @@
             return missing
         # They may run on a worker that has not reported.
         for index, number in missing.items():
-            self._backlog.send_end(batch, index, number, jobs.TaskEnd.LATE)
+            self._backlog.send_end(batch, index, number, jobs.TaskResult.LATE)
         return {}
 
     def _adopt(self, batch: runs.Batch, index: int, now: float) -> bool:
@@ -149,7 +149,7 @@
                 return True
         end = self._find_done(name)
         if end is not None:
-            self._backlog.send_end(batch, index, end.run, jobs.TaskEnd.DONE)
+            self._backlog.send_end(batch, index, end.run, jobs.TaskResult.DONE)
         return end is not None
 
     def _take_run(
--- a/sardineproxy/process/shards/workers.py
+++ b/sardineproxy/process/shards/workers.py
@@ -32,7 +32,7 @@
     #: under the same id and then knows nothing of before.
     born_ms: int
 
-    capacity: jobs.Shape
+    capacity: jobs.Resources
 
     #: Kind of machine and rack, for tasks that require or prefer one.
     labels: tuple[str, ...]
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -102,7 +102,7 @@
             route=stored.route,
             router=router,
             clock=clock,
-            times=open_tasks.Times(
+            times=open_tasks.JobTimes(
                 arrived_at=now - max(0, clock.wall() - stored.accepted_at),
                 deadline=now + NO_DEADLINE_S,
             ),
@@ -178,7 +178,7 @@
             event = await self._events.get()
             self._refresh_route()
             match event:
-                case messages.Ended(how=jobs.TaskEnd.REPLACED.value):
+                case messages.Ended(how=jobs.TaskResult.REPLACED.value):
                     _LOG.info(
                         'Another keeper has the job.',
                         extra={'job': self.stored.job.job},
@@ -257,15 +257,15 @@
         """Count an end; tell whether the job has failed by it."""
         self.has_begun = True
         key = (end.step, end.index)
-        how = jobs.TaskEnd(end.how)
-        if how is jobs.TaskEnd.LATE:
+        how = jobs.TaskResult(end.how)
+        if how is jobs.TaskResult.LATE:
             self._retry(key)
             return False
         self._unacknowledged.append(_to_completion(end))
         if self._progress.is_recorded(key, end.run):
             # Its worker has not heard so.
             return False
-        if how is jobs.TaskEnd.DONE:
+        if how is jobs.TaskResult.DONE:
             self._record_success(key)
             return False
         return self._record_failure(key, end.run)
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -231,7 +231,7 @@
 ) -> jobs.Step:
     return jobs.Step(
         count=int(count),
-        shape=jobs.Shape(
+        shape=jobs.Resources(
             millicores=int(millicores),
             memory_mb=int(memory_mb),
             gpus=int(gpus),
--- a/sardineproxy/request/board.py
+++ b/sardineproxy/request/active_jobs.py
@@ -19,7 +19,7 @@
     waiting: int = 0
 
 
-class Board:
+class ActiveJobs:
     """Runs one coordinator for each job, however often it is sent."""
 
     def __init__(self) -> None:
--- a/sardineproxy/request/admission.py
+++ b/sardineproxy/request/admission.py
@@ -25,11 +25,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Offer:
+class Submission:
     """A submission that a caller asks this VM to run."""
 
     customer: ids.CustomerId
-    kind: work.Kind
+    kind: work.TaskKind
 
     #: True if it carries an idempotency key.
     keyed: bool
@@ -37,10 +37,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Admitted:
+class AdmittedSubmission:
     """A submission that has been taken."""
 
-    offer: Offer
+    offer: Submission
     contract: contracts.Contract
     document: documents.JobDocument
 
@@ -131,8 +131,8 @@
         return None if self._ready else _not_ready()
 
     def admit(
-        self, *, offer: Offer, waiting: int, now: float
-    ) -> result.Result[Admitted, problems.Problem]:
+        self, *, offer: Submission, waiting: int, now: float
+    ) -> result.Result[AdmittedSubmission, problems.Problem]:
         """Parse and take a submission, or return why it is refused."""
         refused = self.refusal_of_all()
         if refused is not None:
@@ -140,12 +140,12 @@
         contract = self._contracts.get(offer.customer)
         if contract is None:
             return result.Err(_no_contract())
-        if not offer.keyed and offer.kind is work.Kind.JOB:
+        if not offer.keyed and offer.kind is work.TaskKind.JOB:
             return result.Err(key_required())
         parsed = documents.parse_submission(kind=offer.kind, body=offer.body)
         if isinstance(parsed, result.Err):
             return parsed
-        admitted = Admitted(
+        admitted = AdmittedSubmission(
             offer=offer, contract=contract, document=parsed.ok_value
         )
         refused = check_bounds(admitted=admitted) or self._charge(
@@ -225,7 +225,7 @@
         return 0
 
 
-def check_bounds(*, admitted: Admitted) -> problems.Problem | None:
+def check_bounds(*, admitted: AdmittedSubmission) -> problems.Problem | None:
     """Return why the contract never allows the submission, if so."""
     contract, document = admitted.contract, admitted.document
     if not admitted.offer.keyed and not document.tasks[0].idempotent:
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -63,7 +63,7 @@
             route=route,
             router=router,
             clock=clock,
-            times=open_tasks.Times(
+            times=open_tasks.JobTimes(
                 arrived_at=arrived_at, deadline=self._deadline
             ),
         )
@@ -153,14 +153,14 @@
             return None
         self._may_have_run = True
         task.number = max(task.number, end.run + 1)
-        match jobs.TaskEnd(end.how):
-            case jobs.TaskEnd.DONE:
+        match jobs.TaskResult(end.how):
+            case jobs.TaskResult.DONE:
                 if self._open.end(task.key):
                     self._done_steps.add(end.step)
                 return None
-            case jobs.TaskEnd.FAILED:
+            case jobs.TaskResult.FAILED:
                 return self._take_failure(task)
-            case jobs.TaskEnd.LATE | jobs.TaskEnd.REPLACED:
+            case jobs.TaskResult.LATE | jobs.TaskResult.REPLACED:
                 return jobs.GivenUp(detail=f'task {end.index}: {end.how}')
 
     def _take_failure(self, task: open_tasks.OpenTask) -> jobs.Outcome | None:
--- a/sardineproxy/request/documents.py
+++ b/sardineproxy/request/documents.py
@@ -194,10 +194,10 @@
 Parsed = result.Result[JobDocument, problems.Problem]
 
 
-def parse_submission(*, kind: work.Kind, body: bytes) -> Parsed:
+def parse_submission(*, kind: work.TaskKind, body: bytes) -> Parsed:
     """Parse a job or a single request; the latter as a job of one task."""
     try:
-        if kind is work.Kind.JOB:
+        if kind is work.TaskKind.JOB:
             return result.Ok(_load(JobDocument, body))
         task = _load(TaskDocument, body)
     except ValueError as exc:
--- a/sardineproxy/request/job.py
+++ b/sardineproxy/request/executions.py
@@ -59,7 +59,7 @@
 
     async def run(self) -> documents.Reply:
         """Run all tasks and return the answer to the caller."""
-        if self._record.kind is work.Kind.SINGLE:
+        if self._record.kind is work.TaskKind.SINGLE:
             outcome = await self._run_task(self._tasks[0])
             return _single_reply(self._record, outcome)
         outcomes = await asyncio.gather(
@@ -71,7 +71,7 @@
         self._unstarted[task.customer] -= 1
         outcome = await self._outcome(task)
         self._record.ended_tasks += 1
-        if isinstance(outcome, work.Answer):
+        if isinstance(outcome, work.Response):
             self._answer_bytes += len(outcome.body)
             if self._answer_bytes > MAX_JOB_ANSWER_BYTES:
                 return _without_answer(outcome)
@@ -81,14 +81,14 @@
         if self._record.cancelled:
             return work.Refused(problem=cancelled())
         run = self._runner.run_single
-        if task.kind is work.Kind.JOB:
+        if task.kind is work.TaskKind.JOB:
             run = self._runner.run_job_task
         try:
             return await run(task=task)
         except Exception:
             # A fault in the dispatcher may come after the first byte.
             _log.exception('task failed', extra={'id': task.request_id})
-            return work.Unknown(problem=_internal_error())
+            return work.OutcomeUnknown(problem=_internal_error())
 
 
 class Executions:
@@ -99,7 +99,7 @@
         *,
         clock: clock.Clock,
         runner: Runner,
-        table: records.Table,
+        table: records.RecordStore,
         metrics: metrics.Metrics,
     ) -> None:
         """Start with nothing in progress."""
@@ -119,7 +119,7 @@
     def start(
         self,
         *,
-        admitted: admission.Admitted,
+        admitted: admission.AdmittedSubmission,
         request_id: ids.RequestId,
         sequence: int | None = None,
         fingerprint: bytes = b'',
@@ -235,11 +235,13 @@
 def outcome_verdict(outcome: work.Outcome) -> verdicts.Verdict:
     """Return what became of one task."""
     match outcome:
-        case work.Answer(status=status):
+        case work.Response(status=status):
             if status < FIRST_ERROR_STATUS:
                 return verdicts.Verdict.RAN
             return verdicts.Verdict.RAN_AND_FAILED
-        case work.Refused(problem=problem) | work.Unknown(problem=problem):
+        case (
+            work.Refused(problem=problem) | work.OutcomeUnknown(problem=problem)
+        ):
             return problem.verdict
 
 
@@ -253,7 +255,7 @@
     return verdicts.Verdict.RAN_AND_FAILED
 
 
-def answer_document(answer: work.Answer) -> dict[str, Any]:
+def answer_document(answer: work.Response) -> dict[str, Any]:
     """Return an endpoint's answer; a body that is not UTF-8 as base64."""
     document: dict[str, Any] = {
         'verdict': outcome_verdict(answer).value,
@@ -271,7 +273,7 @@
 def _single_reply(
     record: records.Record, outcome: work.Outcome
 ) -> documents.Reply:
-    if isinstance(outcome, work.Answer):
+    if isinstance(outcome, work.Response):
         return documents.render_json(
             status=200,
             document={'id': record.request_id, **answer_document(outcome)},
@@ -284,7 +286,7 @@
     record: records.Record, outcomes: Sequence[work.Outcome]
 ) -> documents.Reply:
     verdict = job_verdict(outcomes)
-    whole = all(isinstance(outcome, work.Answer) for outcome in outcomes)
+    whole = all(isinstance(outcome, work.Response) for outcome in outcomes)
     complete = (
         whole and verdict is verdicts.Verdict.RAN and not record.cancelled
     )
@@ -302,7 +304,7 @@
 
 
 def _task_document(outcome: work.Outcome) -> dict[str, Any]:
-    if isinstance(outcome, work.Answer):
+    if isinstance(outcome, work.Response):
         return answer_document(outcome)
     return {
         'verdict': outcome.problem.verdict.value,
@@ -310,8 +312,8 @@
     }
 
 
-def _without_answer(answer: work.Answer) -> work.Outcome:
-    return work.Unknown(
+def _without_answer(answer: work.Response) -> work.Outcome:
+    return work.OutcomeUnknown(
         problem=problems.Problem(
             code='answers_too_large',
             verdict=outcome_verdict(answer),
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -81,16 +81,16 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._heap: list[tuple[float, int, flows.Entry]] = []
+        self._heap: list[tuple[float, int, flows.QueueEntry]] = []
         self._last_push = 0
 
-    def push(self, entry: flows.Entry, *, waiting: int) -> None:
+    def push(self, entry: flows.QueueEntry, *, waiting: int) -> None:
         """Place a waiting task."""
         if len(self._heap) > _most_entries(waiting):
             self._heap = [
                 timed
                 for timed in self._heap
-                if timed[2].state is flows.State.WAITING
+                if timed[2].state is flows.EntryState.WAITING
             ]
             heapq.heapify(self._heap)
         self._last_push += 1
@@ -98,11 +98,11 @@
             self._heap, (entry.task.deadline, self._last_push, entry)
         )
 
-    def earliest(self) -> flows.Entry | None:
+    def earliest(self) -> flows.QueueEntry | None:
         """Return the waiting task with the earliest deadline."""
         while self._heap:
             entry = self._heap[0][2]
-            if entry.state is flows.State.WAITING:
+            if entry.state is flows.EntryState.WAITING:
                 return entry
             heapq.heappop(self._heap)
         return None
@@ -121,7 +121,7 @@
         #: Number of all waiting tasks; only the queue changes it.
         self.waiting = 0
         self._weights: dict[ids.CustomerId, float] = {}
-        self._requests: dict[ids.RequestId, dict[int, flows.Entry]] = {}
+        self._requests: dict[ids.RequestId, dict[int, flows.QueueEntry]] = {}
         self._order = _Order()
         self._deadlines = _Deadlines()
         self._virtual_s = float(0)
@@ -138,10 +138,10 @@
 
     def admit(
         self, task: work.Task, *, exclude: frozenset[ids.EndpointId]
-    ) -> flows.Entry:
+    ) -> flows.QueueEntry:
         """Register a task; it neither waits nor runs yet."""
         self._last_number += 1
-        entry = flows.Entry(
+        entry = flows.QueueEntry(
             task=task,
             number=self._last_number,
             flow=self._flow(task.customer),
@@ -154,7 +154,7 @@
             request[entry.number] = entry
         return entry
 
-    def wait(self, entry: flows.Entry, *, first: bool = False) -> None:
+    def wait(self, entry: flows.QueueEntry, *, first: bool = False) -> None:
         """Put a task at the end of its lane, or at the front."""
         flow = entry.flow
         was_backlogged = flow.is_backlogged
@@ -169,7 +169,7 @@
             flow.tag = max(flow.tag, self._virtual_s - _credit_s(flow))
             self.offer(flow)
 
-    def rest(self, entry: flows.Entry) -> None:
+    def rest(self, entry: flows.QueueEntry) -> None:
         """Keep a task waiting outside the order until ``wait`` is called."""
         self._leave_lane(entry)
         entry.flow.resting += 1
@@ -184,7 +184,7 @@
         if flow.is_backlogged:
             self._order.push(flow, in_use=len(self.flows))
 
-    def candidates(self, flow: flows.Flow) -> tuple[flows.Entry, ...]:
+    def candidates(self, flow: flows.Flow) -> tuple[flows.QueueEntry, ...]:
         """Return the tasks of the flow that may start next, best first."""
         lane = self._next_lane(flow)
         plain = (next(iter(lane.values())),) if lane else ()
@@ -193,10 +193,10 @@
         returned = flow.returned.values()
         return (*itertools.islice(returned, MAX_RETURNED_CANDIDATES), *plain)
 
-    def start(self, entry: flows.Entry) -> None:
+    def start(self, entry: flows.QueueEntry) -> None:
         """Take a task out of the order and charge its estimated run time."""
         flow = entry.flow
-        if entry.state is flows.State.WAITING:
+        if entry.state is flows.EntryState.WAITING:
             if entry.lane is flow.singles and flow.jobs:
                 flow.burst += 1
             elif entry.lane is flow.jobs:
@@ -205,18 +205,18 @@
             self.waiting -= 1
         elif not flow.is_backlogged:
             flow.tag = max(flow.tag, self._virtual_s - _credit_s(flow))
-        entry.state = flows.State.STARTED
+        entry.state = flows.EntryState.STARTED
         entry.charged_s = flow.run_s
         flow.running += 1
         self._virtual_s = max(self._virtual_s, flow.tag)
         flow.tag += entry.charged_s / flow.weight
 
-    def give_back(self, entry: flows.Entry) -> None:
+    def give_back(self, entry: flows.QueueEntry) -> None:
         """Undo the start of a task of which nothing ran."""
-        entry.state = flows.State.NEW
+        entry.state = flows.EntryState.NEW
         self._settle(entry, 0)
 
-    def finish(self, entry: flows.Entry, *, run_s: float) -> None:
+    def finish(self, entry: flows.QueueEntry, *, run_s: float) -> None:
         """End a started task and charge what it really used."""
         flow = entry.flow
         flow.finished += 1
@@ -225,33 +225,33 @@
         self._settle(entry, run_s)
         self.end(entry)
 
-    def end(self, entry: flows.Entry) -> None:
+    def end(self, entry: flows.QueueEntry) -> None:
         """Forget a task that does not run, or no longer runs."""
-        if entry.state is flows.State.WAITING:
+        if entry.state is flows.EntryState.WAITING:
             self._leave_lane(entry)
             self.waiting -= 1
-        entry.state = flows.State.ENDED
+        entry.state = flows.EntryState.ENDED
         request_id = entry.task.request_id
         request = self._requests[request_id]
         request.pop(entry.number)
         if not request:
             self._requests.pop(request_id)
 
-    def cancel(self, request_id: ids.RequestId) -> list[flows.Entry]:
+    def cancel(self, request_id: ids.RequestId) -> list[flows.QueueEntry]:
         """End the request's waiting tasks and return them.
 
         Its started tasks are marked as cancelled.
         """
         ended = []
         for entry in tuple(self._requests.get(request_id, {}).values()):
-            if entry.state is flows.State.WAITING:
+            if entry.state is flows.EntryState.WAITING:
                 self.end(entry)
                 ended.append(entry)
             else:
                 entry.cancelled = True
         return ended
 
-    def expire(self, *, now: float) -> list[flows.Entry]:
+    def expire(self, *, now: float) -> list[flows.QueueEntry]:
         """End the waiting tasks past their deadline and return them."""
         ended = []
         entry = self._deadlines.earliest()
@@ -281,21 +281,21 @@
             return flow.jobs
         return flow.singles
 
-    def _mark_waiting(self, entry: flows.Entry) -> None:
-        if entry.state is flows.State.WAITING:
+    def _mark_waiting(self, entry: flows.QueueEntry) -> None:
+        if entry.state is flows.EntryState.WAITING:
             return
-        entry.state = flows.State.WAITING
+        entry.state = flows.EntryState.WAITING
         self.waiting += 1
         self._deadlines.push(entry, waiting=self.waiting)
 
-    def _leave_lane(self, entry: flows.Entry) -> None:
+    def _leave_lane(self, entry: flows.QueueEntry) -> None:
         if entry.lane is not None:
             entry.lane.pop(entry.number)
             entry.lane = None
-        elif entry.state is flows.State.WAITING:
+        elif entry.state is flows.EntryState.WAITING:
             entry.flow.resting -= 1
 
-    def _settle(self, entry: flows.Entry, run_s: float) -> None:
+    def _settle(self, entry: flows.QueueEntry, run_s: float) -> None:
         flow = entry.flow
         flow.running -= 1
         flow.tag += (run_s - entry.charged_s) / flow.weight
@@ -313,9 +313,9 @@
     return tasks * flow.run_s / flow.weight
 
 
-def _lane_of(entry: flows.Entry) -> flows.Lane:
+def _lane_of(entry: flows.QueueEntry) -> flows.Lane:
     if entry.exclude or entry.refused:
         return entry.flow.returned
-    if entry.task.kind is work.Kind.SINGLE:
+    if entry.task.kind is work.TaskKind.SINGLE:
         return entry.flow.singles
     return entry.flow.jobs
--- a/sardineproxy/request/flows.py
+++ b/sardineproxy/request/flows.py
@@ -10,7 +10,7 @@
 from sardineproxy.request import work
 
 
-class State(enum.Enum):
+class EntryState(enum.Enum):
     """Where a task is."""
 
     #: Known to the queue, neither waiting nor started.
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
-class Entry:
+class QueueEntry:
     """One task in the queue."""
 
     task: work.Task
@@ -80,7 +80,7 @@
 
     #: Endpoints that could not be reached for it lately.
     refused: frozenset[ids.EndpointId] = frozenset()
-    state: State = State.NEW
+    state: EntryState = EntryState.NEW
     lane: 'Lane | None' = None
 
     #: Run time that the customer was charged at the start, in seconds.
@@ -96,4 +96,4 @@
     waiter: 'asyncio.Future[Any] | None' = None
 
 
-Lane = collections.OrderedDict[int, Entry]
+Lane = collections.OrderedDict[int, QueueEntry]
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -9,14 +9,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Shape:
+class Resources:
     """Resources that a task needs, or that a worker has."""
 
     millicores: int
     memory_mb: int
     gpus: int
 
-    def fits(self, room: 'Shape') -> bool:
+    def fits(self, room: 'Resources') -> bool:
         """Tell whether ``room`` is enough."""
         return (
             self.millicores <= room.millicores
@@ -24,17 +24,17 @@
             and self.gpus <= room.gpus
         )
 
-    def plus(self, other: 'Shape') -> 'Shape':
+    def plus(self, other: 'Resources') -> 'Resources':
         """Return the sum."""
-        return Shape(
+        return Resources(
             millicores=self.millicores + other.millicores,
             memory_mb=self.memory_mb + other.memory_mb,
             gpus=self.gpus + other.gpus,
         )
 
-    def minus(self, other: 'Shape') -> 'Shape':
+    def minus(self, other: 'Resources') -> 'Resources':
         """Return the difference."""
-        return Shape(
+        return Resources(
             millicores=self.millicores - other.millicores,
             memory_mb=self.memory_mb - other.memory_mb,
             gpus=self.gpus - other.gpus,
@@ -47,7 +47,7 @@
 
 
 #: Nothing at all.
-NOTHING = Shape(millicores=0, memory_mb=0, gpus=0)
+NO_RESOURCES = Resources(millicores=0, memory_mb=0, gpus=0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -55,7 +55,7 @@
     """Tasks of one job that are alike."""
 
     count: int
-    shape: Shape
+    shape: Resources
 
     #: The client's rough estimate of a task's run time, in seconds.
     estimate_s: float
@@ -94,7 +94,7 @@
         return sum(step.estimate_s for step in self.steps)
 
 
-class TaskEnd(enum.Enum):
+class TaskResult(enum.Enum):
     """What a coordinator is told of a task."""
 
     DONE = 'done'
--- a/sardineproxy/request/questions.py
+++ b/sardineproxy/request/key_requests.py
@@ -32,13 +32,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Question:
+class KeyRequest:
     """What is forwarded to the minter of a key."""
 
     operation: Operation
     customer: ids.CustomerId
     key: str
-    kind: work.Kind = work.Kind.SINGLE
+    kind: work.TaskKind = work.TaskKind.SINGLE
 
     #: Body of a submission; empty otherwise.
     body: bytes = b''
@@ -47,13 +47,13 @@
     wait: bool = False
 
 
-_QUESTION = pydantic.TypeAdapter(Question)
+_QUESTION = pydantic.TypeAdapter(KeyRequest)
 _QUESTION_FIELDS = ('operation', 'customer', 'key', 'kind', 'body', 'wait')
 _REPLY = pydantic.TypeAdapter(documents.Reply)
 _REPLY_FIELDS = ('status', 'headers', 'body', 'verdict')
 
 
-def pack_question(question: Question) -> bytes:
+def encode_request(question: KeyRequest) -> bytes:
     """Return a question's payload."""
     packed: bytes = msgpack.packb(
         [
@@ -68,7 +68,7 @@
     return packed
 
 
-def unpack_question(payload: bytes) -> Question | None:
+def decode_request(payload: bytes) -> KeyRequest | None:
     """Return the question, or None if the payload is none."""
     try:
         return _QUESTION.validate_python(_unpack(payload, _QUESTION_FIELDS))
@@ -76,7 +76,7 @@
         return None
 
 
-def pack_reply(reply: documents.Reply) -> bytes:
+def encode_reply(reply: documents.Reply) -> bytes:
     """Return a reply's payload."""
     verdict = reply.verdict.value if reply.verdict else None
     packed: bytes = msgpack.packb(
@@ -85,7 +85,7 @@
     return packed
 
 
-def unpack_reply(payload: bytes) -> documents.Reply | None:
+def decode_reply(payload: bytes) -> documents.Reply | None:
     """Return the reply, or None if the payload is none."""
     try:
         reply = _REPLY.validate_python(_unpack(payload, _REPLY_FIELDS))
@@ -106,7 +106,7 @@
     return dict(zip(fields, members, strict=True))
 
 
-class Minters:
+class IssuerClient:
     """Asks the processes that minted the keys of others."""
 
     def __init__(
@@ -122,10 +122,10 @@
         self._metrics = metrics
 
     async def ask(
-        self, *, question: Question, key: keys.Key, wait_s: float
+        self, *, question: KeyRequest, key: keys.Key, wait_s: float
     ) -> documents.Reply:
         """Return the reply of the key's minter within ``wait_s`` seconds."""
-        payload = pack_question(question)
+        payload = encode_request(question)
         if len(payload) > MAX_PAYLOAD_BYTES:
             return documents.render_problem(keys.too_large_to_forward())
         reply = await self._forwarder.forward(
@@ -137,10 +137,10 @@
         self._metrics.count('forwards_total', reply=type(reply).__name__)
         match reply:
             case forwarding.Replied(payload=payload):
-                answer = unpack_reply(payload)
+                answer = decode_reply(payload)
                 if answer is not None:
                     return answer
                 _log.warning('malformed reply', extra={'vm': key.vm})
             case forwarding.Gone():
-                return documents.render_problem(keys.minter_gone())
-        return documents.render_problem(keys.minter_unreachable())
+                return documents.render_problem(keys.issuer_gone())
+        return documents.render_problem(keys.issuer_unreachable())
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -72,7 +72,7 @@
     )
 
 
-class KeyRing:
+class KeyIssuer:
     """Mints keys of one incarnation and recognizes them again."""
 
     def __init__(
@@ -169,7 +169,7 @@
     )
 
 
-def minter_gone() -> problems.Problem:
+def issuer_gone() -> problems.Problem:
     """Return the answer to a key whose incarnation has ended."""
     return problems.doubt(
         code='minter_gone',
@@ -178,7 +178,7 @@
     )
 
 
-def minter_unreachable() -> problems.Problem:
+def issuer_unreachable() -> problems.Problem:
     """Return the answer to a key whose minter could not be asked."""
     return problems.doubt(
         code='minter_unreachable',
@@ -209,7 +209,7 @@
     )
 
 
-def without_minter(
+def without_issuer_verdict(
     problem: problems.Problem, key_text: str | None
 ) -> problems.Problem:
     """Return the problem as a process may state it that did not ask the minter.
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Times:
+class JobTimes:
     """When a job came and until when it is wanted."""
 
     #: Local times, in seconds.
@@ -92,7 +92,7 @@
         route: routes.Route,
         router: Router,
         clock: clock.Clock,
-        times: Times,
+        times: JobTimes,
     ) -> None:
         """Start without tasks."""
         self.job = job
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -26,7 +26,7 @@
 
     request_id: ids.RequestId
     customer: ids.CustomerId
-    kind: work.Kind
+    kind: work.TaskKind
 
     #: Hash of the submission, to recognize it when it is sent again.
     fingerprint: bytes
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Note:
+class Tombstone:
     """What is still known of a key that will never start work again."""
 
     problem: problems.Problem
@@ -73,7 +73,7 @@
     answer_bytes: int = 0
 
 
-class Absence(enum.Enum):
+class UnrecordedKey(enum.Enum):
     """Why nothing is known of a key."""
 
     #: It was not minted by this process for the customer.
@@ -93,7 +93,7 @@
         self.ended: collections.OrderedDict[int, Record] = (
             collections.OrderedDict()
         )
-        self.notes: collections.OrderedDict[int, Note] = (
+        self.notes: collections.OrderedDict[int, Tombstone] = (
             collections.OrderedDict()
         )
         self.answer_bytes = 0
@@ -111,7 +111,7 @@
         self._add_bytes(-len(record.answered.result().body))
         return sequence, record
 
-    def put_note(self, sequence: int, note: Note) -> None:
+    def put_note(self, sequence: int, note: Tombstone) -> None:
         self.notes[sequence] = note
         self._totals.notes += 1
 
@@ -135,13 +135,13 @@
         self._totals.answer_bytes += count
 
 
-class Table:
+class RecordStore:
     """All records and notes, bounded in number, size and time."""
 
     def __init__(
         self,
         *,
-        ring: keys.KeyRing,
+        ring: keys.KeyIssuer,
         key_ttl_s: float,
         record_ttl_s: float,
         max_records: int,
@@ -160,10 +160,10 @@
 
     def find(
         self, *, key: keys.Key, customer: ids.CustomerId, now: float
-    ) -> Record | Note | Absence:
+    ) -> Record | Tombstone | UnrecordedKey:
         """Return what is known of a key that ``customer`` presents."""
         if not self._ring.is_genuine(key=key, customer=customer):
-            return Absence.UNKNOWN
+            return UnrecordedKey.UNKNOWN
         self._sweep(now)
         shelf = self._shelf(customer)
         held = (
@@ -174,8 +174,8 @@
         if held is not None:
             return held
         if now >= key.expires_at or key.sequence <= shelf.void_up_to:
-            return Absence.VOID
-        return Absence.NEW
+            return UnrecordedKey.VOID
+        return UnrecordedKey.NEW
 
     def is_full(self) -> bool:
         """Tell whether no record can make room for another one."""
@@ -204,9 +204,9 @@
         fingerprint: bytes | None,
         problem: problems.Problem,
         now: float,
-    ) -> Note:
+    ) -> Tombstone:
         """Remember that a key without a record will never start work."""
-        note = Note(problem=problem, fingerprint=fingerprint, noted_at=now)
+        note = Tombstone(problem=problem, fingerprint=fingerprint, noted_at=now)
         self._shelf(customer).put_note(key.sequence, note)
         self._make_room(now)
         return note
@@ -259,7 +259,7 @@
     sequence, record = shelf.pop()
     shelf.put_note(
         sequence,
-        Note(
+        Tombstone(
             problem=documents.answer_dropped(record.answered.result().verdict),
             fingerprint=record.fingerprint,
             noted_at=now,
--- a/sardineproxy/request/retries.py
+++ b/sardineproxy/request/retries.py
@@ -65,7 +65,7 @@
 def is_success(outcome: work.Outcome) -> bool:
     """Tell whether an outcome is a whole answer that earns budget."""
     return (
-        isinstance(outcome, work.Answer)
+        isinstance(outcome, work.Response)
         and outcome.status not in RETRIED_STATUSES
     )
 
@@ -75,6 +75,6 @@
 
     A refusal is not: the dispatcher has already looked for other endpoints.
     """
-    if not task.idempotent or task.kind is not work.Kind.SINGLE:
+    if not task.idempotent or task.kind is not work.TaskKind.SINGLE:
         return False
     return not isinstance(outcome, work.Refused) and not is_success(outcome)
--- a/sardineproxy/request/runner.py
+++ b/sardineproxy/request/runner.py
@@ -123,7 +123,7 @@
 
 def _endpoints_of(outcome: work.Outcome) -> frozenset[ids.EndpointId]:
     """Return the endpoint that an attempt reached, if it is known."""
-    if isinstance(outcome, (work.Answer, endpoint.Lost)):
+    if isinstance(outcome, (work.Response, endpoint.Lost)):
         return frozenset((outcome.endpoint,))
     return dispatcher.NOTHING_EXCLUDED
 
@@ -133,8 +133,8 @@
 
     The earlier attempt was started, so "not run" would be false.
     """
-    if isinstance(latest, work.Answer):
+    if isinstance(latest, work.Response):
         return latest
-    if isinstance(earlier, work.Answer) or isinstance(latest, work.Refused):
+    if isinstance(earlier, work.Response) or isinstance(latest, work.Refused):
         return earlier
     return latest
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -13,9 +13,9 @@
     admission,
     documents,
     forwarding,
-    job,
+    executions,
     keys,
-    questions,
+    key_requests,
     records,
     work,
 )
@@ -27,9 +27,9 @@
 #: Seconds for a forward beyond the longest deadline of its submission.
 FORWARD_SLACK_S = 5
 
-Runner = job.Runner
-_Held = records.Record | records.Note | records.Absence
-_Operation = questions.Operation
+Runner = executions.Runner
+_Held = records.Record | records.Tombstone | records.UnrecordedKey
+_Operation = key_requests.Operation
 _log = logs.get_logger('request')
 
 
@@ -81,13 +81,13 @@
         self._vm = vm
         self._incarnation = incarnation
         self._metrics = metrics
-        self._keys = keys.KeyRing(
+        self._keys = keys.KeyIssuer(
             vm=vm,
             incarnation=incarnation,
             secret=secret,
             ttl_s=cfg.key_ttl_s,
         )
-        self._table = records.Table(
+        self._table = records.RecordStore(
             ring=self._keys,
             key_ttl_s=cfg.key_ttl_s,
             record_ttl_s=cfg.record_ttl_s,
@@ -95,10 +95,10 @@
             max_answer_bytes=cfg.max_answer_bytes,
         )
         self._admission = admission.Admission()
-        self._executions = job.Executions(
+        self._executions = executions.Executions(
             clock=clock, runner=runner, table=self._table, metrics=metrics
         )
-        self._minters = questions.Minters(
+        self._minters = key_requests.IssuerClient(
             clock=clock, forwarder=forwarder, metrics=metrics
         )
 
@@ -144,7 +144,7 @@
         self,
         *,
         customer: ids.CustomerId,
-        kind: work.Kind,
+        kind: work.TaskKind,
         key_text: str | None,
         body: bytes,
         wait: bool = True,
@@ -157,7 +157,7 @@
                 customer=customer, kind=kind, body=body
             )
         else:
-            question = questions.Question(
+            question = key_requests.KeyRequest(
                 operation=_Operation.SUBMIT,
                 customer=customer,
                 key=key_text,
@@ -178,7 +178,7 @@
     ) -> documents.Reply:
         """Answer with the state of a request, or its answer if it has ended."""
         return await self.ask(
-            questions.Question(
+            key_requests.KeyRequest(
                 operation=_Operation.STATUS, customer=customer, key=key_text
             )
         )
@@ -188,12 +188,12 @@
     ) -> documents.Reply:
         """Keep what has not started from starting, and answer the status."""
         return await self.ask(
-            questions.Question(
+            key_requests.KeyRequest(
                 operation=_Operation.CANCEL, customer=customer, key=key_text
             )
         )
 
-    async def ask(self, question: questions.Question) -> documents.Reply:
+    async def ask(self, question: key_requests.KeyRequest) -> documents.Reply:
         """Answer a question about a key, here or at the key's minter."""
         key = keys.parse(question.key)
         if key is None:
@@ -213,7 +213,7 @@
 
     async def handle(self, payload: bytes) -> bytes:
         """Return the reply to a payload that another process forwarded."""
-        question = questions.unpack_question(payload)
+        question = key_requests.decode_request(payload)
         key = keys.parse(question.key) if question else None
         if question is None or key is None:
             _log.warning('malformed forward')
@@ -222,10 +222,10 @@
             reply = await self._answer(question, key)
         else:
             reply = _not_minter(key, self._vm)
-        packed = questions.pack_reply(reply)
-        if len(packed) > questions.MAX_PAYLOAD_BYTES:
+        packed = key_requests.encode_reply(reply)
+        if len(packed) > key_requests.MAX_PAYLOAD_BYTES:
             problem = documents.answer_too_large(reply.verdict)
-            return questions.pack_reply(documents.render_problem(problem))
+            return key_requests.encode_reply(documents.render_problem(problem))
         return packed
 
     def refuse(
@@ -240,7 +240,7 @@
         if key is not None:
             now = self._clock.now()
             held = self._table.find(key=key, customer=customer, now=now)
-            if held is records.Absence.NEW:
+            if held is records.UnrecordedKey.NEW:
                 self._table.note(
                     key=key,
                     customer=customer,
@@ -249,7 +249,7 @@
                     now=now,
                 )
             else:
-                problem = keys.without_minter(problem, key_text)
+                problem = keys.without_issuer_verdict(problem, key_text)
         return documents.render_problem(problem)
 
     def state(self, *, now: float) -> dict[str, object]:
@@ -263,10 +263,10 @@
         }
 
     async def _submit_keyless(
-        self, *, customer: ids.CustomerId, kind: work.Kind, body: bytes
+        self, *, customer: ids.CustomerId, kind: work.TaskKind, body: bytes
     ) -> documents.Reply:
         admitted = self._admit(
-            admission.Offer(
+            admission.Submission(
                 customer=customer, kind=kind, keyed=False, body=body
             )
         )
@@ -279,15 +279,15 @@
         return await asyncio.shield(record.answered)
 
     async def _answer(
-        self, question: questions.Question, key: keys.Key
+        self, question: key_requests.KeyRequest, key: keys.Key
     ) -> documents.Reply:
         """Answer a question about a key of this incarnation."""
         now = self._clock.now()
         held = self._table.find(key=key, customer=question.customer, now=now)
         match held:
-            case records.Absence.UNKNOWN:
+            case records.UnrecordedKey.UNKNOWN:
                 return documents.render_problem(keys.unknown())
-            case records.Absence.VOID:
+            case records.UnrecordedKey.VOID:
                 return documents.render_problem(keys.expired())
         if question.operation is _Operation.SUBMIT:
             return await self._answer_submit(question, key, held)
@@ -296,28 +296,28 @@
         return _status_reply(held)
 
     def _cancel(
-        self, question: questions.Question, key: keys.Key, held: _Held
+        self, question: key_requests.KeyRequest, key: keys.Key, held: _Held
     ) -> _Held:
         if isinstance(held, records.Record):
             self._executions.cancel(record=held)
-        if held is records.Absence.NEW:
+        if held is records.UnrecordedKey.NEW:
             return self._table.note(
                 key=key,
                 customer=question.customer,
                 fingerprint=None,
-                problem=job.cancelled(),
+                problem=executions.cancelled(),
                 now=self._clock.now(),
             )
         return held
 
     async def _answer_submit(
         self,
-        question: questions.Question,
+        question: key_requests.KeyRequest,
         key: keys.Key,
         held: _Held,
     ) -> documents.Reply:
         fingerprint = _fingerprint(question)
-        if isinstance(held, records.Absence):
+        if isinstance(held, records.UnrecordedKey):
             held = self._open(question, key, fingerprint)
         if held.fingerprint not in {None, fingerprint}:
             return documents.render_problem(keys.reused())
@@ -326,11 +326,14 @@
         return _status_reply(held)
 
     def _open(
-        self, question: questions.Question, key: keys.Key, fingerprint: bytes
-    ) -> records.Record | records.Note:
+        self,
+        question: key_requests.KeyRequest,
+        key: keys.Key,
+        fingerprint: bytes,
+    ) -> records.Record | records.Tombstone:
         """Start a new key's work, or note that it never starts."""
         admitted = self._admit(
-            admission.Offer(
+            admission.Submission(
                 customer=question.customer,
                 kind=question.kind,
                 keyed=True,
@@ -353,8 +356,8 @@
         )
 
     def _admit(
-        self, offer: admission.Offer
-    ) -> result.Result[admission.Admitted, problems.Problem]:
+        self, offer: admission.Submission
+    ) -> result.Result[admission.AdmittedSubmission, problems.Problem]:
         size = self._executions.running_bytes + len(offer.body)
         if self._table.is_full() or size > self._max_running_bytes:
             return result.Err(admission.overloaded())
@@ -368,19 +371,19 @@
 def _not_minter(key: keys.Key, vm: ids.VmId) -> documents.Reply:
     """Answer for another incarnation: gone if it was one of this VM."""
     if key.vm == vm:
-        return documents.render_problem(keys.minter_gone())
-    return documents.render_problem(keys.minter_unreachable())
+        return documents.render_problem(keys.issuer_gone())
+    return documents.render_problem(keys.issuer_unreachable())
 
 
-def _fingerprint(question: questions.Question) -> bytes:
+def _fingerprint(question: key_requests.KeyRequest) -> bytes:
     kind = question.kind.value.encode()
     return hashlib.sha256(kind + b'\n' + question.body).digest()
 
 
 def _status_reply(held: _Held) -> documents.Reply:
-    if isinstance(held, records.Absence):
+    if isinstance(held, records.UnrecordedKey):
         return documents.render_problem(keys.not_submitted())
-    if isinstance(held, records.Note):
+    if isinstance(held, records.Tombstone):
         return documents.render_problem(held.problem)
     if held.answered.done():
         return held.answered.result()
--- a/sardineproxy/request/work.py
+++ b/sardineproxy/request/work.py
@@ -6,7 +6,7 @@
 from sardineproxy import ids, problems
 
 
-class Kind(enum.Enum):
+class TaskKind(enum.Enum):
     """How a task was submitted."""
 
     #: A person waits for this one request.
@@ -27,7 +27,7 @@
     index: int
 
     customer: ids.CustomerId
-    kind: Kind
+    kind: TaskKind
 
     #: True if the endpoint may run it again without harm.
     idempotent: bool
@@ -42,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Answer:
+class Response:
     """An endpoint's whole answer."""
 
     status: int
@@ -61,10 +61,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Unknown:
+class OutcomeUnknown:
     """A byte of the task may have left, and no whole answer came back."""
 
     problem: problems.Problem
 
 
-Outcome = Answer | Refused | Unknown
+Outcome = Response | Refused | OutcomeUnknown
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -24,7 +24,7 @@
     run: int
     worker: str
     started_at: float
-    shape: jobs.Shape
+    shape: jobs.Resources
     ended_at: float | None = None
     how: workers.Ending | None = None
 
@@ -48,7 +48,7 @@
 class Work:
     """What a task turns out to need."""
 
-    shape: jobs.Shape
+    shape: jobs.Resources
     work_s: float
 
     #: How its run ends if nothing stops it; None if it never ends.
--- a/tests/connection/test_endpoint.py
+++ b/tests/connection/test_endpoint.py
@@ -158,8 +158,8 @@
         """Guards against aiohttp's retry, which would start a task twice."""
 
         async def use(server: Server, attempt: Any) -> None:
-            self.assertIsInstance(await attempt(), work.Answer)
-            self.assertIsInstance(await attempt(), work.Unknown)
+            self.assertIsInstance(await attempt(), work.Response)
+            self.assertIsInstance(await attempt(), work.OutcomeUnknown)
             self.assertEqual((2, 1), (len(server.requests), server.connections))
 
         self.attempts(answering(WHOLE, b'', close=True), use)
@@ -239,7 +239,7 @@
             waiting = await attempt(deadline_s=0.05)
             self.assertEqual('deadline_passed', waiting.problem.code)
             self.assertIsInstance(waiting, work.Refused)
-            self.assertIsInstance(await holder, work.Unknown)
+            self.assertIsInstance(await holder, work.OutcomeUnknown)
             self.assertEqual(1, len(server.requests))
 
         self.attempts(never, use)
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -29,7 +29,7 @@
         'zone': ids.ZoneId('zone-a'),
         'state': workers.WorkerState.READY,
         'born_ms': 1,
-        'capacity': jobs.Shape(millicores=32_000, memory_mb=65_536, gpus=0),
+        'capacity': jobs.Resources(millicores=32_000, memory_mb=65_536, gpus=0),
         'labels': ('a', 'r1'),
     }
     return workers.Worker(**{**fields, **changes})
@@ -107,7 +107,7 @@
     task: workers.TaskName, run: int, work_s: float = 0.2
 ) -> worker_model.Work:
     return worker_model.Work(
-        shape=jobs.Shape(millicores=TASK_MILLICORES, memory_mb=64, gpus=0),
+        shape=jobs.Resources(millicores=TASK_MILLICORES, memory_mb=64, gpus=0),
         work_s=work_s,
     )
 
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -251,7 +251,7 @@
 
         def work_of(task: workers.TaskName, run: int) -> worker_model.Work:
             return worker_model.Work(
-                shape=jobs.Shape(millicores=1000, memory_mb=1, gpus=0),
+                shape=jobs.Resources(millicores=1000, memory_mb=1, gpus=0),
                 work_s=0.05,
                 how=workers.Ending.FAILED,
             )
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -16,7 +16,7 @@
 from sardineproxy.connection import messages
 from sardineproxy.process.shards import shard as shards
 from sardineproxy.process.shards import workers
-from sardineproxy.request import board, coordinator, jobs
+from sardineproxy.request import active_jobs, coordinator, jobs
 from sardineproxy.standin import worker_model
 from sardineproxy.version import routes
 from tests import examples, virtual_time
@@ -74,7 +74,7 @@
 
     def __init__(self, world: 'World') -> None:
         self.world = world
-        self.board = board.Board()
+        self.board = active_jobs.ActiveJobs()
         self.ends: dict[shards.ShardLeader, _End] = {}
 
     def home(self) -> ids.ShardId | None:
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -47,7 +47,7 @@
             await asyncio.sleep(0)
         finally:
             self.running[vm.name] -= 1
-        return work.Answer(
+        return work.Response(
             status=200, headers=(), body=b'', endpoint=ids.EndpointId(vm.name)
         )
 
@@ -173,7 +173,7 @@
         rig, outcomes = asyncio.run(run_mix(customers, unreachable, cancelled))
         starts = [request for request, _ in rig.client.started]
         self.assertEqual(len(set(starts)), len(starts))
-        ran = [isinstance(outcome, work.Answer) for outcome in outcomes]
+        ran = [isinstance(outcome, work.Response) for outcome in outcomes]
         answers = {f'{no}' for no, whole in enumerate(ran) if whole}
         self.assertEqual(set(), answers - set(starts))
         self.assertGreater(len(answers), len(outcomes) - cancelled - 2)
@@ -326,7 +326,7 @@
         runs.append(rig.submit('late'))
         rig.client.answer.set()
         await asyncio.gather(*runs)
-        self.assertIsInstance(runs[0].result(), work.Answer)
+        self.assertIsInstance(runs[0].result(), work.Response)
         for run in runs[1:]:
             self.assertEqual('shutting_down', self.code_of(run))
 
@@ -340,5 +340,5 @@
         run = rig.submit('a')
         await turn()
         self.assertEqual([], rig.client.started)
-        self.assertIsInstance(await run, work.Answer)
+        self.assertIsInstance(await run, work.Response)
         self.assertIn('w1', rig.health.ranks)
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -20,9 +20,9 @@
         self, tasks: int = 1, now: float = 0, waiting: int = 0, **job: Any
     ) -> Any:
         job['tasks'] = [fakes.TASK for _ in range(tasks)]
-        offer = admission.Offer(
+        offer = admission.Submission(
             customer=fakes.WARM,
-            kind=work.Kind.JOB,
+            kind=work.TaskKind.JOB,
             keyed=True,
             body=json.dumps(job).encode(),
         )
--- a/tests/request/test_documents.py
+++ b/tests/request/test_documents.py
@@ -15,11 +15,11 @@
 from tests.request import test_submissions as fakes
 
 
-def parse(kind: work.Kind = work.Kind.SINGLE, **members: Any) -> Any:
+def parse(kind: work.TaskKind = work.TaskKind.SINGLE, **members: Any) -> Any:
     return parse_bytes(kind, json.dumps(members).encode())
 
 
-def parse_bytes(kind: work.Kind, body: bytes) -> Any:
+def parse_bytes(kind: work.TaskKind, body: bytes) -> Any:
     return documents.parse_submission(kind=kind, body=body)
 
 
@@ -65,7 +65,7 @@
             (f'{{"tasks": [{task}{f",{task}" * 1700}]}}', 'at most 1700'),
             ('{"tasks": %s}' % ('[' * 100_000), 'nesting is too deep'),
         ):
-            problem = parse_bytes(work.Kind.JOB, body.encode()).unwrap_err()
+            problem = parse_bytes(work.TaskKind.JOB, body.encode()).unwrap_err()
             self.assertThat(problem.detail, matchers.Contains(expected))
         text = {**fakes.TASK, 'body_text': r'\",[{' * 200_000}
         self.assertTrue(parse(**text).is_ok())
@@ -73,7 +73,7 @@
     @examples.settings()
     @hypothesis.given(strategies.binary(max_size=200))
     def test_any_bytes_are_refused_without_exception(self, body: bytes) -> None:
-        for kind in work.Kind:
+        for kind in work.TaskKind:
             self.assertTrue(parse_bytes(kind, body).is_err())
 
     @examples.settings()
--- a/tests/request/test_job.py
+++ b/tests/request/test_executions.py
@@ -6,11 +6,11 @@
 from testtools import matchers
 
 from sardineproxy import problems
-from sardineproxy.request import job, work
+from sardineproxy.request import executions, work
 from tests.request import test_submissions as fakes
 
-REFUSED = work.Refused(problem=job.cancelled())
-UNKNOWN = work.Unknown(
+REFUSED = work.Refused(problem=executions.cancelled())
+UNKNOWN = work.OutcomeUnknown(
     problem=problems.doubt(code='reset', status=504, detail='Reset.')
 )
 
@@ -50,7 +50,9 @@
         self.assertEqual({1}, set(self.runner.starts.values()))
 
     async def test_too_large_answers_fail_the_job(self) -> None:
-        large = fakes.make_answer(body=bytes(job.MAX_JOB_ANSWER_BYTES // 2 + 1))
+        large = fakes.make_answer(
+            body=bytes(executions.MAX_JOB_ANSWER_BYTES // 2 + 1)
+        )
         document = await self.run_job({0: large, 1: large})
         self.assertEqual('failed', document['state'])
         dropped = document['tasks'][1]
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -16,14 +16,14 @@
 
 def enqueue(
     queue: fair_queue.FairQueue, customer: str, **changes: Any
-) -> flows.Entry:
+) -> flows.QueueEntry:
     task = samples.make_task(customer=customer, **changes)
     entry = queue.admit(task, exclude=frozenset())
     queue.wait(entry)
     return entry
 
 
-def start_next(queue: fair_queue.FairQueue) -> flows.Entry | None:
+def start_next(queue: fair_queue.FairQueue) -> flows.QueueEntry | None:
     flow = queue.pop_flow()
     if flow is None:
         return None
@@ -38,12 +38,12 @@
 
     def __init__(self) -> None:
         self.queue = fair_queue.FairQueue()
-        self.waiting: dict[int, flows.Entry] = {}
-        self.resting: dict[int, flows.Entry] = {}
-        self.running: list[flows.Entry] = []
+        self.waiting: dict[int, flows.QueueEntry] = {}
+        self.resting: dict[int, flows.QueueEntry] = {}
+        self.running: list[flows.QueueEntry] = []
 
     def wait(self, pick: int) -> None:
-        kind = work.Kind.JOB if pick % 2 else work.Kind.SINGLE
+        kind = work.TaskKind.JOB if pick % 2 else work.TaskKind.SINGLE
         entry = enqueue(
             self.queue, f'c{pick % 3}', request_id=f'{pick}', kind=kind
         )
@@ -177,7 +177,7 @@
         """Guards against single requests that starve a customer's jobs."""
         queue = fair_queue.FairQueue()
         for _ in range(4):
-            enqueue(queue, 'c', kind=work.Kind.JOB)
+            enqueue(queue, 'c', kind=work.TaskKind.JOB)
         for _ in range(40):
             enqueue(queue, 'c')
         kinds = []
@@ -185,7 +185,9 @@
             entry = start_next(queue)
             assert entry is not None
             kinds.append(entry.task.kind)
-        jobs = [at for at, kind in enumerate(kinds) if kind is work.Kind.JOB]
+        jobs = [
+            at for at, kind in enumerate(kinds) if kind is work.TaskKind.JOB
+        ]
         self.assertEqual([8, 17, 26], jobs)
 
     def test_deadlines_end_waiting_tasks_only(self) -> None:
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -12,9 +12,11 @@
 RIVAL = ids.CustomerId('rival')
 
 
-def make_ring(secret: bytes = b'one', incarnation: str = 'a1') -> keys.KeyRing:
+def make_ring(
+    secret: bytes = b'one', incarnation: str = 'a1'
+) -> keys.KeyIssuer:
     names = {'vm': ids.VmId('vm1'), 'incarnation': incarnation}
-    return keys.KeyRing(secret=secret, ttl_s=900, **names)
+    return keys.KeyIssuer(secret=secret, ttl_s=900, **names)
 
 
 class KeyRingTest(testtools.TestCase):
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -22,7 +22,7 @@
     def make(self, **bounds: Any) -> None:
         self.ring = test_keys.make_ring()
         bounds = {'max_records': 10, 'max_answer_bytes': 1000, **bounds}
-        self.table = records.Table(
+        self.table = records.RecordStore(
             ring=self.ring, key_ttl_s=TTL_S, record_ttl_s=TTL_S, **bounds
         )
 
@@ -37,7 +37,7 @@
         record = records.Record(
             request_id=key.text,
             customer=customer,
-            kind=work.Kind.SINGLE,
+            kind=work.TaskKind.SINGLE,
             fingerprint=b'f',
             size=1,
             tasks=1,
@@ -101,8 +101,8 @@
         for key in noted:
             self.note(key, RIVAL)
         for key in (older, noted[0]):
-            self.assertIs(self.find(key, RIVAL), records.Absence.VOID)
-        self.assertIs(self.find(mine), records.Absence.NEW)
+            self.assertIs(self.find(key, RIVAL), records.UnrecordedKey.VOID)
+        self.assertIs(self.find(mine), records.UnrecordedKey.NEW)
 
     def test_no_used_key_becomes_new(self) -> None:
         """Random use of a small table, compared with the set of used keys."""
@@ -115,7 +115,7 @@
             minted = [*minted, self.mint(now=now)][-30:]
             key = rng.choice(minted)
             found = self.find(key, now=now)
-            if found is records.Absence.NEW:
+            if found is records.UnrecordedKey.NEW:
                 self.assertThat(used, matchers.Not(matchers.Contains(key)))
                 used.add(key)
                 if self.table.is_full() or rng.randrange(10) < 3:
@@ -132,5 +132,5 @@
         key = self.mint()
         self.end(self.open(key), now=50)
         self.assertIsInstance(self.find(key, now=949), records.Record)
-        self.assertIs(self.find(key, now=951), records.Absence.VOID)
+        self.assertIs(self.find(key, now=951), records.UnrecordedKey.VOID)
         self.assertEqual(0, self.table.sizes()[WARM]['answer_bytes'])
--- a/tests/request/test_runner.py
+++ b/tests/request/test_runner.py
@@ -13,8 +13,8 @@
 from tests import dispatch_samples as samples
 
 
-def answer(status: int, vm: str) -> work.Answer:
-    return work.Answer(
+def answer(status: int, vm: str) -> work.Response:
+    return work.Response(
         status=status, headers=(), body=b'', endpoint=ids.EndpointId(vm)
     )
 
@@ -86,9 +86,9 @@
         for outcome in (LOST, FAILED, REFUSED):
             for changes in (
                 {'idempotent': False},
-                {'job': True, 'kind': work.Kind.JOB},
+                {'job': True, 'kind': work.TaskKind.JOB},
                 {'job': True},
-                {'kind': work.Kind.JOB},
+                {'kind': work.TaskKind.JOB},
             ):
                 got, excluded = self.run_with(outcome, **changes)  # type: ignore[arg-type]
                 self.assertEqual((outcome, [set()]), (got, excluded))
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -13,7 +13,13 @@
 
 from sardineproxy import clock, ids, verdicts
 from sardineproxy.process import metrics
-from sardineproxy.request import forwarding, job, questions, submissions, work
+from sardineproxy.request import (
+    forwarding,
+    executions,
+    key_requests,
+    submissions,
+    work,
+)
 from sardineproxy.version import contracts, versions
 
 WARM = ids.CustomerId('warm')
@@ -23,8 +29,8 @@
 TASK = {'method': 'POST', 'path': '/stamp', 'body_text': 'reprint'}
 
 
-def make_answer(status: int = 200, body: bytes = b'') -> work.Answer:
-    return work.Answer(
+def make_answer(status: int = 200, body: bytes = b'') -> work.Response:
+    return work.Response(
         status=status, headers=(), body=body, endpoint=ids.EndpointId('e1')
     )
 
@@ -44,7 +50,7 @@
         self.entered.set()
         await self.gate.wait()
         if task.request_id in self.cancelled:
-            return work.Refused(problem=job.cancelled())
+            return work.Refused(problem=executions.cancelled())
         self.starts[task.request_id, task.index] += 1
         outcome = self.outcomes.get(task.index, make_answer(body=task.body))
         if isinstance(outcome, Exception):
@@ -123,14 +129,14 @@
         process = changes.pop('process', self.process)
         body = changes.pop('body', TASK)
         arguments = {'customer': WARM, 'key_text': self.key, **changes}
-        arguments.setdefault('kind', work.Kind.SINGLE)
+        arguments.setdefault('kind', work.TaskKind.SINGLE)
         arguments['body'] = json.dumps(body).encode()
         reply = await process.submit(**arguments)
         return reply.status, json.loads(reply.body)
 
     async def submit_job(self, count: int = 3, **changes: Any) -> Any:
         job = {'tasks': [TASK for _ in range(count)]}
-        return await self.submit(kind=work.Kind.JOB, body=job, **changes)
+        return await self.submit(kind=work.TaskKind.JOB, body=job, **changes)
 
     async def ask(
         self, verb: str, process: Any = None, customer: Any = WARM
@@ -233,7 +239,7 @@
             (None, verdicts.Verdict.NOT_RUN),
         ):
             reply = self.process.refuse(
-                customer=WARM, key_text=key_text, problem=job.cancelled()
+                customer=WARM, key_text=key_text, problem=executions.cancelled()
             )
             self.assertIs(verdict, reply.verdict)
         answer = await self.submit()
@@ -309,14 +315,14 @@
         self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
 
     async def test_malformed_forward(self) -> None:
-        question = questions.Question(
-            operation=questions.Operation.CANCEL, customer=WARM, key=self.key
+        question = key_requests.KeyRequest(
+            operation=key_requests.Operation.CANCEL, customer=WARM, key=self.key
         )
-        whole = questions.pack_question(question)
+        whole = key_requests.encode_request(question)
         for size, _ in enumerate(whole):
             for payload in (whole[:size], whole + bytes(size + 1)):
                 reply = await self.process.handle(payload)
-                verdict = questions.unpack_reply(reply).verdict
+                verdict = key_requests.decode_reply(reply).verdict
                 self.assertIs(verdicts.Verdict.MAY_HAVE_RUN, verdict)
         self.assertEqual(200, (await self.submit())[0])
 
