--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -183,12 +183,12 @@
     """Let all tasks wait, then start and end each in its order."""
     queue = fair_queue.FairQueue()
     for task in tasks:
-        queue.wait(queue.admit(task, exclude=frozenset()))
+        queue.enqueue(queue.register(task, exclude=frozenset()))
     flow = queue.pop_flow()
     while flow is not None:
         entry = queue.candidates(flow)[0]
         queue.start(entry)
-        queue.offer(flow)
+        queue.schedule(flow)
         queue.finish(entry, run_s=0.2)
         flow = queue.pop_flow()
 
@@ -216,33 +216,37 @@
 
 def _fill_table(count: int) -> records.RecordStore:
     """Return a table of answered records."""
-    ring = keys.KeyIssuer(
+    key_issuer = keys.KeyIssuer(
         vm=ids.VmId('entry-00000'),
         incarnation=ids.Incarnation('0' * 16),
         secret=b'secret',
         ttl_s=slopes_samples.LONG_S,
     )
     table = records.RecordStore(
-        ring=ring,
+        key_issuer=key_issuer,
         key_ttl_s=slopes_samples.LONG_S,
         record_ttl_s=slopes_samples.LONG_S,
         max_records=count,
         max_answer_bytes=count * ANSWER_BYTES,
     )
     for number in range(1, count + 1):
-        _keep_record(table, ring, ids.CustomerId(f'team-{number % CUSTOMERS}'))
+        _keep_record(
+            table, key_issuer, ids.CustomerId(f'team-{number % CUSTOMERS}')
+        )
     return table
 
 
 def _keep_record(
-    table: records.RecordStore, ring: keys.KeyIssuer, customer: ids.CustomerId
+    table: records.RecordStore,
+    key_issuer: keys.KeyIssuer,
+    customer: ids.CustomerId,
 ) -> None:
     """Mint a key, look it up, run its work and keep the answer."""
-    text = ring.mint(customer=customer, now=0)
+    text = key_issuer.issue(customer=customer, now=0)
     key = keys.parse(text)
     assert key is not None, 'keys that are minted are well formed'
     table.find(key=key, customer=customer, now=1)
-    answered = asyncio.get_running_loop().create_future()
+    reply_future = asyncio.get_running_loop().create_future()
     record = records.Record(
         request_id=text,
         customer=customer,
@@ -251,11 +255,11 @@
         size=ANSWER_BYTES,
         tasks=1,
         started_at=1,
-        answered=answered,
+        reply_future=reply_future,
         sequence=key.sequence,
     )
     table.open(record=record)
-    answered.set_result(
+    reply_future.set_result(
         documents.Reply(
             status=200,
             headers=(),
@@ -263,4 +267,4 @@
             verdict=verdicts.Verdict.RAN,
         )
     )
-    table.end(record=record)
+    table.close(record=record)
--- a/sardineproxy/connection/caller.py
+++ b/sardineproxy/connection/caller.py
@@ -39,7 +39,7 @@
         if isinstance(body, result.Err):
             return _refusal(body.err_value, None)
         return edge.render(
-            self._submissions.mint(
+            self._submissions.issue_keys(
                 customer=customer.ok_value, body=body.ok_value
             )
         )
--- a/sardineproxy/platform/roster.py
+++ b/sardineproxy/platform/roster.py
@@ -50,12 +50,12 @@
         zone=ids.ZoneId(fields.text(document, 'zone')),
         state=_STATES[fields.text(document, 'state')],
         born_ms=fields.whole(document, 'born', 0),
-        capacity=shape(fields.table(document, 'capacity')),
+        capacity=resources(fields.table(document, 'capacity')),
         labels=tuple(label for label in labels if isinstance(label, str)),
     )
 
 
-def shape(document: Mapping[str, Any]) -> jobs.Resources:
+def resources(document: Mapping[str, Any]) -> jobs.Resources:
     """Decode resources; ``cpu`` is in thousandths of a core."""
     return jobs.Resources(
         millicores=fields.whole(document, 'cpu', 0),
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -119,7 +119,7 @@
         raise fields.FormatError(f'after: {after!r:.60} of step {position}')
     return jobs.Step(
         count=fields.whole(document, 'count', 1),
-        shape=roster.shape(document),
+        resources=roster.resources(document),
         estimate_s=fields.number(document, 'estimate_ms', 0) / _MS_PER_S,
         after=tuple(after),
         requires=fields.text(document, 'requires', ''),
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -113,11 +113,11 @@
             return work.Refused(problem=_shutting_down())
         if now >= task.deadline:
             return work.Refused(problem=endpoint_conn.deadline_passed())
-        entry = self._queue.admit(task, exclude=exclude)
+        entry = self._queue.register(task, exclude=exclude)
         placement = self._matcher.place_new(entry, now=now)
         if placement is None:
             self._prepare_wait(entry, now)
-            self._queue.wait(entry)
+            self._queue.enqueue(entry)
         outcome: work.Outcome | None = None
         while outcome is None:
             if placement is None:
@@ -215,7 +215,7 @@
             return await waiter
         except asyncio.CancelledError:
             if entry.state is flows.EntryState.WAITING:
-                self._queue.end(entry)
+                self._queue.remove(entry)
             placement = self._matcher.running.get(entry.number)
             if placement is not None:
                 self._finish_attempt(
@@ -262,7 +262,7 @@
             now=now,
         )
         if isinstance(outcome, work.Refused):
-            self._queue.give_back(entry)
+            self._queue.undo_start(entry)
             may_start = not (self._closed or entry.cancelled)
             if (
                 may_start
@@ -271,7 +271,7 @@
             ):
                 self._requeue(entry, placement.ticket.endpoint, now)
             else:
-                self._queue.end(entry)
+                self._queue.remove(entry)
         else:
             self._queue.finish(entry, run_s=run_s)
         self._matcher.release(placement, now=now)
@@ -286,14 +286,14 @@
         """Put a task of which nothing was sent at the front again."""
         self._metrics.count('dispatch_put_back_total')
         self._prepare_wait(entry, now)
-        entry.refusals += 1
-        if entry.refusals % self._cfg.refusals_before_pause:
-            entry.refused |= {endpoint}
-            self._queue.wait(entry, first=True)
+        entry.unreached_attempts += 1
+        if entry.unreached_attempts % self._cfg.refusals_before_pause:
+            entry.unreachable |= {endpoint}
+            self._queue.enqueue(entry, first=True)
             return
         # Most endpoints are unreachable; trying the rest at once is a storm.
-        entry.refused = NOTHING_EXCLUDED
-        self._queue.rest(entry)
+        entry.unreachable = NOTHING_EXCLUDED
+        self._queue.pause(entry)
         refusal_pause_s = self._cfg.refusal_pause_s * self._rng.uniform(
             0.5, 1.5
         )
@@ -303,7 +303,7 @@
 
     def _resume(self, entry: flows.QueueEntry) -> None:
         if entry.state is flows.EntryState.WAITING:
-            self._queue.wait(entry, first=True)
+            self._queue.enqueue(entry, first=True)
             self.wake()
 
     def _refuse(
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -122,7 +122,7 @@
         _LOG.info('Shutting down: not ready any more.')
         await asyncio.sleep(self._cfg.shutdown.notice_s)
         components.submissions.drain()
-        await components.submissions.idle()
+        await components.submissions.wait_until_idle()
         self._has_drained = True
         await components.peers.goodbye()
 
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -94,7 +94,7 @@
         flow = placement.entry.flow
         was_blocked = self.blocked.pop(flow.customer, None) is not None
         if was_blocked:
-            self._queue.offer(flow)
+            self._queue.schedule(flow)
         started = self._match_one(now)
         if started is None and self.blocked:
             self._unblock_all()
@@ -103,7 +103,7 @@
         # than the one that was released.
         if was_blocked and started is not flow and flow.is_backlogged:
             if self._start_next(flow, now):
-                self._queue.offer(flow)
+                self._queue.schedule(flow)
 
     def match_all(self, *, now: float) -> None:
         """Start all tasks that fit a free slot."""
@@ -112,12 +112,12 @@
         flow = self._queue.pop_flow()
         while flow is not None:
             if self._start_next(flow, now):
-                self._queue.offer(flow)
+                self._queue.schedule(flow)
             else:
                 misfits.append(flow)
             flow = self._queue.pop_flow()
         for misfit in misfits:
-            self._queue.offer(misfit)
+            self._queue.schedule(misfit)
 
     def report_stragglers(self, *, now: float) -> None:
         """Tell the health estimates which tasks run for too long."""
@@ -147,11 +147,11 @@
             flow = self._queue.pop_flow()
         for misfit in misfits:
             if flow is None:
-                self._queue.offer(misfit)
+                self._queue.schedule(misfit)
             else:
                 self.blocked[misfit.customer] = misfit
         if flow is not None:
-            self._queue.offer(flow)
+            self._queue.schedule(flow)
         return flow
 
     def _start_next(self, flow: flows.Flow, now: float) -> bool:
@@ -170,7 +170,7 @@
         abandoned = [each for each in entries if _is_abandoned(each)]
         while abandoned:
             for entry in abandoned:
-                self._queue.end(entry)
+                self._queue.remove(entry)
             entries = self._queue.candidates(flow)
             abandoned = [each for each in entries if _is_abandoned(each)]
         return entries
@@ -207,7 +207,7 @@
 
     def _unblock_all(self) -> None:
         for flow in self.blocked.values():
-            self._queue.offer(flow)
+            self._queue.schedule(flow)
         self.blocked.clear()
 
 
--- a/sardineproxy/process/node/intake.py
+++ b/sardineproxy/process/node/intake.py
@@ -116,7 +116,7 @@
         """Refuse a job that would not be answered before the process ends."""
         if self.ends_at is None:
             return None
-        if now + route.bound_s(job.expected_s) <= self.ends_at:
+        if now + route.bound_s(job.total_estimate_s) <= self.ends_at:
             return None
         return jobs.NotRun(
             detail='process ends before the job would',
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -188,7 +188,7 @@
         return (
             not self.draining
             and self.versions.table is not None
-            and self.home() is not None
+            and self.default_shard() is not None
         )
 
     def is_recovering(self) -> bool:
@@ -197,7 +197,7 @@
         self._check_stall(now)
         return now < self._refuse_until
 
-    def home(self) -> ids.ShardId | None:
+    def default_shard(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs."""
         if self.home_shard in self.leaders.by_shard:
             return self.home_shard
@@ -244,7 +244,7 @@
             case messages.Withdraw(shard=shard, job=job):
                 self.led_shards.withdraw(source, shard, job)
             case messages.Ended() | messages.Declined():
-                self.board.tell(message)
+                self.board.deliver(message)
             case messages.Greeting():
                 source.abort()
             case messages.Beat() | messages.Disowned() | messages.TakeOver():
@@ -392,7 +392,7 @@
         _LOG.warning('Process stood still.', extra={'gap_s': round(gap_s, 3)})
         self.metrics.count('stalls_total')
         self._refuse_until = now + STALL_REFUSAL_S
-        self.board.stalled()
+        self.board.notify_stalled()
         self.links.abort_all()
         self.led_shards.doubt_all('process stood still')
 
@@ -447,11 +447,11 @@
             if shard in self.led_shards.shards:
                 self.led_shards.give_up(shard, f'{vm} has a higher right')
         for found in change.found:
-            self.board.leader_found(found)
+            self.board.notify_leader_found(found)
             self.job_service.broadcast(open_tasks.LeaderFound(shard=found))
 
     def _tell_lost(self, shard: ids.ShardId, source: link.Link) -> None:
-        self.board.leader_lost(shard, source)
+        self.board.notify_leader_lost(shard, source)
         self.job_service.broadcast(
             open_tasks.LeaderLost(shard=shard, source=source)
         )
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -62,8 +62,10 @@
         endpoint on probation goes first with a task that may be retried, and
         last, or not at all, with any other.
         """
-        if entry.exclude or entry.refused:
-            free = self._remove_excluded(free, entry.exclude | entry.refused)
+        if entry.exclude or entry.unreachable:
+            free = self._remove_excluded(
+                free, entry.exclude | entry.unreachable
+            )
         probes = self._health.on_probation(free, now=now)
         if probes and _is_harmless_probe(entry.task):
             return self._rng.choice(probes)
--- a/sardineproxy/process/shards/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -32,12 +32,12 @@
     def hold(self, run: runs.Run) -> None:
         """Take room for a run."""
         self.runs[run.task] = run
-        self.free = self.free.minus(run.batch.shape)
+        self.free = self.free.minus(run.batch.resources)
 
     def release(self, run: runs.Run) -> None:
         """Free the room of a run that does not exist any more."""
         self.runs.pop(run.task)
-        self.free = self.free.plus(run.batch.shape)
+        self.free = self.free.plus(run.batch.resources)
 
     def resize(self, before: jobs.Resources, after: jobs.Resources) -> None:
         """Use a changed capacity."""
--- a/sardineproxy/process/shards/ordering.py
+++ b/sardineproxy/process/shards/ordering.py
@@ -104,7 +104,7 @@
             return
         mine = len(batch.waiting())
         free = placement.count_free(
-            batch.shape.millicores,
+            batch.resources.millicores,
             placement.usable(self._agents.values(), now),
         )
         excess = min(mine, self._backlog.count_waiting() - free)
--- a/sardineproxy/process/shards/placement.py
+++ b/sardineproxy/process/shards/placement.py
@@ -78,8 +78,8 @@
 
 def _has_room(batch: runs.Batch, candidate: agent.Agent) -> bool:
     return (
-        batch.shape.millicores <= candidate.ledger.free.millicores
-        and batch.shape.fits(candidate.ledger.free)
+        batch.resources.millicores <= candidate.ledger.free.millicores
+        and batch.resources.fits(candidate.ledger.free)
         and _is_allowed(batch, candidate)
     )
 
@@ -98,6 +98,6 @@
 def _cost(batch: runs.Batch, candidate: agent.Agent) -> float:
     capacity = candidate.worker.capacity.millicores or 1
     left = (
-        candidate.ledger.free.millicores - batch.shape.millicores
+        candidate.ledger.free.millicores - batch.resources.millicores
     ) / capacity
     return (1 + OPEN_ROOM_COST * left) / candidate.health.speed
--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -99,7 +99,7 @@
     priority: int
     service: ids.ServiceId
     payload: str
-    shape: jobs.Resources
+    resources: jobs.Resources
     requires: str
 
     #: Rack that has the tasks' data, empty for none.
@@ -191,7 +191,7 @@
         priority=asked.priority,
         service=asked.service,
         payload=asked.payload,
-        shape=jobs.Resources(
+        resources=jobs.Resources(
             millicores=asked.millicores,
             memory_mb=asked.memory_mb,
             gpus=asked.gpus,
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -201,7 +201,7 @@
             case messages.JobBegun():
                 self.has_begun = True
             case open_tasks.LeaderLost(shard=shard):
-                self._open.strand(event)
+                self._open.unassign(event)
                 self._open.resume(shard, begun=True)
             case open_tasks.LeaderFound(shard=shard):
                 self._open.resume(shard, begun=True)
@@ -273,7 +273,7 @@
     def _record_success(self, key: open_tasks.TaskKey) -> None:
         """Count a good end, also of a task that a former keeper sent."""
         self._progress.record_success(key)
-        if self._open.get(key) is not None and self._open.end(key):
+        if self._open.get(key) is not None and self._open.close(key):
             self._done_steps.add(key[0])
             self._start_ready_steps()
 
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -184,9 +184,9 @@
 def _pack_step(step: jobs.Step) -> list[object]:
     return [
         step.count,
-        step.shape.millicores,
-        step.shape.memory_mb,
-        step.shape.gpus,
+        step.resources.millicores,
+        step.resources.memory_mb,
+        step.resources.gpus,
         float(step.estimate_s),
         list(step.after),
         step.requires,
@@ -231,7 +231,7 @@
 ) -> jobs.Step:
     return jobs.Step(
         count=int(count),
-        shape=jobs.Resources(
+        resources=jobs.Resources(
             millicores=int(millicores),
             memory_mb=int(memory_mb),
             gpus=int(gpus),
--- a/sardineproxy/request/active_jobs.py
+++ b/sardineproxy/request/active_jobs.py
@@ -47,21 +47,21 @@
                 _LOG.info('Client left, job withdrawn.', extra={'job': job})
                 entry.task.cancel()
 
-    def tell(self, message: messages.Ended | messages.Declined) -> None:
+    def deliver(self, message: messages.Ended | messages.Declined) -> None:
         """Hand a message to its job; one that is late is of no use."""
         entry = self._entries.get(message.job)
         if entry is not None:
-            entry.coordinator.tell(message)
+            entry.coordinator.post(message)
 
-    def leader_lost(self, shard: ids.ShardId, source: link.Link) -> None:
+    def notify_leader_lost(self, shard: ids.ShardId, source: link.Link) -> None:
         """Tell all jobs that a cell's owner is lost."""
         self._tell_all(open_tasks.LeaderLost(shard=shard, source=source))
 
-    def leader_found(self, shard: ids.ShardId) -> None:
+    def notify_leader_found(self, shard: ids.ShardId) -> None:
         """Tell all jobs that a cell has an owner."""
         self._tell_all(open_tasks.LeaderFound(shard=shard))
 
-    def stalled(self) -> None:
+    def notify_stalled(self) -> None:
         """Tell all jobs that this process stood still."""
         self._tell_all(coordinator.Stalled())
 
@@ -82,4 +82,4 @@
 
     def _tell_all(self, event: coordinator.Event) -> None:
         for entry in self._entries.values():
-            entry.coordinator.tell(event)
+            entry.coordinator.post(event)
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -76,24 +76,24 @@
         """Tell whether a task may have started, as far as is known here."""
         return self._may_have_run
 
-    def tell(self, event: Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand in an event."""
         self._inbox.put_nowait(event)
 
     async def run(self) -> jobs.Outcome:
         """Return how the job ended; nothing of it runs on afterwards."""
-        home = self._router.home()
-        if home is None:
+        default_shard = self._router.default_shard()
+        if default_shard is None:
             return jobs.NotRun(
                 detail='no cell has an owner', retry_after_s=NO_LEADER_RETRY_S
             )
         try:
-            return await self._run(home)
+            return await self._run(default_shard)
         finally:
             self._open.withdraw()
 
-    async def _run(self, home: ids.ShardId) -> jobs.Outcome:
-        self._begin_steps(home)
+    async def _run(self, default_shard: ids.ShardId) -> jobs.Outcome:
+        self._begin_steps(default_shard)
         while self._open:
             left_s = self._deadline - self._clock.now()
             try:
@@ -104,27 +104,27 @@
             outcome = self._take(event)
             if outcome is not None:
                 return outcome
-            self._begin_steps(home)
+            self._begin_steps(default_shard)
         return jobs.Completed()
 
     def _wait_s(self, left_s: float) -> float:
-        if self._open.has_stranded():
+        if self._open.has_unassigned():
             return min(left_s, LEADER_WAIT_S)
         return left_s
 
     def _describe_wait(self) -> str:
-        if self._open.has_stranded():
+        if self._open.has_unassigned():
             return 'no owner of the cell in time'
         return 'deadline passed'
 
-    def _begin_steps(self, home: ids.ShardId) -> None:
+    def _begin_steps(self, default_shard: ids.ShardId) -> None:
         """Send the tasks of steps whose earlier steps are done."""
         for number in sorted(self._todo):
             step = self.job.steps[number]
             if not self._done_steps.issuperset(step.after):
                 continue
             self._todo.discard(number)
-            tasks = open_tasks.new_tasks(self.job, number, home)
+            tasks = open_tasks.new_tasks(self.job, number, default_shard)
             self._open.add(tasks)
             self._open.send(tasks, firm=False, begun=self._has_begun)
 
@@ -155,7 +155,7 @@
         task.number = max(task.number, end.run + 1)
         match jobs.TaskResult(end.how):
             case jobs.TaskResult.DONE:
-                if self._open.end(task.key):
+                if self._open.close(task.key):
                     self._done_steps.add(end.step)
                 return None
             case jobs.TaskResult.FAILED:
@@ -187,9 +187,9 @@
                 self._open.move(tasks, other, begun=self._has_begun)
                 return None
         elif any(task.was_moved for task in tasks):
-            home = self._router.home()
-            if home is not None and home != declined.shard:
-                self._open.move(tasks, home, begun=self._has_begun)
+            default_shard = self._router.default_shard()
+            if default_shard is not None and default_shard != declined.shard:
+                self._open.move(tasks, default_shard, begun=self._has_begun)
                 return None
         return self._refuse(declined, tasks)
 
@@ -206,7 +206,7 @@
         return jobs.GivenUp(detail=f'some tasks declined: {declined.cause}')
 
     def _strand(self, lost: open_tasks.LeaderLost) -> None:
-        stranded = self._open.strand(lost)
+        stranded = self._open.unassign(lost)
         if stranded:
             self._may_have_run = True
             _LOG.info(
--- a/sardineproxy/request/executions.py
+++ b/sardineproxy/request/executions.py
@@ -134,7 +134,7 @@
             size=len(admitted.offer.body),
             tasks=len(admitted.document.tasks),
             started_at=now,
-            answered=asyncio.get_running_loop().create_future(),
+            reply_future=asyncio.get_running_loop().create_future(),
             sequence=sequence,
         )
         if sequence is not None:
@@ -158,7 +158,7 @@
         task.add_done_callback(self._in_progress.discard)
         return asyncio.shield(task)
 
-    async def idle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until nothing is in progress."""
         while self._in_progress:
             await asyncio.wait(self._in_progress)
@@ -192,10 +192,10 @@
             _log.exception('answer failed', extra={'id': record.request_id})
             reply = documents.render_problem(_internal_error())
         record.ended_at = self._clock.now()
-        record.answered.set_result(reply)
+        record.reply_future.set_result(reply)
         self._records.pop(record.request_id)
         self.running_bytes -= record.size
-        self._table.end(record=record)
+        self._table.close(record=record)
         self._metrics.observe(
             'submission_seconds',
             record.ended_at - record.started_at,
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -136,7 +136,7 @@
             if idle and customer not in self._weights:
                 self.flows.pop(customer)
 
-    def admit(
+    def register(
         self, task: work.Task, *, exclude: frozenset[ids.EndpointId]
     ) -> flows.QueueEntry:
         """Register a task; it neither waits nor runs yet."""
@@ -154,7 +154,7 @@
             request[entry.number] = entry
         return entry
 
-    def wait(self, entry: flows.QueueEntry, *, first: bool = False) -> None:
+    def enqueue(self, entry: flows.QueueEntry, *, first: bool = False) -> None:
         """Put a task at the end of its lane, or at the front."""
         flow = entry.flow
         was_backlogged = flow.is_backlogged
@@ -167,9 +167,9 @@
         self._mark_waiting(entry)
         if not was_backlogged:
             flow.tag = max(flow.tag, self._virtual_s - _credit_s(flow))
-            self.offer(flow)
+            self.schedule(flow)
 
-    def rest(self, entry: flows.QueueEntry) -> None:
+    def pause(self, entry: flows.QueueEntry) -> None:
         """Keep a task waiting outside the order until ``wait`` is called."""
         self._leave_lane(entry)
         entry.flow.resting += 1
@@ -179,7 +179,7 @@
         """Take the flow with the least tag out of the order."""
         return self._order.pop()
 
-    def offer(self, flow: flows.Flow) -> None:
+    def schedule(self, flow: flows.Flow) -> None:
         """Put a flow into the order if it has tasks that could start."""
         if flow.is_backlogged:
             self._order.push(flow, in_use=len(self.flows))
@@ -211,7 +211,7 @@
         self._virtual_s = max(self._virtual_s, flow.tag)
         flow.tag += entry.charged_s / flow.weight
 
-    def give_back(self, entry: flows.QueueEntry) -> None:
+    def undo_start(self, entry: flows.QueueEntry) -> None:
         """Undo the start of a task of which nothing ran."""
         entry.state = flows.EntryState.NEW
         self._settle(entry, 0)
@@ -223,9 +223,9 @@
         gain = max(ESTIMATE_GAIN, 1 / flow.finished)
         flow.run_s += gain * (run_s - flow.run_s)
         self._settle(entry, run_s)
-        self.end(entry)
+        self.remove(entry)
 
-    def end(self, entry: flows.QueueEntry) -> None:
+    def remove(self, entry: flows.QueueEntry) -> None:
         """Forget a task that does not run, or no longer runs."""
         if entry.state is flows.EntryState.WAITING:
             self._leave_lane(entry)
@@ -245,7 +245,7 @@
         ended = []
         for entry in tuple(self._requests.get(request_id, {}).values()):
             if entry.state is flows.EntryState.WAITING:
-                self.end(entry)
+                self.remove(entry)
                 ended.append(entry)
             else:
                 entry.cancelled = True
@@ -256,7 +256,7 @@
         ended = []
         entry = self._deadlines.earliest()
         while entry is not None and entry.task.deadline <= now:
-            self.end(entry)
+            self.remove(entry)
             ended.append(entry)
             entry = self._deadlines.earliest()
         return ended
@@ -300,7 +300,7 @@
         flow.running -= 1
         flow.tag += (run_s - entry.charged_s) / flow.weight
         if flow.version:
-            self.offer(flow)
+            self.schedule(flow)
 
 
 def _most_entries(used: int) -> int:
@@ -314,7 +314,7 @@
 
 
 def _lane_of(entry: flows.QueueEntry) -> flows.Lane:
-    if entry.exclude or entry.refused:
+    if entry.exclude or entry.unreachable:
         return entry.flow.returned
     if entry.task.kind is work.TaskKind.SINGLE:
         return entry.flow.singles
--- a/sardineproxy/request/flows.py
+++ b/sardineproxy/request/flows.py
@@ -79,7 +79,7 @@
     exclude: frozenset[ids.EndpointId]
 
     #: Endpoints that could not be reached for it lately.
-    refused: frozenset[ids.EndpointId] = frozenset()
+    unreachable: frozenset[ids.EndpointId] = frozenset()
     state: EntryState = EntryState.NEW
     lane: 'Lane | None' = None
 
@@ -90,7 +90,7 @@
     cancelled: bool = False
 
     #: Attempts that did not reach their endpoint.
-    refusals: int = 0
+    unreached_attempts: int = 0
 
     #: Future of the coroutine that waits for the start.
     waiter: 'asyncio.Future[Any] | None' = None
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -16,12 +16,12 @@
     memory_mb: int
     gpus: int
 
-    def fits(self, room: 'Resources') -> bool:
+    def fits(self, capacity: 'Resources') -> bool:
         """Tell whether ``room`` is enough."""
         return (
-            self.millicores <= room.millicores
-            and self.memory_mb <= room.memory_mb
-            and self.gpus <= room.gpus
+            self.millicores <= capacity.millicores
+            and self.memory_mb <= capacity.memory_mb
+            and self.gpus <= capacity.gpus
         )
 
     def plus(self, other: 'Resources') -> 'Resources':
@@ -55,7 +55,7 @@
     """Tasks of one job that are alike."""
 
     count: int
-    shape: Resources
+    resources: Resources
 
     #: The client's rough estimate of a task's run time, in seconds.
     estimate_s: float
@@ -89,7 +89,7 @@
     stored: bool = False
 
     @property
-    def expected_s(self) -> float:
+    def total_estimate_s(self) -> float:
         """Return the client's estimate for the steps in a row, in seconds."""
         return sum(step.estimate_s for step in self.steps)
 
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -90,7 +90,7 @@
         self._ttl_s = ttl_s
         self._sequence = itertools.count(1)
 
-    def mint(self, *, customer: ids.CustomerId, now: float) -> ids.RequestId:
+    def issue(self, *, customer: ids.CustomerId, now: float) -> ids.RequestId:
         """Return a new key of ``customer``."""
         sequence = next(self._sequence)
         expiry = int((now + self._ttl_s) * MS_PER_SECOND)
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -19,7 +19,7 @@
 class Router(Protocol):
     """Finds the owners of cells."""
 
-    def home(self) -> ids.ShardId | None:
+    def default_shard(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs, None if there is none."""
 
     def leader(self, shard: ids.ShardId) -> link.Link | None:
@@ -118,7 +118,7 @@
         """Open tasks; ``send`` submits them."""
         self._open.update({task.key: task for task in tasks})
 
-    def end(self, key: TaskKey) -> bool:
+    def close(self, key: TaskKey) -> bool:
         """Close a task; tell whether its step has no other open task."""
         self._open.pop(key)
         return not any(step == key[0] for step, _ in self._open)
@@ -132,7 +132,7 @@
             task for task in found if task is not None and task.shard == shard
         ]
 
-    def has_stranded(self) -> bool:
+    def has_unassigned(self) -> bool:
         """Tell whether a task has no owner."""
         return any(task.source is None for task in self._open.values())
 
@@ -163,9 +163,9 @@
                 priority=self.route.priority,
                 payload=self.job.payload,
                 tasks=tuple((task.index, task.number) for task in tasks),
-                millicores=step.shape.millicores,
-                memory_mb=step.shape.memory_mb,
-                gpus=step.shape.gpus,
+                millicores=step.resources.millicores,
+                memory_mb=step.resources.memory_mb,
+                gpus=step.resources.gpus,
                 requires=step.requires,
                 rack=step.rack,
                 per_worker=step.per_worker,
@@ -194,7 +194,7 @@
             task.is_moving = False
         self.send(tasks, firm=True, begun=begun)
 
-    def strand(self, lost: LeaderLost) -> list[OpenTask]:
+    def unassign(self, lost: LeaderLost) -> list[OpenTask]:
         """Note that an owner is lost; return the tasks that it had."""
         stranded = [
             task
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -45,7 +45,7 @@
     cancelled: bool = False
 
     #: Done once all tasks have ended.
-    answered: asyncio.Future[documents.Reply]
+    reply_future: asyncio.Future[documents.Reply]
 
     #: Sequence number of the key; keyless requests have none.
     sequence: int | None = None
@@ -103,12 +103,12 @@
     def put(self, sequence: int, record: Record) -> None:
         self.ended[sequence] = record
         self._totals.ended += 1
-        self._add_bytes(len(record.answered.result().body))
+        self._add_bytes(len(record.reply_future.result().body))
 
     def pop(self) -> tuple[int, Record]:
         sequence, record = self.ended.popitem(last=False)
         self._totals.ended -= 1
-        self._add_bytes(-len(record.answered.result().body))
+        self._add_bytes(-len(record.reply_future.result().body))
         return sequence, record
 
     def put_note(self, sequence: int, note: Tombstone) -> None:
@@ -141,14 +141,14 @@
     def __init__(
         self,
         *,
-        ring: keys.KeyIssuer,
+        key_issuer: keys.KeyIssuer,
         key_ttl_s: float,
         record_ttl_s: float,
         max_records: int,
         max_answer_bytes: int,
     ) -> None:
         """Start empty; times in seconds."""
-        self._ring = ring
+        self._ring = key_issuer
         self._key_ttl_s = key_ttl_s
         self._record_ttl_s = record_ttl_s
         self._max_records = max_records
@@ -188,7 +188,7 @@
         self._running[record.sequence] = record
         self._make_room(record.started_at)
 
-    def end(self, *, record: Record) -> None:
+    def close(self, *, record: Record) -> None:
         """Keep a record that has been answered."""
         if record.sequence is None:
             return
@@ -196,7 +196,7 @@
         self._shelf(record.customer).put(record.sequence, record)
         self._make_room(record.ended_at)
 
-    def note(
+    def add_tombstone(
         self,
         *,
         key: keys.Key,
@@ -260,7 +260,9 @@
     shelf.put_note(
         sequence,
         Tombstone(
-            problem=documents.answer_dropped(record.answered.result().verdict),
+            problem=documents.answer_dropped(
+                record.reply_future.result().verdict
+            ),
             fingerprint=record.fingerprint,
             noted_at=now,
         ),
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -88,7 +88,7 @@
             ttl_s=cfg.key_ttl_s,
         )
         self._table = records.RecordStore(
-            ring=self._keys,
+            key_issuer=self._keys,
             key_ttl_s=cfg.key_ttl_s,
             record_ttl_s=cfg.record_ttl_s,
             max_records=cfg.max_records,
@@ -114,9 +114,9 @@
         """Refuse new work as not run from now on."""
         self._admission.drain()
 
-    async def idle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until no submission and no forward is in progress."""
-        await self._executions.idle()
+        await self._executions.wait_until_idle()
 
     def authenticate(
         self, *, credential: str
@@ -124,7 +124,9 @@
         """Return the customer that the credential belongs to."""
         return self._admission.authenticate(credential=credential)
 
-    def mint(self, *, customer: ids.CustomerId, body: bytes) -> documents.Reply:
+    def issue_keys(
+        self, *, customer: ids.CustomerId, body: bytes
+    ) -> documents.Reply:
         """Answer with new keys of the customer."""
         refused = self._admission.refusal_of_all()
         if refused is not None:
@@ -134,7 +136,7 @@
             return documents.render_problem(count.err_value)
         now = self._clock.now()
         minted = [
-            self._keys.mint(customer=customer, now=now)
+            self._keys.issue(customer=customer, now=now)
             for _ in range(count.ok_value)
         ]
         self._metrics.count('keys_minted_total', by=len(minted))
@@ -241,7 +243,7 @@
             now = self._clock.now()
             held = self._table.find(key=key, customer=customer, now=now)
             if held is records.UnrecordedKey.NEW:
-                self._table.note(
+                self._table.add_tombstone(
                     key=key,
                     customer=customer,
                     fingerprint=None,
@@ -276,7 +278,7 @@
         record = self._executions.start(
             admitted=admitted.ok_value, request_id=ids.RequestId(request_id)
         )
-        return await asyncio.shield(record.answered)
+        return await asyncio.shield(record.reply_future)
 
     async def _answer(
         self, question: key_requests.KeyRequest, key: keys.Key
@@ -301,7 +303,7 @@
         if isinstance(held, records.Record):
             self._executions.cancel(record=held)
         if held is records.UnrecordedKey.NEW:
-            return self._table.note(
+            return self._table.add_tombstone(
                 key=key,
                 customer=question.customer,
                 fingerprint=None,
@@ -322,7 +324,7 @@
         if held.fingerprint not in {None, fingerprint}:
             return documents.render_problem(keys.reused())
         if question.wait and isinstance(held, records.Record):
-            return await asyncio.shield(held.answered)
+            return await asyncio.shield(held.reply_future)
         return _status_reply(held)
 
     def _open(
@@ -341,7 +343,7 @@
             )
         )
         if isinstance(admitted, result.Err):
-            return self._table.note(
+            return self._table.add_tombstone(
                 key=key,
                 customer=question.customer,
                 fingerprint=fingerprint,
@@ -385,8 +387,8 @@
         return documents.render_problem(keys.not_submitted())
     if isinstance(held, records.Tombstone):
         return documents.render_problem(held.problem)
-    if held.answered.done():
-        return held.answered.result()
+    if held.reply_future.done():
+        return held.reply_future.result()
     return documents.render_json(
         status=202,
         document={
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -24,7 +24,7 @@
     run: int
     worker: str
     started_at: float
-    shape: jobs.Resources
+    resources: jobs.Resources
     ended_at: float | None = None
     how: workers.Ending | None = None
 
@@ -48,7 +48,7 @@
 class Work:
     """What a task turns out to need."""
 
-    shape: jobs.Resources
+    resources: jobs.Resources
     work_s: float
 
     #: How its run ends if nothing stops it; None if it never ends.
@@ -252,10 +252,10 @@
     def _begin(self, order: workers.Order, now: float) -> None:
         work = self._work_of(order.task, order.run)
         taken = sum(
-            running.record.shape.millicores
+            running.record.resources.millicores
             for running in self._running.values()
         )
-        if taken + work.shape.millicores > self.worker.capacity.millicores:
+        if taken + work.resources.millicores > self.worker.capacity.millicores:
             self.complaints.append(
                 f'{order.task} run {order.run} at {now:.3f} goes over the '
                 f'capacity of {self.worker.worker}'
@@ -265,7 +265,7 @@
             run=order.run,
             worker=self.worker.worker,
             started_at=now,
-            shape=work.shape,
+            resources=work.resources,
         )
         self.records.append(record)
         self._running[order.task] = _Running(
--- a/tests/connection/test_caller.py
+++ b/tests/connection/test_caller.py
@@ -134,7 +134,7 @@
         writer.transport.abort()
         await self.listener.close()
         self.runner.gate.set()
-        await self.process.idle()
+        await self.process.wait_until_idle()
         self.assertEqual(200, (await self.ask('status'))[0])
 
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -140,7 +140,9 @@
         self.assertEqual(
             jobs.Step(
                 count=2,
-                shape=jobs.Resources(millicores=14_000, memory_mb=64, gpus=0),
+                resources=jobs.Resources(
+                    millicores=14_000, memory_mb=64, gpus=0
+                ),
                 estimate_s=0.2,
             ),
             job.steps[0],
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -68,7 +68,7 @@
 def make_job(**changes: Any) -> jobs.Job:
     """Return a job of one task of 0.3 s."""
     step = jobs.Step(
-        count=1, shape=samples.usual_work('', 1).shape, estimate_s=0.3
+        count=1, resources=samples.usual_work('', 1).resources, estimate_s=0.3
     )
     fields: dict[str, Any] = {
         'job': ids.JobId('00000000000000a1'),
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -107,7 +107,9 @@
     task: workers.TaskName, run: int, work_s: float = 0.2
 ) -> worker_model.Work:
     return worker_model.Work(
-        shape=jobs.Resources(millicores=TASK_MILLICORES, memory_mb=64, gpus=0),
+        resources=jobs.Resources(
+            millicores=TASK_MILLICORES, memory_mb=64, gpus=0
+        ),
         work_s=work_s,
     )
 
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -23,7 +23,7 @@
 
 def _never_ends(task: workers.TaskName, run: int) -> worker_model.Work:
     usual = samples.usual_work(task, run)
-    return worker_model.Work(shape=usual.shape, work_s=0.2, how=None)
+    return worker_model.Work(resources=usual.resources, work_s=0.2, how=None)
 
 
 class TestAgent(testtools.TestCase):
@@ -251,7 +251,7 @@
 
         def work_of(task: workers.TaskName, run: int) -> worker_model.Work:
             return worker_model.Work(
-                shape=jobs.Resources(millicores=1000, memory_mb=1, gpus=0),
+                resources=jobs.Resources(millicores=1000, memory_mb=1, gpus=0),
                 work_s=0.05,
                 how=workers.Ending.FAILED,
             )
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -77,7 +77,7 @@
         self.board = active_jobs.ActiveJobs()
         self.ends: dict[shards.ShardLeader, _End] = {}
 
-    def home(self) -> ids.ShardId | None:
+    def default_shard(self) -> ids.ShardId | None:
         return samples.SHARD if self.world.leader in self.ends else None
 
     def leader(self, shard: ids.ShardId) -> Any:
@@ -88,11 +88,11 @@
             self.world,
             lambda end, message: self._to_leader(owned, end, message),
         )
-        far = _End(self.world, lambda _, message: self.board.tell(message))
+        far = _End(self.world, lambda _, message: self.board.deliver(message))
         near.other = far
         far.other = near
         self.ends[owned] = near
-        self.board.leader_found(samples.SHARD)
+        self.board.notify_leader_found(samples.SHARD)
 
     def cut(self, owned: shards.ShardLeader) -> None:
         """Cut a link; both ends notice some time later."""
@@ -105,7 +105,7 @@
         rng = self.world.rng
         loop.call_later(
             rng.uniform(0, NOTICE_S),
-            self.board.leader_lost,
+            self.board.notify_leader_lost,
             samples.SHARD,
             near,
         )
@@ -145,7 +145,7 @@
         draw = random.Random(f'{task}.{run}').randrange(100)
         how = workers.Ending.FAILED if draw < 3 else workers.Ending.DONE
         return worker_model.Work(
-            shape=samples.usual_work(task, run).shape,
+            resources=samples.usual_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
             how=how,
         )
@@ -209,7 +209,7 @@
             steps=(
                 jobs.Step(
                     count=self.rng.randint(1, 4),
-                    shape=samples.usual_work('', 1).shape,
+                    resources=samples.usual_work('', 1).resources,
                     estimate_s=0.3,
                 ),
             ),
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -165,7 +165,7 @@
         samples.with_rig(
             scenario,
             work_of=lambda task, run: worker_model.Work(
-                shape=samples.usual_work(task, run).shape,
+                resources=samples.usual_work(task, run).resources,
                 work_s=0.1,
                 how=workers.Ending.FAILED,
             ),
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -43,7 +43,7 @@
     steps = tuple(
         jobs.Step(
             count=count,
-            shape=samples.usual_work('', 1).shape,
+            resources=samples.usual_work('', 1).resources,
             estimate_s=0.2,
             after=(position - 1,) if position else (),
         )
@@ -198,7 +198,7 @@
     def list_answers(self) -> bool:
         return True
 
-    def home(self) -> ids.ShardId | None:
+    def default_shard(self) -> ids.ShardId | None:
         return samples.SHARD
 
     def leader(self, shard: ids.ShardId) -> Any:
@@ -265,7 +265,7 @@
         draw = random.Random(f'{task}.{run}').randrange(100)
         is_failing = draw < self.failing_percent
         return worker_model.Work(
-            shape=samples.usual_work(task, run).shape,
+            resources=samples.usual_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
             how=workers.Ending.FAILED if is_failing else workers.Ending.DONE,
         )
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -28,7 +28,7 @@
         }
         step = jobs.Step(
             count=count,
-            shape=shard_samples.usual_work('', 1).shape,
+            resources=shard_samples.usual_work('', 1).resources,
             estimate_s=0.3,
         )
         self.tested = coordinator.Coordinator(
@@ -41,7 +41,7 @@
         )
         self.outcome = asyncio.create_task(self.tested.run())
 
-    def home(self) -> ids.ShardId | None:
+    def default_shard(self) -> ids.ShardId | None:
         return HOME if HOME in self.links else None
 
     def leader(self, shard: ids.ShardId) -> Any:
@@ -55,7 +55,7 @@
         ]
 
     async def end(self, index: int, how: str = 'done', run: int = 1) -> None:
-        self.tested.tell(
+        self.tested.post(
             messages.Ended(
                 shard=HOME,
                 job=self.tested.job.job,
@@ -71,7 +71,7 @@
     async def decline(
         self, *indices: int, shard: ids.ShardId = HOME, other: str = ''
     ) -> None:
-        self.tested.tell(
+        self.tested.post(
             messages.Declined(
                 shard=shard,
                 job=self.tested.job.job,
@@ -87,7 +87,7 @@
 
     async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.tell(open_tasks.LeaderLost(shard=HOME, source=lost))
+        self.tested.post(open_tasks.LeaderLost(shard=HOME, source=lost))
         await asyncio.sleep(0.001)
 
 
@@ -155,7 +155,7 @@
         """Guards against answers on what others may have taken over."""
 
         async def scenario(rig: Rig) -> None:
-            rig.tested.tell(coordinator.Stalled())
+            rig.tested.post(coordinator.Stalled())
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
         with_rig(scenario)
@@ -201,7 +201,7 @@
             await rig.end(0)
             await rig.lose_leader()
             rig.links[HOME] = shard_samples.FakeLink('vm-3')
-            rig.tested.tell(open_tasks.LeaderFound(shard=HOME))
+            rig.tested.post(open_tasks.LeaderFound(shard=HOME))
             await asyncio.sleep(0.001)
             asked = shard_samples.only(rig.submitted())
             self.assertTrue(asked.resumed)
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -20,7 +20,7 @@
 
     async def run_job(self, outcomes: dict[int, Any], count: int = 2) -> Any:
         self.runner.outcomes = outcomes
-        _, document = await self.submit_job(count, key_text=self.mint())
+        _, document = await self.submit_job(count, key_text=self.issue_key())
         return document
 
     async def test_states(self) -> None:
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -18,8 +18,8 @@
     queue: fair_queue.FairQueue, customer: str, **changes: Any
 ) -> flows.QueueEntry:
     task = samples.make_task(customer=customer, **changes)
-    entry = queue.admit(task, exclude=frozenset())
-    queue.wait(entry)
+    entry = queue.register(task, exclude=frozenset())
+    queue.enqueue(entry)
     return entry
 
 
@@ -29,7 +29,7 @@
         return None
     entry = queue.candidates(flow)[0]
     queue.start(entry)
-    queue.offer(flow)
+    queue.schedule(flow)
     return entry
 
 
@@ -71,13 +71,13 @@
     def give_back(self, pick: int) -> None:
         if self.running:
             entry = self.running.pop(pick % len(self.running))
-            self.queue.give_back(entry)
-            self.queue.rest(entry)
+            self.queue.undo_start(entry)
+            self.queue.pause(entry)
             self.resting[entry.number] = entry
 
     def wake(self, pick: int) -> None:
         for entry in self.resting.values():
-            self.queue.wait(entry, first=True)
+            self.queue.enqueue(entry, first=True)
         self.waiting.update(self.resting)
         self.resting.clear()
 
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -24,7 +24,7 @@
 
     def test_only_the_customer_and_the_minter_recognize_a_key(self) -> None:
         ring = make_ring()
-        key = keys.parse(ring.mint(customer=WARM, now=5))
+        key = keys.parse(ring.issue(customer=WARM, now=5))
         assert key is not None
         self.assertEqual(905, key.expires_at)
         for judge, customer, expected in (
@@ -42,7 +42,7 @@
         self, data: strategies.DataObject
     ) -> None:
         ring = make_ring()
-        text = ring.mint(customer=WARM, now=5)
+        text = ring.issue(customer=WARM, now=5)
         place = data.draw(strategies.integers(0, len(text) - 1))
         symbol = data.draw(strategies.sampled_from('0123456789abcdef.-sp'))
         changed = text[:place] + symbol + text[place + 1 :]
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -20,14 +20,17 @@
     """A table with a ring of its own."""
 
     def make(self, **bounds: Any) -> None:
-        self.ring = test_keys.make_ring()
+        self.key_issuer = test_keys.make_ring()
         bounds = {'max_records': 10, 'max_answer_bytes': 1000, **bounds}
         self.table = records.RecordStore(
-            ring=self.ring, key_ttl_s=TTL_S, record_ttl_s=TTL_S, **bounds
+            key_issuer=self.key_issuer,
+            key_ttl_s=TTL_S,
+            record_ttl_s=TTL_S,
+            **bounds,
         )
 
-    def mint(self, customer: Any = WARM, now: float = 0) -> keys.Key:
-        key = keys.parse(self.ring.mint(customer=customer, now=now))
+    def issue_key(self, customer: Any = WARM, now: float = 0) -> keys.Key:
+        key = keys.parse(self.key_issuer.issue(customer=customer, now=now))
         assert key is not None
         return key
 
@@ -42,7 +45,7 @@
             size=1,
             tasks=1,
             started_at=now,
-            answered=asyncio.Future(loop=self.loop),
+            reply_future=asyncio.Future(loop=self.loop),
             sequence=key.sequence,
         )
         self.table.open(record=record)
@@ -52,16 +55,22 @@
         self, record: records.Record, now: float = 0, size: int = 1
     ) -> None:
         record.ended_at = now
-        record.answered.set_result(
+        record.reply_future.set_result(
             documents.Reply(
                 status=200, headers=(), body=bytes(size), verdict=RAN
             )
         )
-        self.table.end(record=record)
+        self.table.close(record=record)
 
-    def note(self, key: keys.Key, customer: Any = WARM, now: float = 0) -> None:
-        note = {'fingerprint': None, 'problem': keys.malformed(), 'now': now}
-        self.table.note(key=key, customer=customer, **note)
+    def add_tombstone(
+        self, key: keys.Key, customer: Any = WARM, now: float = 0
+    ) -> None:
+        add_tombstone = {
+            'fingerprint': None,
+            'problem': keys.malformed(),
+            'now': now,
+        }
+        self.table.add_tombstone(key=key, customer=customer, **add_tombstone)
 
     def find(self, key: keys.Key, customer: Any = WARM, now: float = 0) -> Any:
         return self.table.find(key=key, customer=customer, now=now)
@@ -77,29 +86,29 @@
 
     def test_dropped_answer_leaves_its_verdict(self) -> None:
         self.make(max_answer_bytes=5)
-        first, second = self.mint(), self.mint()
+        first, second = self.issue_key(), self.issue_key()
         for key in (first, second):
             self.end(self.open(key), size=4)
-        note = self.find(first)
-        self.assertEqual('answer_dropped', note.problem.code)
-        self.assertIs(RAN, note.problem.verdict)
+        add_tombstone = self.find(first)
+        self.assertEqual('answer_dropped', add_tombstone.problem.code)
+        self.assertIs(RAN, add_tombstone.problem.verdict)
         self.assertIsInstance(self.find(second), records.Record)
 
     def test_busiest_customer_makes_room(self) -> None:
         """A rival's load must not push out another customer's answer."""
         self.make(max_records=3)
-        mine = self.mint()
+        mine = self.issue_key()
         self.end(self.open(mine))
         for _ in range(20):
-            self.end(self.open(self.mint(RIVAL), RIVAL))
+            self.end(self.open(self.issue_key(RIVAL), RIVAL))
         self.assertIsInstance(self.find(mine), records.Record)
 
     def test_dropped_note_voids_older_keys_of_its_customer(self) -> None:
         self.make(max_records=2)
-        older, mine = self.mint(RIVAL), self.mint()
-        noted = [self.mint(RIVAL) for _ in range(3)]
+        older, mine = self.issue_key(RIVAL), self.issue_key()
+        noted = [self.issue_key(RIVAL) for _ in range(3)]
         for key in noted:
-            self.note(key, RIVAL)
+            self.add_tombstone(key, RIVAL)
         for key in (older, noted[0]):
             self.assertIs(self.find(key, RIVAL), records.UnrecordedKey.VOID)
         self.assertIs(self.find(mine), records.UnrecordedKey.NEW)
@@ -112,14 +121,14 @@
         used: set[keys.Key] = set()
         for _ in range(5000):
             now += rng.choice((0, 9, 45))
-            minted = [*minted, self.mint(now=now)][-30:]
+            minted = [*minted, self.issue_key(now=now)][-30:]
             key = rng.choice(minted)
             found = self.find(key, now=now)
             if found is records.UnrecordedKey.NEW:
                 self.assertThat(used, matchers.Not(matchers.Contains(key)))
                 used.add(key)
                 if self.table.is_full() or rng.randrange(10) < 3:
-                    self.note(key, now=now)
+                    self.add_tombstone(key, now=now)
                 else:
                     running.append(self.open(key, now=now))
             if running and rng.randrange(2):
@@ -129,7 +138,7 @@
 
     def test_old_entries_are_dropped(self) -> None:
         self.make()
-        key = self.mint()
+        key = self.issue_key()
         self.end(self.open(key), now=50)
         self.assertIsInstance(self.find(key, now=949), records.Record)
         self.assertIs(self.find(key, now=951), records.UnrecordedKey.VOID)
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -121,8 +121,8 @@
 class SubmissionsCase(testtools.TestCase):
     """Two processes; each test is one scenario on an event loop."""
 
-    def mint(self) -> str:
-        reply = self.process.mint(customer=WARM, body=b'')
+    def issue_key(self) -> str:
+        reply = self.process.issue_keys(customer=WARM, body=b'')
         return json.loads(reply.body)['keys'][0]
 
     async def submit(self, **changes: Any) -> tuple[int, Any]:
@@ -165,8 +165,8 @@
         self.process = make_submissions(self.runner, self.mesh)
         self.other = make_submissions(Runner(), self.mesh, vm='vm2')
         self.time = self.mesh.time
-        self.key = self.mint()
-        self.spare = self.mint()
+        self.key = self.issue_key()
+        self.spare = self.issue_key()
         await self._get_test_method()()
         if self.listener:
             await self.listener.close()
@@ -203,13 +203,13 @@
             replayed = await self.submit_job(process=process, customer=RIVAL)
             self.assert_problem(replayed, 'unknown_key', 'not_run', True)
         self.runner.gate.set()
-        await self.process.idle()
+        await self.process.wait_until_idle()
         self.assertEqual(200, (await self.ask('status'))[0])
 
     async def test_refusal_is_remembered(self) -> None:
         """Guards against "not run" for a key that starts work later."""
         self.process.set_version(make_version(submit_per_s=0.1, submit_burst=1))
-        await self.submit(key_text=self.mint())
+        await self.submit(key_text=self.issue_key())
         for _ in range(2):
             refused = await self.submit()
             self.assert_problem(refused, 'rate_limited', 'not_run', True)
@@ -263,7 +263,7 @@
     async def test_job_that_the_runner_cannot_cancel(self) -> None:
         """Its tasks are not known to the runner yet, or run already."""
         for handed_over, verdict in ((False, 'not_run'), (True, 'ran')):
-            key = self.mint()
+            key = self.issue_key()
             await self.submit_job(key_text=key, wait=False)
             if handed_over:
                 await self.runner.entered.wait()
@@ -338,11 +338,11 @@
             process.drain()
         refused = await self.submit(key_text=self.spare)
         self.assert_problem(refused, 'shutting_down', 'not_run', True)
-        idle = asyncio.create_task(self.process.idle())
+        wait_until_idle = asyncio.create_task(self.process.wait_until_idle())
         await asyncio.sleep(0)
-        self.assertFalse(idle.done())
+        self.assertFalse(wait_until_idle.done())
         self.runner.gate.set()
-        await asyncio.gather(idle, first)
+        await asyncio.gather(wait_until_idle, first)
         self.assertEqual(200, (await self.submit(process=self.other))[0])
 
     async def test_disconnected_caller_does_not_cancel(self) -> None:
@@ -359,8 +359,8 @@
         self.assertIn('"age_s": 2', state)
         self.assertNotIn('reprint', state)
         self.runner.gate.set()
-        await self.other.idle()
-        await self.process.idle()
+        await self.other.wait_until_idle()
+        await self.process.wait_until_idle()
         self.assertEqual(
             {(self.key, 0): 1, (self.spare, 0): 1}, self.runner.starts
         )
@@ -368,5 +368,5 @@
     async def test_overload_is_refused(self) -> None:
         for bounds in ({'max_records': 0}, {'max_running_bytes': 10}):
             self.process = make_submissions(self.runner, self.mesh, **bounds)
-            answer = await self.submit(key_text=self.mint())
+            answer = await self.submit(key_text=self.issue_key())
             self.assert_problem(answer, 'overloaded', 'not_run', True)
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -97,7 +97,7 @@
         elif self.fails:
             how = workers.Ending.FAILED
         return worker_model.Work(
-            shape=jobs.Resources(
+            resources=jobs.Resources(
                 millicores=samples.TASK_MILLICORES, memory_mb=64, gpus=0
             ),
             work_s=0.01 if self.fails else random.Random(task).choice(WORK_S),
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -47,7 +47,7 @@
                 started_at=begin,
                 ended_at=begin + 0.2,
                 how=how,
-                shape=samples.make_worker().capacity,
+                resources=samples.make_worker().capacity,
             )
         )
 
