--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -7,7 +7,13 @@
 from sardineproxy import ids
 from sardineproxy.bench import slopes_fit, slopes_samples
 from sardineproxy.connection import frames
-from sardineproxy.process import exchange, gossip, parts, slots, views
+from sardineproxy.process import (
+    config_exchange,
+    gossip,
+    components,
+    slots,
+    views,
+)
 from sardineproxy.version import codec, versions
 
 CONTRACTS = (100, 370, 1000)
@@ -57,7 +63,7 @@
 def _measure_passing(out: slopes_fit.Report) -> None:
     """Print what it takes to bring peers to the next version."""
     built, payload = _build_ahead()
-    passing = exchange.Exchange(
+    passing = config_exchange.ConfigExchange(
         gossip=gossip.Gossip(versions=built.versions, vm_list=built.vm_list),
         rng=random.Random(1),
     )
@@ -81,7 +87,7 @@
 
 
 def _time_passing(
-    passing: exchange.Exchange,
+    passing: config_exchange.ConfigExchange,
     announce: frames.ConfigAnnounce,
     fetch: frames.ConfigFetch,
     peers: int,
@@ -105,7 +111,7 @@
     )
     built = _build_parts()
 
-    def take() -> parts.Parts:  # noqa: WPS430
+    def take() -> components.Components:  # noqa: WPS430
         built.versions.offer(payload)
         return built
 
@@ -128,7 +134,7 @@
     def take() -> None:  # noqa: WPS430
         built.versions.offer(payload)
         for customer in first.documents:
-            built.slots.part(customer)
+            built.slots.limit_share(customer)
 
     took_us = slopes_fit.cpu_us(take)
     assert built.versions.number() == first.number + 1, 'the change is taken'
@@ -163,7 +169,7 @@
         )
     )
 
-    def take() -> parts.Parts:  # noqa: WPS430
+    def take() -> components.Components:  # noqa: WPS430
         for payload in payloads:
             built.versions.offer(payload)
         return built
@@ -171,7 +177,7 @@
     return slopes_fit.heap_bytes(take)
 
 
-def _build_ahead() -> tuple[parts.Parts, bytes]:
+def _build_ahead() -> tuple[components.Components, bytes]:
     """Return parts at version 2, and the change that leads there."""
     built = _build_parts()
     first = _snapshot(TARGET)
@@ -183,11 +189,11 @@
     return built, payload
 
 
-def _build_parts() -> parts.Parts:
+def _build_parts() -> components.Components:
     """Return all parts of an entry process, with a zone's division."""
-    built = parts.build(
+    built = components.build(
         cfg=slopes_samples.entry_settings(),
-        outside=parts.Outside(
+        dependencies=components.Dependencies(
             clock=slopes_samples.system_clock(),
             rng=random.Random(1),
             platform=slopes_samples.MemoryPlatform(
@@ -195,12 +201,12 @@
             ),
         ),
     )
-    built.slots.set_divisions((_division(),))
+    built.slots.set_limit_divisions((_division(),))
     return built
 
 
-def _division() -> slots.Division:
-    return views.Division(
+def _division() -> slots.LimitDivision:
+    return views.LimitDivision(
         vm=ids.VmId('entry-00000'),
         zone=ids.ZoneId(slopes_samples.ZONE),
         zone_slots={ids.ZoneId(f'zone-{zone}'): 6000 for zone in range(13)},
--- a/sardineproxy/bench/slopes_loan.py
+++ b/sardineproxy/bench/slopes_loan.py
@@ -51,11 +51,11 @@
 
     def lend_once(self) -> int:
         """Lend all slots and give them back; return the bytes sent."""
-        self.now += 2 * self._cfg.probe_s
+        self.now += 2 * self._cfg.probe_interval_s
         self._borrower.report(_demand(self._wanted), self.now)
-        asked = self._borrower.ask(self._list_lenders, self.now)
+        asked = self._borrower.request_slots(self._list_lenders, self.now)
         granted = self._deliver(self._lender, _BORROWER, asked)
-        self._borrower.heard(_LENDER, self.now)
+        self._borrower.renew_lease(_LENDER, self.now)
         self._deliver(self._borrower, _LENDER, granted)
         self.now += self._cfg.idle_return_s
         self._borrower.report(_demand(0), self.now)
@@ -66,17 +66,21 @@
         return sum(len(frames.encode(one).unwrap()) for one in frames_sent)
 
     def _deliver(
-        self, to: loans.Loans, sender: ids.VmId, sent: borrowing.Outgoing
-    ) -> borrowing.Outgoing:
-        replies: borrowing.Outgoing = []
+        self, to: loans.Loans, sender: ids.VmId, sent: borrowing.OutgoingFrames
+    ) -> borrowing.OutgoingFrames:
+        replies: borrowing.OutgoingFrames = []
         for _, frame in sent:
             body = frames.encode(frame).unwrap()[4:]
             received = frames.decode(body).unwrap().frame
-            replies.extend(to.received(sender, received, self.now))
+            replies.extend(to.handle_frame(sender, received, self.now))
         return replies
 
-    def _list_lenders(self) -> list[borrowing.Lender]:
-        return [borrowing.Lender(vm=_LENDER, near=True, free=self._wanted)]
+    def _list_lenders(self) -> list[borrowing.LenderPeer]:
+        return [
+            borrowing.LenderPeer(
+                vm=_LENDER, is_same_zone=True, free_slots=self._wanted
+            )
+        ]
 
 
 def _time_loan(lots: int) -> float:
--- a/sardineproxy/platform/roster.py
+++ b/sardineproxy/platform/roster.py
@@ -8,7 +8,7 @@
 from sardineproxy import ids
 from sardineproxy.platform import fields
 from sardineproxy.process import store
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
 #: Table in which workers register themselves, one row each under its id.
@@ -50,14 +50,14 @@
         zone=ids.ZoneId(fields.text(document, 'zone')),
         state=_STATES[fields.text(document, 'state')],
         born_ms=fields.whole(document, 'born', 0),
-        capacity=shape(fields.table(document, 'capacity')),
+        capacity=resources(fields.table(document, 'capacity')),
         labels=tuple(label for label in labels if isinstance(label, str)),
     )
 
 
-def shape(document: Mapping[str, Any]) -> jobs.Shape:
+def resources(document: Mapping[str, Any]) -> jobs.Resources:
     """Decode resources; ``cpu`` is in thousandths of a core."""
-    return jobs.Shape(
+    return jobs.Resources(
         millicores=fields.whole(document, 'cpu', 0),
         memory_mb=fields.whole(document, 'mem_mb', 0),
         gpus=fields.whole(document, 'gpu', 0),
--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -30,12 +30,12 @@
 
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Parse the command line; the error is one sentence."""
-    values = _define()
-    asked = command_line.read(values, argv, USAGE)
-    if isinstance(asked, result.Err):
-        return asked
-    if asked.ok_value is not None:
-        return result.Ok(asked.ok_value)
+    values = _define_flags()
+    help_requested = command_line.read(values, argv, USAGE)
+    if isinstance(help_requested, result.Err):
+        return help_requested
+    if help_requested.ok_value is not None:
+        return result.Ok(help_requested.ok_value)
     if not values.settings:
         return result.Err('--settings FILE is required; see --help.')
     return result.Ok(
@@ -46,7 +46,7 @@
     )
 
 
-def _define() -> flags.FlagValues:
+def _define_flags() -> flags.FlagValues:
     values = command_line.new_flags()
     flags.DEFINE_string(
         'settings',
--- a/sardineproxy/process/dispatch_timing.py
+++ b/sardineproxy/process/dispatch_timing.py
@@ -12,7 +12,7 @@
 TIMER_SLACK_S = 0.0005
 
 
-class Alarm:
+class EarliestTimer:
     """One timer that fires at the earliest time set since it last fired."""
 
     def __init__(self, action: Callable[[], None]) -> None:
@@ -45,7 +45,7 @@
         self._action()
 
 
-class Backlog:
+class DemandStream:
     """Stream of demands, at most one for each interval and loop turn."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self._measure = measure
         self._interval_s = interval_s
         self._stream: subject.Subject[demand.Demand] = subject.Subject()
-        self._is_due = False
+        self._is_scheduled = False
         self._not_before = float('-inf')
 
     @property
@@ -63,11 +63,11 @@
         """Return the stream."""
         return self._stream
 
-    def notice(self) -> None:
+    def schedule(self) -> None:
         """Emit a demand soon, because tasks wait and no slot is free."""
-        if self._is_due or not self._stream.observers:
+        if self._is_scheduled or not self._stream.observers:
             return
-        self._is_due = True
+        self._is_scheduled = True
         loop = asyncio.get_running_loop()
         pause_s = self._not_before - loop.time()
         if pause_s > 0:
@@ -80,7 +80,7 @@
         self._stream.on_completed()
 
     def _emit(self) -> None:
-        self._is_due = False
+        self._is_scheduled = False
         self._not_before = asyncio.get_running_loop().time() + self._interval_s
         current = self._measure()
         if any(customer.waiting for customer in current.customers):
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -39,7 +39,7 @@
     )
 
     #: Customers that could use no free slot are tried again after this time.
-    held_s: float = 0.05
+    blocked_retry_s: float = 0.05
 
     #: Least time between two demands on the backlog stream, in seconds.
     backlog_interval_s: float = 0.001
@@ -51,7 +51,7 @@
     refusals_before_pause: int = 3
 
     #: Mean of that pause, in seconds.
-    pause_s: float = 0.2
+    refusal_pause_s: float = 0.2
 
 
 class Dispatcher:
@@ -63,7 +63,7 @@
         clock: clock.Clock,
         rng: random.Random,
         zone: ids.ZoneId,
-        directory: directory.Directory,
+        directory: directory.VmDirectory,
         slot_table: slots.SlotTable,
         client: endpoint_conn.EndpointClient,
         health: health.Health,
@@ -85,13 +85,13 @@
             zone=zone,
             health=health,
         )
-        self._alarm = dispatch_timing.Alarm(self._on_alarm)
+        self._timer = dispatch_timing.EarliestTimer(self._on_timer)
         self._next_housekeeping = -math.inf
-        self._backlog = dispatch_timing.Backlog(
+        self._backlog = dispatch_timing.DemandStream(
             measure=self.demand, interval_s=self._cfg.backlog_interval_s
         )
         self._closed = False
-        self._subscription = directory.listing.subscribe(self._take_listing)
+        self._subscription = directory.listing.subscribe(self._on_listing)
 
     @property
     def backlog(self) -> reactivex.Observable[demand.Demand]:
@@ -113,11 +113,11 @@
             return work.Refused(problem=_shutting_down())
         if now >= task.deadline:
             return work.Refused(problem=endpoint_conn.deadline_passed())
-        entry = self._queue.admit(task, exclude=exclude)
+        entry = self._queue.register(task, exclude=exclude)
         placement = self._matcher.place_new(entry, now=now)
         if placement is None:
             self._prepare_wait(entry, now)
-            self._queue.wait(entry)
+            self._queue.enqueue(entry)
         outcome: work.Outcome | None = None
         while outcome is None:
             if placement is None:
@@ -163,7 +163,7 @@
         if self._queue.waiting:
             now = self._clock.now()
             self._matcher.match_all(now=now)
-            self._note_backlog(now)
+            self._report_backlog(now)
 
     def close(self) -> None:
         """Refuse all waiting tasks and stop the timers."""
@@ -171,7 +171,7 @@
         self._subscription.dispose()
         for entry in self._queue.expire(now=math.inf):
             self._refuse(entry, _shutting_down())
-        self._alarm.close()
+        self._timer.close()
         self._backlog.close()
 
     def state(self, *, now: float) -> dict[str, object]:
@@ -187,7 +187,7 @@
                 }
                 for flow in self._queue.flows.values()
             },
-            'held_customers': sorted(self._matcher.held),
+            'held_customers': sorted(self._matcher.blocked),
             'longest_run_s': max(
                 (now - placement.started for placement in running),
                 default=0,
@@ -195,30 +195,32 @@
             'endpoints': self._health.state(now=now),
         }
 
-    def _take_listing(self, vm_list: platform.VmList) -> None:
+    def _on_listing(self, vm_list: platform.VmList) -> None:
         self._matcher.router.set_listing(vm_list)
         self.wake()
 
-    def _prepare_wait(self, entry: flows.Entry, now: float) -> None:
+    def _prepare_wait(self, entry: flows.QueueEntry, now: float) -> None:
         entry.waiter = asyncio.get_running_loop().create_future()
-        self._alarm.set(
+        self._timer.set(
             min(entry.task.deadline, now + self._cfg.housekeeping_s), now=now
         )
 
     async def _wait(
-        self, entry: flows.Entry
+        self, entry: flows.QueueEntry
     ) -> matching.Placement | work.Refused:
         waiter = entry.waiter
         assert waiter is not None, 'only prepared tasks wait'
-        self._backlog.notice()
+        self._backlog.schedule()
         try:
             return await waiter
         except asyncio.CancelledError:
-            if entry.state is flows.State.WAITING:
-                self._queue.end(entry)
+            if entry.state is flows.EntryState.WAITING:
+                self._queue.remove(entry)
             placement = self._matcher.running.get(entry.number)
             if placement is not None:
-                self._settle(placement, work.Refused(problem=_cancelled()))
+                self._finish_attempt(
+                    placement, work.Refused(problem=_cancelled())
+                )
             raise
 
     async def _attempt(
@@ -235,16 +237,16 @@
                     task=entry.task, vm=placement.vm
                 )
         finally:
-            self._settle(placement, outcome)
+            self._finish_attempt(placement, outcome)
         if entry.state in _PENDING:
             return None
         if _is_unreachable(outcome):
             return work.Refused(
-                problem=_why_not_again(entry, closed=self._closed)
+                problem=_final_refusal(entry, closed=self._closed)
             )
         return outcome
 
-    def _settle(
+    def _finish_attempt(
         self, placement: matching.Placement, outcome: work.Outcome | None
     ) -> None:
         """Account for an ended attempt and start the next task."""
@@ -252,7 +254,7 @@
         now = self._clock.now()
         run_s = now - placement.started
         in_service = len(self._health.ranks)
-        self._matcher.router.learn(
+        self._matcher.router.record_outcome(
             entry.task,
             placement.ticket.endpoint,
             outcome,
@@ -260,58 +262,64 @@
             now=now,
         )
         if isinstance(outcome, work.Refused):
-            self._queue.give_back(entry)
+            self._queue.undo_start(entry)
             may_start = not (self._closed or entry.cancelled)
             if (
                 may_start
                 and _is_unreachable(outcome)
                 and now < entry.task.deadline
             ):
-                self._put_back(entry, placement.ticket.endpoint, now)
+                self._requeue(entry, placement.ticket.endpoint, now)
             else:
-                self._queue.end(entry)
+                self._queue.remove(entry)
         else:
             self._queue.finish(entry, run_s=run_s)
         self._matcher.release(placement, now=now)
         if len(self._health.ranks) > in_service:
             self.wake()
         elif self._queue.waiting:
-            self._note_backlog(now)
+            self._report_backlog(now)
 
-    def _put_back(
-        self, entry: flows.Entry, endpoint: ids.EndpointId, now: float
+    def _requeue(
+        self, entry: flows.QueueEntry, endpoint: ids.EndpointId, now: float
     ) -> None:
         """Put a task of which nothing was sent at the front again."""
         self._metrics.count('dispatch_put_back_total')
         self._prepare_wait(entry, now)
-        entry.refusals += 1
-        if entry.refusals % self._cfg.refusals_before_pause:
-            entry.refused |= {endpoint}
-            self._queue.wait(entry, first=True)
+        entry.unreached_attempts += 1
+        if entry.unreached_attempts % self._cfg.refusals_before_pause:
+            entry.unreachable |= {endpoint}
+            self._queue.enqueue(entry, first=True)
             return
         # Most endpoints are unreachable; trying the rest at once is a storm.
-        entry.refused = NOTHING_EXCLUDED
-        self._queue.rest(entry)
-        pause_s = self._cfg.pause_s * self._rng.uniform(0.5, 1.5)
-        asyncio.get_running_loop().call_later(pause_s, self._resume, entry)
-
-    def _resume(self, entry: flows.Entry) -> None:
-        if entry.state is flows.State.WAITING:
-            self._queue.wait(entry, first=True)
+        entry.unreachable = NOTHING_EXCLUDED
+        self._queue.pause(entry)
+        refusal_pause_s = self._cfg.refusal_pause_s * self._rng.uniform(
+            0.5, 1.5
+        )
+        asyncio.get_running_loop().call_later(
+            refusal_pause_s, self._resume, entry
+        )
+
+    def _resume(self, entry: flows.QueueEntry) -> None:
+        if entry.state is flows.EntryState.WAITING:
+            self._queue.enqueue(entry, first=True)
             self.wake()
 
-    def _refuse(self, entry: flows.Entry, problem: problems.Problem) -> None:
+    def _refuse(
+        self, entry: flows.QueueEntry, problem: problems.Problem
+    ) -> None:
         self._metrics.count('dispatch_refused_total', code=problem.code)
         if entry.waiter is not None and not entry.waiter.done():
             entry.waiter.set_result(work.Refused(problem=problem))
 
-    def _note_backlog(self, now: float) -> None:
+    def _report_backlog(self, now: float) -> None:
         """Ask for slots, and see to customers that were passed over."""
-        self._backlog.notice()
-        if self._matcher.held:
-            self._alarm.set(now + self._cfg.held_s, now=now)
+        self._backlog.schedule()
+        if self._matcher.blocked:
+            self._timer.set(now + self._cfg.blocked_retry_s, now=now)
 
-    def _on_alarm(self) -> None:
+    def _on_timer(self) -> None:
         """Act on deadlines, ended ejections, held customers, stragglers."""
         now = self._clock.now()
         for entry in self._queue.expire(now=now):
@@ -319,21 +327,21 @@
         if now >= self._next_housekeeping:
             self._next_housekeeping = now + self._cfg.housekeeping_s
             self._matcher.report_stragglers(now=now)
-            self._health.forget_unused(now=now)
+            self._health.decay_unused(now=now)
         self.wake()
         if not self._queue.waiting and not self._matcher.running:
             return
         for due in (
             self._next_housekeeping,
             self._queue.next_deadline(),
-            self._health.next_return(now=now),
+            self._health.next_probe_at(now=now),
         ):
             if due is not None:
-                self._alarm.set(due, now=now)
+                self._timer.set(due, now=now)
 
 
 #: States of a task whose attempt ended and that waits for another slot.
-_PENDING = frozenset((flows.State.WAITING, flows.State.STARTED))
+_PENDING = frozenset((flows.EntryState.WAITING, flows.EntryState.STARTED))
 
 
 def _is_unreachable(outcome: work.Outcome | None) -> bool:
@@ -342,7 +350,9 @@
     return outcome.problem.code == endpoint_conn.UNREACHABLE
 
 
-def _why_not_again(entry: flows.Entry, *, closed: bool) -> problems.Problem:
+def _final_refusal(
+    entry: flows.QueueEntry, *, closed: bool
+) -> problems.Problem:
     """Tell why an unreachable endpoint was the last one tried."""
     if entry.cancelled:
         return _cancelled()
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -21,7 +21,7 @@
     ) -> tuple[ids.EndpointId, ...]:
         """Return endpoints with a free slot that ``customer`` may use."""
 
-    def take(
+    def acquire(
         self,
         *,
         endpoint: ids.EndpointId,
@@ -38,7 +38,7 @@
 class Placement:
     """A started task and its slot."""
 
-    entry: flows.Entry
+    entry: flows.QueueEntry
     ticket: slots.Ticket
     vm: platform.Vm
 
@@ -70,9 +70,11 @@
         self.running: dict[int, Placement] = {}
 
         #: Flows that could use no free slot while others could.
-        self.held: dict[ids.CustomerId, flows.Flow] = {}
+        self.blocked: dict[ids.CustomerId, flows.Flow] = {}
 
-    def place_new(self, entry: flows.Entry, *, now: float) -> Placement | None:
+    def place_new(
+        self, entry: flows.QueueEntry, *, now: float
+    ) -> Placement | None:
         """Start a new task at once if a free slot fits it.
 
         The waiting tasks of its customer fit no free slot, nor do those of
@@ -90,32 +92,32 @@
         if not self._queue.waiting:
             return
         flow = placement.entry.flow
-        was_held = self.held.pop(flow.customer, None) is not None
-        if was_held:
-            self._queue.offer(flow)
+        was_blocked = self.blocked.pop(flow.customer, None) is not None
+        if was_blocked:
+            self._queue.schedule(flow)
         started = self._match_one(now)
-        if started is None and self.held:
-            self._unhold_all()
+        if started is None and self.blocked:
+            self._unblock_all()
             started = self._match_one(now)
         # A limit of its own held the customer back, maybe from other slots
         # than the one that was released.
-        if was_held and started is not flow and flow.is_backlogged:
+        if was_blocked and started is not flow and flow.is_backlogged:
             if self._start_next(flow, now):
-                self._queue.offer(flow)
+                self._queue.schedule(flow)
 
     def match_all(self, *, now: float) -> None:
         """Start all tasks that fit a free slot."""
-        self._unhold_all()
+        self._unblock_all()
         misfits = []
         flow = self._queue.pop_flow()
         while flow is not None:
             if self._start_next(flow, now):
-                self._queue.offer(flow)
+                self._queue.schedule(flow)
             else:
                 misfits.append(flow)
             flow = self._queue.pop_flow()
         for misfit in misfits:
-            self._queue.offer(misfit)
+            self._queue.schedule(misfit)
 
     def report_stragglers(self, *, now: float) -> None:
         """Tell the health estimates which tasks run for too long."""
@@ -145,11 +147,11 @@
             flow = self._queue.pop_flow()
         for misfit in misfits:
             if flow is None:
-                self._queue.offer(misfit)
+                self._queue.schedule(misfit)
             else:
-                self.held[misfit.customer] = misfit
+                self.blocked[misfit.customer] = misfit
         if flow is not None:
-            self._queue.offer(flow)
+            self._queue.schedule(flow)
         return flow
 
     def _start_next(self, flow: flows.Flow, now: float) -> bool:
@@ -162,26 +164,26 @@
                 return True
         return False
 
-    def _candidates(self, flow: flows.Flow) -> tuple[flows.Entry, ...]:
+    def _candidates(self, flow: flows.Flow) -> tuple[flows.QueueEntry, ...]:
         """Return the tasks to try, without those that nobody waits for."""
         entries = self._queue.candidates(flow)
-        gone = [each for each in entries if _is_gone(each)]
-        while gone:
-            for entry in gone:
-                self._queue.end(entry)
+        abandoned = [each for each in entries if _is_abandoned(each)]
+        while abandoned:
+            for entry in abandoned:
+                self._queue.remove(entry)
             entries = self._queue.candidates(flow)
-            gone = [each for each in entries if _is_gone(each)]
+            abandoned = [each for each in entries if _is_abandoned(each)]
         return entries
 
-    def _place(self, entry: flows.Entry, now: float) -> Placement | None:
+    def _place(self, entry: flows.QueueEntry, now: float) -> Placement | None:
         """Take the best free slot for a task and start it."""
         customer = entry.task.customer
         free = self._slots.free_endpoints(customer=customer, now=now)
         while free:
-            endpoint = self.router.choose(entry, free, now=now)
+            endpoint = self.router.choose_endpoint(entry, free, now=now)
             if endpoint is None:
                 return None
-            ticket = self._slots.take(
+            ticket = self._slots.acquire(
                 endpoint=endpoint, customer=customer, now=now
             )
             if ticket is not None:
@@ -190,24 +192,24 @@
         return None
 
     def _start(
-        self, entry: flows.Entry, ticket: slots.Ticket, now: float
+        self, entry: flows.QueueEntry, ticket: slots.Ticket, now: float
     ) -> Placement:
         self._queue.start(entry)
         self._health.record_start(ticket.endpoint, now=now)
         placement = Placement(
             entry=entry,
             ticket=ticket,
-            vm=self.router.vm(ticket.endpoint),
+            vm=self.router.listed_vm(ticket.endpoint),
             started=now,
         )
         self.running[entry.number] = placement
         return placement
 
-    def _unhold_all(self) -> None:
-        for flow in self.held.values():
-            self._queue.offer(flow)
-        self.held.clear()
+    def _unblock_all(self) -> None:
+        for flow in self.blocked.values():
+            self._queue.schedule(flow)
+        self.blocked.clear()
 
 
-def _is_gone(entry: flows.Entry) -> bool:
+def _is_abandoned(entry: flows.QueueEntry) -> bool:
     return entry.waiter is None or entry.waiter.done()
--- a/sardineproxy/process/node/environment.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -6,14 +6,19 @@
 
 from sardineproxy import clock, ids
 from sardineproxy.process import metrics, store
-from sardineproxy.process.cells import workers
-from sardineproxy.process.keeping import execution, guarded_rows, keeper, table
+from sardineproxy.process.shards import workers
+from sardineproxy.process.stored_jobs import (
+    execution,
+    fenced_rows,
+    job_manager,
+    job_table,
+)
 from sardineproxy.process.membership import worker_list
 from sardineproxy.version import in_force
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Formats:
+class RowFormats:
     """Decoders of the platform's rows."""
 
     configuration_table: str
@@ -21,41 +26,41 @@
     roster_table: str
     decode_configuration: in_force.Decode
     worker_id: Callable[[store.Row], ids.WorkerId]
-    decode_worker: worker_list.Decode
+    decode_worker: worker_list.DecodeWorker
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Outside:
+class Dependencies:
     """What the outside world provides, replaced by tests."""
 
     clock: clock.Clock
     rng: random.Random
     store: store.Store
     workers: workers.WorkerApi
-    formats: Formats
-    registry: metrics.Metrics
+    formats: RowFormats
+    metrics: metrics.Metrics
 
 
-def new_keeper(
-    outside: Outside,
+def new_job_manager(
+    dependencies: Dependencies,
     *,
-    cell: ids.CellId,
-    guard: guarded_rows.Guard,
+    shard: ids.ShardId,
+    writer: fenced_rows.Writer,
     router: execution.Router,
     states_s: float,
-) -> keeper.Keeper:
+) -> job_manager.JobManager:
     """Return the keeper of a cell that this process owns from now on."""
-    return keeper.Keeper(
-        rows=table.JobTable(
-            cell=cell,
-            guard=guard,
-            store=outside.store,
-            clock=outside.clock,
-            rng=outside.rng,
-            metrics=outside.registry,
+    return job_manager.JobManager(
+        rows=job_table.JobTable(
+            shard=shard,
+            writer=writer,
+            store=dependencies.store,
+            clock=dependencies.clock,
+            rng=dependencies.rng,
+            metrics=dependencies.metrics,
         ),
         router=router,
-        clock=outside.clock,
-        metrics=outside.registry,
+        clock=dependencies.clock,
+        metrics=dependencies.metrics,
         states_s=states_s,
     )
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -8,7 +8,11 @@
 
 from sardineproxy import clock, logs
 from sardineproxy.process import metrics, store
-from sardineproxy.process.membership import following, registry, worker_list
+from sardineproxy.process.membership import (
+    table_follower,
+    registry,
+    worker_list,
+)
 
 #: Longest wait for a change of the configuration, as a part of the time in
 #: which it must be in force even if one answer is lost.
@@ -19,11 +23,11 @@
 
 #: The list of workers changes with each of their beats, so that it is asked
 #: for at intervals; a leaving worker must get no orders after 2 s.
-OWNER_ROSTER_PACE = following.Pace(wait_s=0, pause_s=0.8)
-HEIR_ROSTER_PACE = following.Pace(wait_s=0, pause_s=1.5)
+LEADER_ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=0.8)
+SUCCESSOR_ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=1.5)
 
 #: Pace of VMs that will not own a cell soon.
-ROSTER_PACE = following.Pace(wait_s=0, pause_s=15)
+ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=15)
 
 #: Shortest and longest pause before a registration is tried again, in seconds.
 REGISTER_RETRY_MIN_S = 0.3
@@ -32,19 +36,19 @@
 _LOG = logs.get_logger('node')
 
 
-class Reader(Protocol):
+class RowHandler(Protocol):
     """Uses what the feeds bring."""
 
-    def take_configuration(self, rows: tuple[store.Row, ...]) -> None:
+    def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed rows of the operator's table."""
 
-    def take_directory(self, rows: tuple[store.Row, ...]) -> None:
+    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed members and claims."""
 
-    def take_roster(self, rows: tuple[store.Row, ...]) -> None:
+    def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
 
-    def roster_pace(self) -> following.Pace:
+    def roster_timing(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
 
 
@@ -58,7 +62,7 @@
         configuration_s: float,
         roster_table: str,
         source: store.Store,
-        reader: Reader,
+        handler: RowHandler,
         clock: clock.Clock,
         rng: random.Random,
         metrics: metrics.Metrics,
@@ -73,23 +77,27 @@
         tables = (
             (
                 configuration_table,
-                reader.take_configuration,
+                handler.configuration_changed,
                 _steady(CONFIG_WAIT_SHARE * configuration_s),
             ),
-            (registry.TABLE, reader.take_directory, _steady(DIRECTORY_WAIT_S)),
-            (roster_table, reader.take_roster, reader.roster_pace),
+            (
+                registry.TABLE,
+                handler.directory_changed,
+                _steady(DIRECTORY_WAIT_S),
+            ),
+            (roster_table, handler.roster_changed, handler.roster_timing),
         )
         followers = [
-            following.TableFollower(
+            table_follower.TableFollower(
                 table=table,
                 source=source,
-                pace=pace,
+                timing=timing,
                 clock=clock,
                 rng=rng,
                 metrics=metrics,
                 on_rows=on_rows,
             )
-            for table, on_rows, pace in tables
+            for table, on_rows, timing in tables
         ]
         self.configuration = followers[0]
         self.directory = followers[1]
@@ -106,11 +114,11 @@
             self._register(member),
         ]
 
-    def knows_configuration_source(self) -> bool:
+    def is_configuration_available(self) -> bool:
         """Tell whether the store answers about the configuration."""
-        return self.configuration.sound_since is not None
+        return self.configuration.healthy_since is not None
 
-    def knows_all_workers(self) -> bool:
+    def is_worker_list_complete(self) -> bool:
         """Tell whether no worker can be missing from the list."""
         return worker_list.is_complete(self.roster, self._clock.now())
 
@@ -118,7 +126,7 @@
         """Return the local time of the list of workers, in seconds."""
         return self.roster.answered_at or 0
 
-    def heard_at(self) -> float:
+    def last_answer_at(self) -> float:
         """Return the local time of the store's last answer, in seconds."""
         return max(
             each.answered_at or 0
@@ -127,7 +135,7 @@
 
     def list_answers(self) -> bool:
         """Tell whether the store answers about the list of workers."""
-        return self.roster.sound_since is not None
+        return self.roster.healthy_since is not None
 
     async def _register(self, member: registry.Member) -> None:
         """Write this process's member row; repeat until it is there."""
@@ -146,7 +154,7 @@
             )
 
 
-def _steady(wait_s: float) -> Callable[[], following.Pace]:
+def _steady(wait_s: float) -> Callable[[], table_follower.PollTiming]:
     """Return a pace that does not change."""
-    pace = following.Pace(wait_s=wait_s, pause_s=0)
-    return lambda: pace
+    timing = table_follower.PollTiming(wait_s=wait_s, pause_s=0)
+    return lambda: timing
--- a/sardineproxy/process/node/intake.py
+++ b/sardineproxy/process/node/intake.py
@@ -2,8 +2,8 @@
 
 from sardineproxy import clock, ids, logs
 from sardineproxy.process import metrics
-from sardineproxy.process.keeping import homes, keeper, records
-from sardineproxy.request import board, coordinator, jobs, open_tasks
+from sardineproxy.process.stored_jobs import job_service, job_manager, records
+from sardineproxy.request import active_jobs, coordinator, jobs, open_tasks
 from sardineproxy.version import in_force, routes
 
 #: When to come back after a refusal by a process that ends, in seconds; other
@@ -19,15 +19,15 @@
     def __init__(
         self,
         *,
-        homes: homes.Homes,
-        board: board.Board,
+        job_service: job_service.JobService,
+        board: active_jobs.ActiveJobs,
         router: open_tasks.Router,
         versions: in_force.InForce,
         clock: clock.Clock,
         metrics: metrics.Metrics,
     ) -> None:
         """Run jobs on ``board``."""
-        self._homes = homes
+        self._job_service = job_service
         self._board = board
         self._router = router
         self._versions = versions
@@ -67,10 +67,10 @@
 
     async def keep(
         self, job: jobs.Job, route: routes.Route, wait_s: float
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
         now = self._clock.now()
-        answer = await self._homes.keep(
+        answer = await self._job_service.store(
             records.StoredJob(
                 job=job, route=route, accepted_at=self._clock.wall()
             ),
@@ -81,10 +81,10 @@
 
     async def ask(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
-    ) -> keeper.KeeperAnswer:
+    ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
         now = self._clock.now()
-        answer = await self._homes.ask(job, wait_s, cancel=cancel)
+        answer = await self._job_service.query(job, wait_s, cancel=cancel)
         text = 'Job cancelled.' if cancel else 'State asked.'
         self._note_question(text, job, answer, now)
         return answer
@@ -93,7 +93,7 @@
         self,
         text: str,
         job: ids.JobId,
-        answer: keeper.KeeperAnswer,
+        answer: job_manager.JobReply,
         asked_at: float,
     ) -> None:
         self._metrics.count(
@@ -104,7 +104,7 @@
             extra={
                 'job': job,
                 'answer': answer.value,
-                'home': self._homes.home_of(job),
+                'home': self._job_service.home_shard(job),
                 'version': self._versions.number,
                 'took_s': round(self._clock.now() - asked_at, 4),
             },
@@ -116,7 +116,7 @@
         """Refuse a job that would not be answered before the process ends."""
         if self.ends_at is None:
             return None
-        if now + route.bound_s(job.expected_s) <= self.ends_at:
+        if now + route.bound_s(job.total_estimate_s) <= self.ends_at:
             return None
         return jobs.NotRun(
             detail='process ends before the job would',
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -7,21 +7,25 @@
 from sardineproxy import background, deployment, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import store
-from sardineproxy.process.cells import fences, rooms, workers
-from sardineproxy.process.keeping import guarded_rows, homes, keeper
+from sardineproxy.process.shards import fences, rooms, workers
+from sardineproxy.process.stored_jobs import (
+    fenced_rows,
+    job_service,
+    job_manager,
+)
 from sardineproxy.process.membership import (
-    following,
-    keepers,
+    table_follower,
+    loaded_shards,
     links,
-    owners,
+    leaders,
     registry,
     worker_list,
 )
 from sardineproxy.process.node import (
     claiming,
-    environment,
+    dependencies,
     feeds,
-    holdings,
+    led_shards,
     intake,
     local_link,
     peering,
@@ -29,13 +33,13 @@
     sharing,
     state_dump,
 )
-from sardineproxy.request import board, open_tasks
+from sardineproxy.request import active_jobs, open_tasks
 from sardineproxy.version import in_force, routes
 
 #: Time between two rounds of what is due, in seconds: half a beat, and less
 #: for owners of cells, whose queues move on with time.
 TICK_S = 0.05
-OWNER_TICK_S = 0.025
+LEADER_TICK_S = 0.025
 
 #: A gap between two rounds that shows that the process stood still, in
 #: seconds. Links are given up after a silence of 0.4 s.
@@ -58,40 +62,40 @@
         *,
         cfg: deployment.Deployment,
         rules: policy.Policy,
-        outside: environment.Outside,
+        dependencies: dependencies.Dependencies,
     ) -> None:
         """Prepare the process; ``start`` opens its listener for links."""
         self.cfg = cfg
-        self._clock = outside.clock
+        self._clock = dependencies.clock
         self._tasks = background.Tasks()
-        self._formats = outside.formats
-        self.metrics = outside.registry
+        self._formats = dependencies.formats
+        self.metrics = dependencies.metrics
         self.me = messages.Greeting(
             vm=cfg.vm,
             incarnation=ids.Incarnation(secrets.token_hex(INCARNATION_BYTES)),
             zone=cfg.zone,
         )
         self.versions = in_force.InForce(
-            decode=outside.formats.decode_configuration
+            decode=dependencies.formats.decode_configuration
         )
-        self.board = board.Board()
+        self.board = active_jobs.ActiveJobs()
         self.directory = registry.Registry()
         self._sharing = sharing.Sharing(
             versions=self.versions,
             directory=self.directory,
             on_directory=self._call_others,
         )
-        self.owners = owners.Owners(me=cfg.vm)
+        self.leaders = leaders.Leaders(me=cfg.vm)
         self.workers = worker_list.WorkerList(
-            worker_id=outside.formats.worker_id,
-            decode=outside.formats.decode_worker,
+            worker_id=dependencies.formats.worker_id,
+            decode=dependencies.formats.decode_worker,
         )
         self.links = links.Links(
             clock=self._clock,
-            rng=outside.rng,
+            rng=dependencies.rng,
             me=self.me,
             events=self,
-            rhythm=self._rhythm,
+            heartbeat_timing=self._heartbeat_timing,
         )
         self._local = local_link.LocalLink(me=self.me, receiver=self)
         self.member = registry.Member(
@@ -101,40 +105,42 @@
             address=cfg.peers,
             cores=cfg.cores,
         )
-        self._outside = outside
-        self.homes = homes.Homes(around=self, clock=self._clock)
+        self._dependencies = dependencies
+        self.job_service = job_service.JobService(
+            directory=self, clock=self._clock
+        )
         self._claims = claiming.Claiming(
-            store=outside.store,
+            store=dependencies.store,
             directory=self.directory,
             me=self.member,
-            on_right=self._won,
+            on_right=self._lead,
         )
-        self.holdings = holdings.Holdings(
-            tools=holdings.Tools(
-                api=outside.workers,
+        self.led_shards = led_shards.LedShards(
+            dependencies=led_shards.ShardDependencies(
+                api=dependencies.workers,
                 clock=self._clock,
                 metrics=self.metrics,
                 cfg=rules.cell,
-                new_keeper=self._new_keeper,
+                new_job_manager=self._new_job_manager,
             ),
             claims=self._claims,
             links=self.links,
             around=self,
-            homes=self.homes,
+            job_service=self.job_service,
             tasks=self._tasks,
         )
         self._feeds = feeds.Feeds(
-            configuration_table=outside.formats.configuration_table,
+            configuration_table=dependencies.formats.configuration_table,
             configuration_s=cfg.bounds.version_s,
-            roster_table=outside.formats.roster_table,
-            source=outside.store,
-            reader=self,
+            roster_table=dependencies.formats.roster_table,
+            source=dependencies.store,
+            handler=self,
             clock=self._clock,
-            rng=outside.rng,
+            rng=dependencies.rng,
             metrics=self.metrics,
         )
         self.intake = intake.Intake(
-            homes=self.homes,
+            job_service=self.job_service,
             board=self.board,
             router=self,
             versions=self.versions,
@@ -161,14 +167,14 @@
     async def close(self) -> None:
         """Stop everything."""
         await self._tasks.close()
-        await self.homes.close()
-        await self.holdings.close()
+        await self.job_service.close()
+        await self.led_shards.close()
         await self.links.close()
 
     def drain(self, *, ends_at: float) -> None:
         """Ask other VMs to take the cells; this process ends at ``ends_at``."""
         self.intake.ends_at = ends_at
-        self.holdings.hand_over()
+        self.led_shards.hand_over()
 
     @property
     def draining(self) -> bool:
@@ -182,7 +188,7 @@
         return (
             not self.draining
             and self.versions.table is not None
-            and self.home() is not None
+            and self.default_shard() is not None
         )
 
     def is_recovering(self) -> bool:
@@ -191,23 +197,23 @@
         self._check_stall(now)
         return now < self._refuse_until
 
-    def home(self) -> ids.CellId | None:
+    def default_shard(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs."""
-        if self.home_cell in self.owners.by_cell:
-            return self.home_cell
+        if self.home_shard in self.leaders.by_shard:
+            return self.home_shard
         free = self.rooms.free(self._clock.now())
         return min(
-            self.owners.by_cell,
+            self.leaders.by_shard,
             key=lambda other: (-free.get(other, 0), other),
             default=None,
         )
 
-    def owner(self, cell: ids.CellId) -> link.Link | None:
+    def leader(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
-        vm = self.owner_of(cell)
+        vm = self.leader_of(shard)
         if vm is None:
             return None
-        return self._local if vm == self.cfg.vm else self.links.to(vm)
+        return self._local if vm == self.cfg.vm else self.links.get(vm)
 
     # Links.
 
@@ -218,63 +224,63 @@
 
     def closed(self, closed: link.Link) -> None:
         """Forget what the link told."""
-        self.holdings.link_lost(closed, self._clock.now())
-        self.homes.closed(closed)
-        if self.links.to(closed.peer.vm) is None:
-            self.owners.forget(closed.peer.vm)
-        self._choose_owners()
-        for cell in self.all_cells:
-            self._tell_lost(cell, closed)
+        self.led_shards.link_lost(closed, self._clock.now())
+        self.job_service.closed(closed)
+        if self.links.get(closed.peer.vm) is None:
+            self.leaders.forget(closed.peer.vm)
+        self._choose_leaders()
+        for shard in self.all_shards:
+            self._tell_lost(shard, closed)
 
     def received(self, source: link.Link, message: messages.Message) -> None:
         """Act on a message."""
-        if self.homes.received(source, message):
+        if self.job_service.handle_message(source, message):
             return
         match message:
             case messages.EndsNoted():
-                self.holdings.note_ends(message)
+                self.led_shards.note_ends(message)
             case messages.Submit():
-                self.holdings.submit(source, message, self._clock.now())
-            case messages.Withdraw(cell=cell, job=job):
-                self.holdings.withdraw(source, cell, job)
+                self.led_shards.submit(source, message, self._clock.now())
+            case messages.Withdraw(shard=shard, job=job):
+                self.led_shards.withdraw(source, shard, job)
             case messages.Ended() | messages.Declined():
-                self.board.tell(message)
+                self.board.deliver(message)
             case messages.Greeting():
                 source.abort()
             case messages.Beat() | messages.Disowned() | messages.TakeOver():
-                self._take_ownership(source, message)
+                self._receive_leaderships(source, message)
             case _:
                 self._sharing.received(source, message)
 
     # Surroundings of the holdings.
 
     @property
-    def home_cell(self) -> ids.CellId:
+    def home_shard(self) -> ids.ShardId:
         """Return the cell of this VM's zone."""
-        return ids.CellId(self.cfg.zone)
+        return ids.ShardId(self.cfg.zone)
 
     @property
-    def all_cells(self) -> Iterable[ids.CellId]:
+    def all_shards(self) -> Iterable[ids.ShardId]:
         """Return all cells of the deployment."""
-        return map(ids.CellId, self.cfg.zones)
+        return map(ids.ShardId, self.cfg.zones)
 
     @property
     def rooms(self) -> rooms.Rooms:
         """Return how much room other cells have."""
-        return self.owners.rooms
+        return self.leaders.rooms
 
-    def owner_of(self, cell: ids.CellId) -> ids.VmId | None:
+    def leader_of(self, shard: ids.ShardId) -> ids.VmId | None:
         """Return which VM owns a cell."""
-        return self.owners.by_cell.get(cell)
+        return self.leaders.by_shard.get(shard)
 
-    def kept(self, job: ids.JobId) -> keepers.Kept | None:
+    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         """Return who keeps a stored job, None if that is not known."""
-        home = self.homes.home_of(job)
-        return self.owners.keepers.get(home, self.owner_of(home))
+        home = self.job_service.home_shard(job)
+        return self.leaders.loaded_shards.get(home, self.leader_of(home))
 
     def keeper_of(self, job: ids.JobId) -> link.Link | None:
         """Return the link to the owner of a stored job's home cell."""
-        return self.owner(self.homes.home_of(job))
+        return self.leader(self.job_service.home_shard(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
         """Return a route of the version in force, None if it was removed."""
@@ -285,49 +291,49 @@
         """Return how many jobs of a route have not begun."""
         return (
             self.board.waiting_for(route)
-            + self.homes.pending().get(route, 0)
-            + self.owners.pending(route)
+            + self.job_service.pending().get(route, 0)
+            + self.leaders.pending(route)
         )
 
-    def workers_of(self, cell: ids.CellId) -> list[workers.Worker]:
+    def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
         """Return the listed workers of a cell."""
-        return self.workers.of_cell(cell)
+        return self.workers.of_shard(shard)
 
-    def knows_all_workers(self) -> bool:
+    def is_worker_list_complete(self) -> bool:
         """Tell whether no worker can be missing from the list."""
-        return self._feeds.knows_all_workers()
+        return self._feeds.is_worker_list_complete()
 
     def listed_at(self) -> float:
         """Return the local time of the list of workers, in seconds."""
         return self._feeds.listed_at()
 
-    def confirmed_at(self, cell: ids.CellId, now: float) -> float:
+    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return when this process last knew that it owns a cell."""
-        heirs = self._claims.heirs_of_claim(cell)
-        if all(self.links.to(vm) is not None for vm in heirs):
+        successors = self._claims.successors_of_claim(shard)
+        if all(self.links.get(vm) is not None for vm in successors):
             return now
-        return self._feeds.heard_at()
+        return self._feeds.last_answer_at()
 
     def list_answers(self) -> bool:
         """Tell whether the store answers about the list of workers."""
         return self._feeds.list_answers()
 
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether no other VM of several is in reach."""
-        return not self.links.open and len(self.directory.members) > 1
+        return not self.links.open_links and len(self.directory.members) > 1
 
-    def gained(self, cell: ids.CellId) -> None:
+    def shard_gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
-        self._feeds.roster.poke()
-        self._choose_owners()
-        self.links.send_all(self._beat(self._clock.now()))
+        self._feeds.roster.poll_now()
+        self._choose_leaders()
+        self.links.broadcast(self._beat(self._clock.now()))
 
-    def lost(self, cell: ids.CellId) -> None:
+    def lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
-        self.links.send_all(messages.Disowned(cell=cell))
-        self.links.send_all(self._beat(self._clock.now()))
-        self._choose_owners()
-        self._tell_lost(cell, self._local)
+        self.links.broadcast(messages.Disowned(shard=shard))
+        self.links.broadcast(self._beat(self._clock.now()))
+        self._choose_leaders()
+        self._tell_lost(shard, self._local)
 
     def state(self) -> dict[str, object]:
         """Return what this process believes, for the state dump."""
@@ -335,29 +341,29 @@
 
     # Rows of the store.
 
-    def take_configuration(self, rows: tuple[store.Row, ...]) -> None:
+    def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed rows of the operator's table."""
         for row in rows:
             if row.key == self._formats.configuration_row and row.body:
                 self.versions.offer(row.body, 'store')
 
-    def take_directory(self, rows: tuple[store.Row, ...]) -> None:
+    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed members and claims."""
-        self._sharing.offer(rows)
+        self._sharing.apply_rows(rows)
 
-    def take_roster(self, rows: tuple[store.Row, ...]) -> None:
+    def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
         now = self._clock.now()
-        self.workers.take(rows, now)
-        self.workers.drop_gone(self._feeds.roster.sound_since, now)
-        self.holdings.give_workers()
+        self.workers.update(rows, now)
+        self.workers.drop_removed(self._feeds.roster.healthy_since, now)
+        self.led_shards.update_workers()
 
-    def roster_pace(self) -> following.Pace:
+    def roster_timing(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
-        if self.holdings.cells:
-            return feeds.OWNER_ROSTER_PACE
-        if self._claims.is_heir():
-            return feeds.HEIR_ROSTER_PACE
+        if self.led_shards.shards:
+            return feeds.LEADER_ROSTER_PACE
+        if self._claims.is_successor():
+            return feeds.SUCCESSOR_ROSTER_PACE
         return feeds.ROSTER_PACE
 
     # Internals.
@@ -365,14 +371,18 @@
     async def _keep_ticking(self) -> None:
         while True:
             self._tick(self._clock.now())
-            await asyncio.sleep(OWNER_TICK_S if self.holdings.cells else TICK_S)
+            await asyncio.sleep(
+                LEADER_TICK_S if self.led_shards.shards else TICK_S
+            )
 
     def _tick(self, now: float) -> None:
         self._check_stall(now)
         self._ticked_at = now
-        self.owners.keepers.note(self.cfg.vm, self.homes.loaded(), now)
+        self.leaders.loaded_shards.update(
+            self.cfg.vm, self.job_service.loaded_shards(), now
+        )
         self.links.tick(now, self._beat(now))
-        self.holdings.tick(now, may_claim=not self.draining)
+        self.led_shards.tick(now, may_claim=not self.draining)
 
     def _check_stall(self, now: float) -> None:
         gap_s = now - self._ticked_at
@@ -382,29 +392,31 @@
         _LOG.warning('Process stood still.', extra={'gap_s': round(gap_s, 3)})
         self.metrics.count('stalls_total')
         self._refuse_until = now + STALL_REFUSAL_S
-        self.board.stalled()
+        self.board.notify_stalled()
         self.links.abort_all()
-        self.holdings.doubt_all('process stood still')
+        self.led_shards.doubt_all('process stood still')
 
-    def _rhythm(self, peer: messages.Greeting) -> links.Rhythm:
+    def _heartbeat_timing(
+        self, peer: messages.Greeting
+    ) -> links.HeartbeatTiming:
         """Return the signs of life between this VM and another."""
-        owns_home = self.home_cell in self.holdings.cells
+        owns_home = self.home_shard in self.led_shards.shards
         if owns_home and peer.zone == self.cfg.zone:
-            return links.CLOSE
-        if self.owner_of(self.home_cell) == peer.vm:
-            return links.CLOSE
-        if self.holdings.cells or peer.vm in self.owners.by_cell.values():
-            return links.OWNER
-        return links.FAR
+            return links.HOME_LEADER_HEARTBEAT
+        if self.leader_of(self.home_shard) == peer.vm:
+            return links.HOME_LEADER_HEARTBEAT
+        if self.led_shards.shards or peer.vm in self.leaders.by_shard.values():
+            return links.LEADER_HEARTBEAT
+        return links.FOLLOWER_HEARTBEAT
 
     def _beat(self, now: float) -> messages.Beat:
         return messages.Beat(
             version=self.versions.number,
-            cells=self.holdings.offers(now),
-            pending=tuple(self.homes.pending().items()),
+            shards=self.led_shards.offers(now),
+            pending=tuple(self.job_service.pending().items()),
         )
 
-    def _take_ownership(
+    def _receive_leaderships(
         self,
         source: link.Link,
         message: messages.Beat | messages.Disowned | messages.TakeOver,
@@ -413,43 +425,45 @@
         match message:
             case messages.Beat(version=version):
                 now = self._clock.now()
-                if self.owners.take(source.peer.vm, message, now):
-                    self._choose_owners()
+                if self.leaders.take(source.peer.vm, message, now):
+                    self._choose_leaders()
                 self._sharing.heard(
                     source,
                     version,
-                    store_answers=self._feeds.knows_configuration_source(),
+                    store_answers=self._feeds.is_configuration_available(),
                     now=now,
                 )
-            case messages.Disowned(cell=cell):
-                self.owners.forget(source.peer.vm, cell)
-                self._choose_owners()
-                self._tell_lost(cell, source)
-            case messages.TakeOver(cell=cell):
-                self.holdings.start_claim(cell)
-
-    def _choose_owners(self) -> None:
-        change = self.owners.choose(self.holdings.rights())
-        for cell, vm in change.lost.items():
+            case messages.Disowned(shard=shard):
+                self.leaders.forget(source.peer.vm, shard)
+                self._choose_leaders()
+                self._tell_lost(shard, source)
+            case messages.TakeOver(shard=shard):
+                self.led_shards.start_claim(shard)
+
+    def _choose_leaders(self) -> None:
+        change = self.leaders.choose(self.led_shards.rights())
+        for shard, vm in change.lost.items():
             # Each loss leads to a new choice, which may have lost them all.
-            if cell in self.holdings.cells:
-                self.holdings.lose(cell, f'{vm} has a higher right')
+            if shard in self.led_shards.shards:
+                self.led_shards.give_up(shard, f'{vm} has a higher right')
         for found in change.found:
-            self.board.owner_found(found)
-            self.homes.tell_all(open_tasks.OwnerFound(cell=found))
+            self.board.notify_leader_found(found)
+            self.job_service.broadcast(open_tasks.LeaderFound(shard=found))
 
-    def _tell_lost(self, cell: ids.CellId, source: link.Link) -> None:
-        self.board.owner_lost(cell, source)
-        self.homes.tell_all(open_tasks.OwnerLost(cell=cell, source=source))
+    def _tell_lost(self, shard: ids.ShardId, source: link.Link) -> None:
+        self.board.notify_leader_lost(shard, source)
+        self.job_service.broadcast(
+            open_tasks.LeaderLost(shard=shard, source=source)
+        )
 
-    def _new_keeper(
-        self, cell: ids.CellId, right: fences.Right
-    ) -> keeper.Keeper:
+    def _new_job_manager(
+        self, shard: ids.ShardId, right: fences.Right
+    ) -> job_manager.JobManager:
         """Return the keeper of a cell that this process owns now."""
-        return environment.new_keeper(
-            self._outside,
-            cell=cell,
-            guard=guarded_rows.Guard(
+        return dependencies.new_job_manager(
+            self._dependencies,
+            shard=shard,
+            writer=fenced_rows.Writer(
                 right=right, incarnation=self.me.incarnation
             ),
             router=self,
@@ -465,5 +479,5 @@
             cfg=self.cfg,
         )
 
-    def _won(self, cell: ids.CellId, right: fences.Right) -> None:
-        self.holdings.won(cell, right)
+    def _lead(self, shard: ids.ShardId, right: fences.Right) -> None:
+        self.led_shards.lead(shard, right)
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -7,7 +7,7 @@
 from sardineproxy.connection import frames, peer
 from sardineproxy.process import (
     borrowing,
-    exchange,
+    config_exchange,
     forwards,
     loans,
     ownership,
@@ -26,13 +26,13 @@
         *,
         clock: clock.Clock,
         zone: ids.ZoneId,
-        views: views.Views,
-        ownership: ownership.Ownership,
+        views: views.MembershipViews,
+        ownership: ownership.SlotOwnership,
         loans: loans.Loans,
-        forwards: forwards.Forwards,
-        exchange: exchange.Exchange,
+        forwards: forwards.PendingForwards,
+        exchange: config_exchange.ConfigExchange,
         handler: forwarding.Handler,
-        send_all: Callable[[borrowing.Outgoing], None],
+        send_all: Callable[[borrowing.OutgoingFrames], None],
     ) -> None:
         """Use the parts of one process; ``send_all`` sends to peers."""
         self._clock = clock
@@ -47,49 +47,49 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
         #: True if the peers were told that this process ends.
-        self.said_goodbye = False
+        self.goodbye_sent = False
 
-    def opened(self, stream: peer.Stream) -> None:
+    def stream_opened(self, stream: peer.Stream) -> None:
         """Use a new stream."""
         if stream.hello.zone == self._zone:
-            self._views.joined(stream.hello.vm, stream.hello.incarnation)
-        self._forwards.opened(stream)
-        if self.said_goodbye:
+            self._views.add_peer(stream.hello.vm, stream.hello.incarnation)
+        self._forwards.resend(stream)
+        if self.goodbye_sent:
             stream.send(frames.Goodbye())
-        self._note_alive(stream)
-        self.review()
+        self._record_contact(stream)
+        self.update_ownership()
 
-    def closed(self, stream: peer.Stream) -> None:
+    def stream_closed(self, stream: peer.Stream) -> None:
         """Forget a stream; outstanding forwards wait for the next one."""
-        self._views.lost(stream.hello.vm, self._clock.now())
-        self._loans.lost(stream.hello.vm, self._clock.now())
-        self.review()
+        self._views.remove_peer(stream.hello.vm, self._clock.now())
+        self._loans.handle_disconnect(stream.hello.vm, self._clock.now())
+        self.update_ownership()
 
-    def received(self, stream: peer.Stream, frame: frames.Frame) -> None:
+    def frame_received(self, stream: peer.Stream, frame: frames.Frame) -> None:
         """Act on a frame."""
-        self._note_alive(stream)
+        self._record_contact(stream)
         match frame:
             case frames.View() | frames.Goodbye():
-                self._views.heard(stream.hello.vm, frame)
-                self.review()
+                self._views.handle_frame(stream.hello.vm, frame)
+                self.update_ownership()
             case frames.Forward():
-                self._start_answer(stream, frame)
+                self._start_reply(stream, frame)
             case frames.ForwardReply():
-                self._forwards.replied(stream, frame)
+                self._forwards.handle_reply(stream, frame)
             case frames.ConfigFetch():
                 stream.send(self._exchange.answer(frame))
             case frames.ConfigChanges():
-                self._exchange.take(frame)
+                self._exchange.apply(frame)
             case _:
                 self._send_all(
-                    self._loans.received(
+                    self._loans.handle_frame(
                         stream.hello.vm, frame, self._clock.now()
                     )
                 )
 
-    def review(self) -> None:
+    def update_ownership(self) -> None:
         """Apply what changed in the zone's view."""
-        self._send_all(self._ownership.review(self._clock.now()))
+        self._send_all(self._ownership.update(self._clock.now()))
 
     async def close(self) -> None:
         """Stop answering forwards."""
@@ -98,18 +98,18 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _note_alive(self, stream: peer.Stream) -> None:
-        self._forwards.heard(stream)
-        self._loans.heard(stream.hello.vm, self._clock.now())
+    def _record_contact(self, stream: peer.Stream) -> None:
+        self._forwards.confirm_incarnation(stream)
+        self._loans.renew_lease(stream.hello.vm, self._clock.now())
 
-    def _start_answer(
+    def _start_reply(
         self, stream: peer.Stream, forward: frames.Forward
     ) -> None:
-        task = asyncio.create_task(self._answer(stream, forward))
+        task = asyncio.create_task(self._reply(stream, forward))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(
+    async def _reply(
         self, stream: peer.Stream, forward: frames.Forward
     ) -> None:
         """Reply on the same stream; after its end the peer asks again."""
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -13,7 +13,7 @@
     borrowing,
     demand,
     directory,
-    exchange,
+    config_exchange,
     forwards,
     loans,
     metrics,
@@ -27,7 +27,7 @@
 )
 from sardineproxy.request import forwarding
 
-Gossip = exchange.Gossip
+Gossip = config_exchange.Gossip
 
 _log = logs.get_logger('peer')
 
@@ -60,7 +60,7 @@
         incarnation: ids.Incarnation,
         zone: ids.ZoneId,
         size: int,
-        directory: directory.Directory,
+        directory: directory.VmDirectory,
         slot_table: slots.SlotTable,
         handler: forwarding.Handler,
         gossip: Gossip,
@@ -73,20 +73,20 @@
         self._clock = clock
         self._cfg = cfg
         self._size = size
-        self._me = frames.Hello(
+        self._own_hello = frames.Hello(
             vm=vm, incarnation=incarnation, zone=zone, version=0, revision=0
         )
         self._directory = directory
         self._table = slot_table
-        self._exchange = exchange.Exchange(gossip=gossip, rng=rng)
-        self._forwards = forwards.Forwards()
-        self._views = views.Views(
+        self._exchange = config_exchange.ConfigExchange(gossip=gossip, rng=rng)
+        self._forwards = forwards.PendingForwards()
+        self._views = views.MembershipViews(
             vm=vm,
             incarnation=incarnation,
             zone=zone,
             grace_s=cfg.takeover_grace_s,
         )
-        self._ownership = ownership.Ownership(
+        self._ownership = ownership.SlotOwnership(
             views=self._views, table=slot_table, drain_s=cfg.loan.max_task_s
         )
         self._loans = loans.Loans(cfg=cfg.loan, table=slot_table)
@@ -134,9 +134,9 @@
         """Listen for peers and connect to those of the listing."""
         await self._streams.start(host, port)
         self._subscription = self._directory.listing.subscribe(
-            self._use_listing
+            self._apply_listing
         )
-        self._ticker = asyncio.create_task(self._keep_ticking())
+        self._ticker = asyncio.create_task(self._run_ticks())
 
     async def goodbye(self) -> None:
         """Give up all slots and tell the peers.
@@ -145,13 +145,13 @@
         the longest task time.
         """
         self._ownership.leave()
-        self._events.review()
+        self._events.update_ownership()
         while not self._ownership.settled:
             await asyncio.sleep(self._cfg.tick_s)
-            self._events.review()
-        self._events.said_goodbye = True
-        self._send_all(self._loans.give_all_back())
-        open_streams = list(self._streams.current.values())
+            self._events.update_ownership()
+        self._events.goodbye_sent = True
+        self._send_all(self._loans.return_all_idle())
+        open_streams = list(self._streams.by_vm.values())
         for stream in open_streams:
             stream.send(frames.Goodbye())
         await asyncio.gather(*(each.flush() for each in open_streams))
@@ -178,17 +178,17 @@
         """
         if len(payload) > frames.MAX_PAYLOAD_BYTES:
             return forwarding.Unreachable()
-        stream = self._streams.current.get(vm)
+        stream = self._streams.by_vm.get(vm)
         if stream is None and vm not in self._streams.neighbors.listed:
             return forwarding.Unreachable()
         now = self._clock.now()
         self._streams.open_missing((vm,), now)
-        return await self._forwards.ask(
+        return await self._forwards.send(
             vm=vm,
             incarnation=incarnation,
             payload=payload,
             wait_s=deadline - now,
-            streams=self._streams.current,
+            streams=self._streams.by_vm,
         )
 
     def on_backlog(self, demand: demand.Demand) -> None:
@@ -198,20 +198,20 @@
         """
         now = self._clock.now()
         self._loans.report(demand, now)
-        self._send_all(self._loans.ask(self._lenders, now))
+        self._send_all(self._loans.request_slots(self._lenders, now))
 
     def tick(self, now: float) -> None:
         """Do what is due; a long gap voids ownership and loans."""
-        self._check_gap(now)
-        version, revision = self._exchange.mine()
-        self._streams.watch(
+        self._check_stall(now)
+        version, revision = self._exchange.local_versions()
+        self._streams.check_liveness(
             now, frames.Heartbeat(version=version, revision=revision)
         )
-        self._streams.open_missing(self._forwards.vms(), now)
-        self._exchange.tick(list(self._streams.current.values()), now)
-        self._events.review()
+        self._streams.open_missing(self._forwards.pending_vms(), now)
+        self._exchange.tick(list(self._streams.by_vm.values()), now)
+        self._events.update_ownership()
         self._send_all(self._loans.tick(self._lenders, now))
-        live = self._streams.neighbors.count_live(self._streams.current) + 1
+        live = self._streams.neighbors.count_live(self._streams.by_vm) + 1
         if live != self._live_vms.value:
             self._live_vms.on_next(live)
 
@@ -233,53 +233,55 @@
                     'revision': stream.revision,
                     'free': stream.free,
                 }
-                for vm, stream in sorted(self._streams.current.items())
+                for vm, stream in sorted(self._streams.by_vm.items())
             ],
             'view': self._views.state(now),
             'loans': self._loans.state(),
         }
 
     def _hello(self) -> frames.Hello:
-        version, revision = self._exchange.mine()
-        return dataclasses.replace(self._me, version=version, revision=revision)
+        version, revision = self._exchange.local_versions()
+        return dataclasses.replace(
+            self._own_hello, version=version, revision=revision
+        )
 
-    def _use_listing(self, listing: platform.VmList) -> None:
+    def _apply_listing(self, listing: platform.VmList) -> None:
         self._views.set_listing(listing)
-        self._streams.use(
+        self._streams.set_neighbors(
             neighbors.choose(
                 listing=listing,
-                vm=self._me.vm,
-                zone=self._me.zone,
-                each_zone=self._cfg.cross_zone_peers,
+                vm=self._own_hello.vm,
+                zone=self._own_hello.zone,
+                peers_per_zone=self._cfg.cross_zone_peers,
             )
         )
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self.tick(self._clock.now())
             await asyncio.sleep(self._cfg.tick_s)
 
-    def _lenders(self) -> list[borrowing.Lender]:
+    def _lenders(self) -> list[borrowing.LenderPeer]:
         return [
-            borrowing.Lender(
+            borrowing.LenderPeer(
                 vm=vm,
-                near=stream.hello.zone == self._me.zone,
-                free=stream.free,
+                is_same_zone=stream.hello.zone == self._own_hello.zone,
+                free_slots=stream.free,
             )
-            for vm, stream in self._streams.current.items()
+            for vm, stream in self._streams.by_vm.items()
         ]
 
-    def _send_all(self, outgoing: borrowing.Outgoing) -> None:
+    def _send_all(self, outgoing: borrowing.OutgoingFrames) -> None:
         for vm, frame in outgoing:
-            stream = self._streams.current.get(vm)
+            stream = self._streams.by_vm.get(vm)
             if stream is not None:
                 stream.send(frame)
 
-    def _check_gap(self, now: float) -> None:
+    def _check_stall(self, now: float) -> None:
         last = self._ticked_at
         self._ticked_at = now
         if last is not None and now - last >= self._cfg.stream.peer_silent_s:
             _log.warning('event loop stood still for %.1f s', now - last)
-            self._ownership.drop()
+            self._ownership.drop_owned()
             self._streams.abort_all('process stood still')
         self._table.set_valid_until(now + self._cfg.stream.peer_silent_s)
--- a/sardineproxy/process/cells/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -2,14 +2,14 @@
 
 from typing import Mapping
 
-from sardineproxy.process.cells import runs, workers
+from sardineproxy.process.shards import runs, workers
 from sardineproxy.request import jobs
 
 
 class Ledger:
     """Runs that this process ordered, and those that others did."""
 
-    def __init__(self, *, capacity: jobs.Shape) -> None:
+    def __init__(self, *, capacity: jobs.Resources) -> None:
         """Start without runs."""
         self.runs: dict[workers.TaskName, runs.Run] = {}
 
@@ -32,14 +32,14 @@
     def hold(self, run: runs.Run) -> None:
         """Take room for a run."""
         self.runs[run.task] = run
-        self.free = self.free.minus(run.batch.shape)
+        self.free = self.free.minus(run.batch.resources)
 
     def release(self, run: runs.Run) -> None:
         """Free the room of a run that does not exist any more."""
         self.runs.pop(run.task)
-        self.free = self.free.plus(run.batch.shape)
+        self.free = self.free.plus(run.batch.resources)
 
-    def resize(self, before: jobs.Shape, after: jobs.Shape) -> None:
+    def resize(self, before: jobs.Resources, after: jobs.Resources) -> None:
         """Use a changed capacity."""
         self.free = after.minus(before.minus(self.free))
 
--- a/sardineproxy/process/cells/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -5,7 +5,7 @@
 
 from sardineproxy import ids
 from sardineproxy.connection import link, messages
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
 
@@ -99,7 +99,7 @@
     priority: int
     service: ids.ServiceId
     payload: str
-    shape: jobs.Shape
+    resources: jobs.Resources
     requires: str
 
     #: Rack that has the tasks' data, empty for none.
@@ -191,7 +191,7 @@
         priority=asked.priority,
         service=asked.service,
         payload=asked.payload,
-        shape=jobs.Shape(
+        resources=jobs.Resources(
             millicores=asked.millicores,
             memory_mb=asked.memory_mb,
             gpus=asked.gpus,
--- a/sardineproxy/process/keeping/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -12,7 +12,7 @@
 from sardineproxy.version import routes
 
 #: First item of each row; rows with another one are not understood.
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 class JobState(enum.Enum):
@@ -46,7 +46,7 @@
     ended_at: float = 0
     state: JobState = JobState.QUEUED
 
-    def end(self, state: JobState, wall: float) -> 'StoredJob':
+    def finish(self, state: JobState, wall: float) -> 'StoredJob':
         """Return the job without what is needed only while it runs."""
         return dataclasses.replace(
             self,
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Progress:
+class JobProgress:
     """Which tasks of a job have ended well or failed, and where they are."""
 
     done: set[open_tasks.TaskKey] = dataclasses.field(default_factory=set)
@@ -76,26 +76,28 @@
     )
 
     #: Cells of the tasks that were sent on from the job's home cell.
-    moved: dict[open_tasks.TaskKey, ids.CellId] = dataclasses.field(
+    moved: dict[open_tasks.TaskKey, ids.ShardId] = dataclasses.field(
         default_factory=dict
     )
 
-    def is_counted(self, key: open_tasks.TaskKey, run: int) -> bool:
+    def is_recorded(self, key: open_tasks.TaskKey, run: int) -> bool:
         """Tell whether the end of a task's run was counted before."""
-        known = self.failed.get(key)
-        return key in self.done or (known is not None and run < known.number)
+        task_progress = self.failed.get(key)
+        return key in self.done or (
+            task_progress is not None and run < task_progress.number
+        )
 
-    def count_done(self, key: open_tasks.TaskKey) -> None:
+    def record_success(self, key: open_tasks.TaskKey) -> None:
         """Count a good end."""
         self.done.add(key)
         self.failed.pop(key, None)
 
-    def count_failure(self, key: open_tasks.TaskKey, run: int) -> int:
+    def record_failure(self, key: open_tasks.TaskKey, run: int) -> int:
         """Count a failed run; return how many there are of the task."""
-        known = self.failed.setdefault(key, TaskProgress())
-        known.failures += 1
-        known.number = run + 1
-        return known.failures
+        task_progress = self.failed.setdefault(key, TaskProgress())
+        task_progress.failures += 1
+        task_progress.number = run + 1
+        return task_progress.failures
 
 
 def encode_job(stored: StoredJob) -> bytes:
@@ -103,7 +105,7 @@
     route = stored.route
     packed: bytes = msgpack.packb(
         [
-            FORMAT,
+            FORMAT_VERSION,
             stored.job.job,
             stored.job.payload,
             [_pack_step(step) for step in stored.job.steps],
@@ -133,28 +135,28 @@
         return result.Err(f'not a stored job: {exc}')
 
 
-def encode_progress(progress: Progress) -> bytes:
+def encode_progress(progress: JobProgress) -> bytes:
     """Return the row of a job's progress."""
     packed: bytes = msgpack.packb(
         [
-            FORMAT,
+            FORMAT_VERSION,
             sorted(progress.done),
             [
                 (*key, task.failures, task.number)
                 for key, task in progress.failed.items()
             ],
-            [(*key, cell) for key, cell in progress.moved.items()],
+            [(*key, shard) for key, shard in progress.moved.items()],
         ]
     )
     return packed
 
 
-def decode_progress(body: bytes) -> result.Result[Progress, str]:
+def decode_progress(body: bytes) -> result.Result[JobProgress, str]:
     """Read the row of a job's progress; the error is one sentence."""
     try:
         done, failed, moved = _unpack(body)
         return result.Ok(
-            Progress(
+            JobProgress(
                 done={(int(step), int(index)) for step, index in done},
                 failed={
                     (int(step), int(index)): TaskProgress(
@@ -163,8 +165,8 @@
                     for step, index, failures, number in failed
                 },
                 moved={
-                    (int(step), int(index)): ids.CellId(cell)
-                    for step, index, cell in moved
+                    (int(step), int(index)): ids.ShardId(shard)
+                    for step, index, shard in moved
                 },
             )
         )
@@ -174,7 +176,7 @@
 
 def _unpack(body: bytes) -> list[Any]:
     document = msgpack.unpackb(body)
-    if not isinstance(document, list) or document[:1] != [FORMAT]:
+    if not isinstance(document, list) or document[:1] != [FORMAT_VERSION]:
         raise ValueError('unknown format')
     return document[1:]
 
@@ -182,9 +184,9 @@
 def _pack_step(step: jobs.Step) -> list[object]:
     return [
         step.count,
-        step.shape.millicores,
-        step.shape.memory_mb,
-        step.shape.gpus,
+        step.resources.millicores,
+        step.resources.memory_mb,
+        step.resources.gpus,
         float(step.estimate_s),
         list(step.after),
         step.requires,
@@ -229,7 +231,7 @@
 ) -> jobs.Step:
     return jobs.Step(
         count=int(count),
-        shape=jobs.Shape(
+        resources=jobs.Resources(
             millicores=int(millicores),
             memory_mb=int(memory_mb),
             gpus=int(gpus),
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -12,13 +12,13 @@
 from sardineproxy.version import routes
 
 #: Longest wait for a new owner of a cell that lost its own, in seconds.
-OWNER_WAIT_S = 1.0
+LEADER_WAIT_S = 1.0
 
 #: Time that is kept for the way of the answer to the client, in seconds.
 ANSWER_S = 0.05
 
 #: When to come back after a refusal for want of an owner, in seconds.
-NO_OWNER_RETRY_S = 1.0
+NO_LEADER_RETRY_S = 1.0
 
 _LOG = logs.get_logger('job')
 
@@ -31,8 +31,8 @@
 Event = (
     messages.Ended
     | messages.Declined
-    | open_tasks.OwnerLost
-    | open_tasks.OwnerFound
+    | open_tasks.LeaderLost
+    | open_tasks.LeaderFound
     | Stalled
 )
 
@@ -63,7 +63,7 @@
             route=route,
             router=router,
             clock=clock,
-            times=open_tasks.Times(
+            times=open_tasks.JobTimes(
                 arrived_at=arrived_at, deadline=self._deadline
             ),
         )
@@ -76,24 +76,24 @@
         """Tell whether a task may have started, as far as is known here."""
         return self._may_have_run
 
-    def tell(self, event: Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand in an event."""
         self._inbox.put_nowait(event)
 
     async def run(self) -> jobs.Outcome:
         """Return how the job ended; nothing of it runs on afterwards."""
-        home = self._router.home()
-        if home is None:
+        default_shard = self._router.default_shard()
+        if default_shard is None:
             return jobs.NotRun(
-                detail='no cell has an owner', retry_after_s=NO_OWNER_RETRY_S
+                detail='no cell has an owner', retry_after_s=NO_LEADER_RETRY_S
             )
         try:
-            return await self._run(home)
+            return await self._run(default_shard)
         finally:
             self._open.withdraw()
 
-    async def _run(self, home: ids.CellId) -> jobs.Outcome:
-        self._begin_steps(home)
+    async def _run(self, default_shard: ids.ShardId) -> jobs.Outcome:
+        self._begin_steps(default_shard)
         while self._open:
             left_s = self._deadline - self._clock.now()
             try:
@@ -104,27 +104,27 @@
             outcome = self._take(event)
             if outcome is not None:
                 return outcome
-            self._begin_steps(home)
+            self._begin_steps(default_shard)
         return jobs.Completed()
 
     def _wait_s(self, left_s: float) -> float:
-        if self._open.has_stranded():
-            return min(left_s, OWNER_WAIT_S)
+        if self._open.has_unassigned():
+            return min(left_s, LEADER_WAIT_S)
         return left_s
 
     def _describe_wait(self) -> str:
-        if self._open.has_stranded():
+        if self._open.has_unassigned():
             return 'no owner of the cell in time'
         return 'deadline passed'
 
-    def _begin_steps(self, home: ids.CellId) -> None:
+    def _begin_steps(self, default_shard: ids.ShardId) -> None:
         """Send the tasks of steps whose earlier steps are done."""
         for number in sorted(self._todo):
             step = self.job.steps[number]
             if not self._done_steps.issuperset(step.after):
                 continue
             self._todo.discard(number)
-            tasks = open_tasks.new_tasks(self.job, number, home)
+            tasks = open_tasks.new_tasks(self.job, number, default_shard)
             self._open.add(tasks)
             self._open.send(tasks, firm=False, begun=self._has_begun)
 
@@ -139,28 +139,28 @@
                 return self._take_end(event)
             case messages.Declined():
                 return self._take_declined(event)
-            case open_tasks.OwnerLost():
+            case open_tasks.LeaderLost():
                 self._strand(event)
-            case open_tasks.OwnerFound(cell=cell):
-                self._open.resume(cell, begun=self._has_begun)
+            case open_tasks.LeaderFound(shard=shard):
+                self._open.resume(shard, begun=self._has_begun)
             case Stalled():
                 return jobs.GivenUp(detail='process stood still')
         return None
 
     def _take_end(self, end: messages.Ended) -> jobs.Outcome | None:
         task = self._open.get((end.step, end.index))
-        if task is None or task.cell != end.cell:
+        if task is None or task.shard != end.shard:
             return None
         self._may_have_run = True
         task.number = max(task.number, end.run + 1)
-        match jobs.TaskEnd(end.how):
-            case jobs.TaskEnd.DONE:
-                if self._open.end(task.key):
+        match jobs.TaskResult(end.how):
+            case jobs.TaskResult.DONE:
+                if self._open.close(task.key):
                     self._done_steps.add(end.step)
                 return None
-            case jobs.TaskEnd.FAILED:
+            case jobs.TaskResult.FAILED:
                 return self._take_failure(task)
-            case jobs.TaskEnd.LATE | jobs.TaskEnd.REPLACED:
+            case jobs.TaskResult.LATE | jobs.TaskResult.REPLACED:
                 return jobs.GivenUp(detail=f'task {end.index}: {end.how}')
 
     def _take_failure(self, task: open_tasks.OpenTask) -> jobs.Outcome | None:
@@ -176,20 +176,20 @@
     def _take_declined(
         self, declined: messages.Declined
     ) -> jobs.Outcome | None:
-        tasks = self._open.in_cell(
-            declined.step, declined.indices, declined.cell
+        tasks = self._open.in_shard(
+            declined.step, declined.indices, declined.shard
         )
         if not tasks:
             return None
         if declined.other and not any(task.was_moved for task in tasks):
-            other = ids.CellId(declined.other)
-            if self._router.owner(other) is not None:
+            other = ids.ShardId(declined.other)
+            if self._router.leader(other) is not None:
                 self._open.move(tasks, other, begun=self._has_begun)
                 return None
         elif any(task.was_moved for task in tasks):
-            home = self._router.home()
-            if home is not None and home != declined.cell:
-                self._open.move(tasks, home, begun=self._has_begun)
+            default_shard = self._router.default_shard()
+            if default_shard is not None and default_shard != declined.shard:
+                self._open.move(tasks, default_shard, begun=self._has_begun)
                 return None
         return self._refuse(declined, tasks)
 
@@ -205,18 +205,18 @@
             )
         return jobs.GivenUp(detail=f'some tasks declined: {declined.cause}')
 
-    def _strand(self, lost: open_tasks.OwnerLost) -> None:
-        stranded = self._open.strand(lost)
+    def _strand(self, lost: open_tasks.LeaderLost) -> None:
+        stranded = self._open.unassign(lost)
         if stranded:
             self._may_have_run = True
             _LOG.info(
                 'Owner lost, tasks wait for another.',
                 extra={
                     'job': self.job.job,
-                    'cell': lost.cell,
+                    'cell': lost.shard,
                     'owner': lost.source.peer.vm,
                     'tasks': [task.index for task in stranded],
-                    'longest_wait_s': OWNER_WAIT_S,
+                    'longest_wait_s': LEADER_WAIT_S,
                 },
             )
-        self._open.resume(lost.cell, begun=self._has_begun)
+        self._open.resume(lost.shard, begun=self._has_begun)
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -19,26 +19,26 @@
 class Router(Protocol):
     """Finds the owners of cells."""
 
-    def home(self) -> ids.CellId | None:
+    def default_shard(self) -> ids.ShardId | None:
         """Return the cell that takes this VM's jobs, None if there is none."""
 
-    def owner(self, cell: ids.CellId) -> link.Link | None:
+    def leader(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a cell's owner."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class OwnerLost:
+class LeaderLost:
     """The link to a cell's owner is closed, or it gave the cell up."""
 
-    cell: ids.CellId
+    shard: ids.ShardId
     source: link.Link
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class OwnerFound:
+class LeaderFound:
     """A cell has an owner."""
 
-    cell: ids.CellId
+    shard: ids.ShardId
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -47,7 +47,7 @@
 
     step: int
     index: int
-    cell: ids.CellId
+    shard: ids.ShardId
 
     #: Number of its next run.
     number: int = 1
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Times:
+class JobTimes:
     """When a job came and until when it is wanted."""
 
     #: Local times, in seconds.
@@ -92,7 +92,7 @@
         route: routes.Route,
         router: Router,
         clock: clock.Clock,
-        times: Times,
+        times: JobTimes,
     ) -> None:
         """Start without tasks."""
         self.job = job
@@ -118,21 +118,21 @@
         """Open tasks; ``send`` submits them."""
         self._open.update({task.key: task for task in tasks})
 
-    def end(self, key: TaskKey) -> bool:
+    def close(self, key: TaskKey) -> bool:
         """Close a task; tell whether its step has no other open task."""
         self._open.pop(key)
         return not any(step == key[0] for step, _ in self._open)
 
-    def in_cell(
-        self, step: int, indices: Iterable[int], cell: ids.CellId
+    def in_shard(
+        self, step: int, indices: Iterable[int], shard: ids.ShardId
     ) -> list[OpenTask]:
         """Return the open tasks among ``indices`` that are in a cell."""
         found = [self._open.get((step, index)) for index in indices]
         return [
-            task for task in found if task is not None and task.cell == cell
+            task for task in found if task is not None and task.shard == shard
         ]
 
-    def has_stranded(self) -> bool:
+    def has_unassigned(self) -> bool:
         """Tell whether a task has no owner."""
         return any(task.source is None for task in self._open.values())
 
@@ -147,7 +147,7 @@
         now = self._clock.now()
         first = tasks[0]
         step = self.job.steps[first.step]
-        source = self._router.owner(first.cell)
+        source = self._router.leader(first.shard)
         for stranded in tasks:
             stranded.source = None
         if source is None:
@@ -155,7 +155,7 @@
         resumed = any(task.resumed for task in tasks)
         sent = source.send(
             messages.Submit(
-                cell=first.cell,
+                shard=first.shard,
                 job=self.job.job,
                 step=first.step,
                 route=self.route.route,
@@ -163,9 +163,9 @@
                 priority=self.route.priority,
                 payload=self.job.payload,
                 tasks=tuple((task.index, task.number) for task in tasks),
-                millicores=step.shape.millicores,
-                memory_mb=step.shape.memory_mb,
-                gpus=step.shape.gpus,
+                millicores=step.resources.millicores,
+                memory_mb=step.resources.memory_mb,
+                gpus=step.resources.gpus,
                 requires=step.requires,
                 rack=step.rack,
                 per_worker=step.per_worker,
@@ -185,32 +185,32 @@
                 submitted.source = source
 
     def move(
-        self, tasks: Sequence[OpenTask], cell: ids.CellId, *, begun: bool
+        self, tasks: Sequence[OpenTask], shard: ids.ShardId, *, begun: bool
     ) -> None:
         """Send tasks to another cell, which may not send them on."""
         for task in tasks:
-            task.cell = cell
+            task.shard = shard
             task.was_moved = True
             task.is_moving = False
         self.send(tasks, firm=True, begun=begun)
 
-    def strand(self, lost: OwnerLost) -> list[OpenTask]:
+    def unassign(self, lost: LeaderLost) -> list[OpenTask]:
         """Note that an owner is lost; return the tasks that it had."""
         stranded = [
             task
             for task in self._open.values()
-            if task.cell == lost.cell and task.source is lost.source
+            if task.shard == lost.shard and task.source is lost.source
         ]
         for waiting in stranded:
             waiting.source = None
             waiting.resumed = True
         return stranded
 
-    def resume(self, cell: ids.CellId, *, begun: bool) -> None:
+    def resume(self, shard: ids.ShardId, *, begun: bool) -> None:
         """Ask a cell's new owner for the tasks that the former one had."""
         by_step: dict[int, list[OpenTask]] = {}
         for task in self._open.values():
-            if task.cell == cell and not task.source and not task.is_moving:
+            if task.shard == shard and not task.source and not task.is_moving:
                 by_step.setdefault(task.step, []).append(task)
         for tasks in by_step.values():
             self.send(tasks, firm=True, begun=begun)
@@ -218,13 +218,13 @@
     def withdraw(self) -> None:
         """Tell the owners that nothing more is wanted."""
         places = {
-            (task.cell, task.source)
+            (task.shard, task.source)
             for task in self._open.values()
             if task.source is not None
         }
-        for cell, source in places:
+        for shard, source in places:
             if source is not None:
-                source.send(messages.Withdraw(cell=cell, job=self.job.job))
+                source.send(messages.Withdraw(shard=shard, job=self.job.job))
         self._open.clear()
 
     def _has_others(self, tasks: Sequence[OpenTask]) -> bool:
@@ -237,9 +237,9 @@
         )
 
 
-def new_tasks(job: jobs.Job, number: int, cell: ids.CellId) -> list[OpenTask]:
+def new_tasks(job: jobs.Job, number: int, shard: ids.ShardId) -> list[OpenTask]:
     """Return the tasks of a step as they are before their first run."""
     return [
-        OpenTask(step=number, index=index, cell=cell)
+        OpenTask(step=number, index=index, shard=shard)
         for index in range(job.steps[number].count)
     ]
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -26,7 +26,7 @@
 
     request_id: ids.RequestId
     customer: ids.CustomerId
-    kind: work.Kind
+    kind: work.TaskKind
 
     #: Hash of the submission, to recognize it when it is sent again.
     fingerprint: bytes
@@ -45,14 +45,14 @@
     cancelled: bool = False
 
     #: Done once all tasks have ended.
-    answered: asyncio.Future[documents.Reply]
+    reply_future: asyncio.Future[documents.Reply]
 
     #: Sequence number of the key; keyless requests have none.
     sequence: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Note:
+class Tombstone:
     """What is still known of a key that will never start work again."""
 
     problem: problems.Problem
@@ -73,7 +73,7 @@
     answer_bytes: int = 0
 
 
-class Absence(enum.Enum):
+class UnrecordedKey(enum.Enum):
     """Why nothing is known of a key."""
 
     #: It was not minted by this process for the customer.
@@ -93,7 +93,7 @@
         self.ended: collections.OrderedDict[int, Record] = (
             collections.OrderedDict()
         )
-        self.notes: collections.OrderedDict[int, Note] = (
+        self.notes: collections.OrderedDict[int, Tombstone] = (
             collections.OrderedDict()
         )
         self.answer_bytes = 0
@@ -103,15 +103,15 @@
     def put(self, sequence: int, record: Record) -> None:
         self.ended[sequence] = record
         self._totals.ended += 1
-        self._add_bytes(len(record.answered.result().body))
+        self._add_bytes(len(record.reply_future.result().body))
 
     def pop(self) -> tuple[int, Record]:
         sequence, record = self.ended.popitem(last=False)
         self._totals.ended -= 1
-        self._add_bytes(-len(record.answered.result().body))
+        self._add_bytes(-len(record.reply_future.result().body))
         return sequence, record
 
-    def put_note(self, sequence: int, note: Note) -> None:
+    def put_note(self, sequence: int, note: Tombstone) -> None:
         self.notes[sequence] = note
         self._totals.notes += 1
 
@@ -135,20 +135,20 @@
         self._totals.answer_bytes += count
 
 
-class Table:
+class RecordStore:
     """All records and notes, bounded in number, size and time."""
 
     def __init__(
         self,
         *,
-        ring: keys.KeyRing,
+        key_issuer: keys.KeyIssuer,
         key_ttl_s: float,
         record_ttl_s: float,
         max_records: int,
         max_answer_bytes: int,
     ) -> None:
         """Start empty; times in seconds."""
-        self._ring = ring
+        self._ring = key_issuer
         self._key_ttl_s = key_ttl_s
         self._record_ttl_s = record_ttl_s
         self._max_records = max_records
@@ -160,10 +160,10 @@
 
     def find(
         self, *, key: keys.Key, customer: ids.CustomerId, now: float
-    ) -> Record | Note | Absence:
+    ) -> Record | Tombstone | UnrecordedKey:
         """Return what is known of a key that ``customer`` presents."""
         if not self._ring.is_genuine(key=key, customer=customer):
-            return Absence.UNKNOWN
+            return UnrecordedKey.UNKNOWN
         self._sweep(now)
         shelf = self._shelf(customer)
         held = (
@@ -174,8 +174,8 @@
         if held is not None:
             return held
         if now >= key.expires_at or key.sequence <= shelf.void_up_to:
-            return Absence.VOID
-        return Absence.NEW
+            return UnrecordedKey.VOID
+        return UnrecordedKey.NEW
 
     def is_full(self) -> bool:
         """Tell whether no record can make room for another one."""
@@ -188,7 +188,7 @@
         self._running[record.sequence] = record
         self._make_room(record.started_at)
 
-    def end(self, *, record: Record) -> None:
+    def close(self, *, record: Record) -> None:
         """Keep a record that has been answered."""
         if record.sequence is None:
             return
@@ -196,7 +196,7 @@
         self._shelf(record.customer).put(record.sequence, record)
         self._make_room(record.ended_at)
 
-    def note(
+    def add_tombstone(
         self,
         *,
         key: keys.Key,
@@ -204,9 +204,9 @@
         fingerprint: bytes | None,
         problem: problems.Problem,
         now: float,
-    ) -> Note:
+    ) -> Tombstone:
         """Remember that a key without a record will never start work."""
-        note = Note(problem=problem, fingerprint=fingerprint, noted_at=now)
+        note = Tombstone(problem=problem, fingerprint=fingerprint, noted_at=now)
         self._shelf(customer).put_note(key.sequence, note)
         self._make_room(now)
         return note
@@ -259,8 +259,10 @@
     sequence, record = shelf.pop()
     shelf.put_note(
         sequence,
-        Note(
-            problem=documents.answer_dropped(record.answered.result().verdict),
+        Tombstone(
+            problem=documents.answer_dropped(
+                record.reply_future.result().verdict
+            ),
             fingerprint=record.fingerprint,
             noted_at=now,
         ),
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -16,7 +16,7 @@
     submissions,
 )
 from sardineproxy.process import store
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 from tests import examples
 from tests.platform import samples
@@ -140,7 +140,9 @@
         self.assertEqual(
             jobs.Step(
                 count=2,
-                shape=jobs.Shape(millicores=14_000, memory_mb=64, gpus=0),
+                resources=jobs.Resources(
+                    millicores=14_000, memory_mb=64, gpus=0
+                ),
                 estimate_s=0.2,
             ),
             job.steps[0],
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -8,13 +8,13 @@
 from sardineproxy import deployment, ids
 from sardineproxy.platform import settings
 from sardineproxy.process import metrics, store
-from sardineproxy.process.node import environment, node, policy, service
+from sardineproxy.process.node import dependencies, node, policy, service
 from sardineproxy.request import jobs
 from sardineproxy.standin import row_store
 from sardineproxy.version import routes
 from tests import virtual_time
 from tests.platform import samples as documents
-from tests.process.cells import samples
+from tests.process.shards import samples
 
 ROUTE = routes.Route(
     route=ids.RouteId('r'),
@@ -68,7 +68,7 @@
 def make_job(**changes: Any) -> jobs.Job:
     """Return a job of one task of 0.3 s."""
     step = jobs.Step(
-        count=1, shape=samples.usual_work('', 1).shape, estimate_s=0.3
+        count=1, resources=samples.usual_work('', 1).resources, estimate_s=0.3
     )
     fields: dict[str, Any] = {
         'job': ids.JobId('00000000000000a1'),
@@ -88,13 +88,13 @@
     return node.Node(
         cfg=make_deployment(),
         rules=policy.Policy(),
-        outside=environment.Outside(
+        dependencies=dependencies.Dependencies(
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
             store=shared,
             workers=api,
             formats=service.platform_formats(),
-            registry=metrics.Metrics(),
+            metrics=metrics.Metrics(),
         ),
     )
 
--- a/tests/process/cells/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -14,13 +14,13 @@
 
 from sardineproxy import ids
 from sardineproxy.connection import messages
-from sardineproxy.process.cells import cell as cells
-from sardineproxy.process.cells import workers
-from sardineproxy.request import board, coordinator, jobs
+from sardineproxy.process.shards import shard as shards
+from sardineproxy.process.shards import workers
+from sardineproxy.request import active_jobs, coordinator, jobs
 from sardineproxy.standin import worker_model
 from sardineproxy.version import routes
 from tests import examples, virtual_time
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 #: Time from a failed answer until a client sends its job again, in seconds.
 RESEND_S = 1.3
@@ -74,26 +74,27 @@
 
     def __init__(self, world: 'World') -> None:
         self.world = world
-        self.board = board.Board()
-        self.ends: dict[cells.Cell, _End] = {}
+        self.board = active_jobs.ActiveJobs()
+        self.ends: dict[shards.ShardLeader, _End] = {}
 
-    def home(self) -> ids.CellId | None:
-        return samples.CELL if self.world.owner in self.ends else None
+    def default_shard(self) -> ids.ShardId | None:
+        return samples.SHARD if self.world.leader in self.ends else None
 
-    def owner(self, cell: ids.CellId) -> Any:
-        return self.ends.get(self.world.owner)
+    def leader(self, shard: ids.ShardId) -> Any:
+        return self.ends.get(self.world.leader)
 
-    def connect(self, owned: cells.Cell) -> None:
+    def connect(self, owned: shards.ShardLeader) -> None:
         near = _End(
-            self.world, lambda end, message: self._to_owner(owned, end, message)
+            self.world,
+            lambda end, message: self._to_leader(owned, end, message),
         )
-        far = _End(self.world, lambda _, message: self.board.tell(message))
+        far = _End(self.world, lambda _, message: self.board.deliver(message))
         near.other = far
         far.other = near
         self.ends[owned] = near
-        self.board.owner_found(samples.CELL)
+        self.board.notify_leader_found(samples.SHARD)
 
-    def cut(self, owned: cells.Cell) -> None:
+    def cut(self, owned: shards.ShardLeader) -> None:
         """Cut a link; both ends notice some time later."""
         near = self.ends.pop(owned, None)
         if near is None:
@@ -104,21 +105,23 @@
         rng = self.world.rng
         loop.call_later(
             rng.uniform(0, NOTICE_S),
-            self.board.owner_lost,
-            samples.CELL,
+            self.board.notify_leader_lost,
+            samples.SHARD,
             near,
         )
         loop.call_later(
             rng.uniform(0, NOTICE_S), self._notice, owned, near.other
         )
 
-    def _notice(self, owned: cells.Cell, far: Any) -> None:
+    def _notice(self, owned: shards.ShardLeader, far: Any) -> None:
         owned.link_lost(far, self.world.rig.clock.now())
 
-    def _to_owner(self, owned: cells.Cell, end: Any, message: Any) -> None:
+    def _to_leader(
+        self, owned: shards.ShardLeader, end: Any, message: Any
+    ) -> None:
         now = self.world.rig.clock.now()
-        if owned in self.world.rig.superseded_cells:
-            end.send(messages.Disowned(cell=samples.CELL))
+        if owned in self.world.rig.superseded_shards:
+            end.send(messages.Disowned(shard=samples.SHARD))
         elif isinstance(message, messages.Submit):
             owned.submit(end, message, now)
         elif isinstance(message, messages.Withdraw):
@@ -133,7 +136,7 @@
         self.fault_share = fault_share
         self.rig = samples.Rig(count=4, work_of=self.work_of)
         self.vms = [Vm(self), Vm(self)]
-        self.owner: cells.Cell
+        self.leader: shards.ShardLeader
         self.epoch = 0
         self.outcomes: list[jobs.Outcome] = []
         self.clients: set[asyncio.Task[None]] = set()
@@ -142,7 +145,7 @@
         draw = random.Random(f'{task}.{run}').randrange(100)
         how = workers.Ending.FAILED if draw < 3 else workers.Ending.DONE
         return worker_model.Work(
-            shape=samples.usual_work(task, run).shape,
+            resources=samples.usual_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
             how=how,
         )
@@ -159,23 +162,23 @@
             delay_s=lambda: self.rng.uniform(0.0001, 0.003),
         )
         api.late_s = self.rng.uniform(0.5, 4)
-        self.owner = self.rig.own(epoch=self.epoch, api=api)
+        self.leader = self.rig.own(epoch=self.epoch, api=api)
         for vm in self.vms:
-            vm.connect(self.owner)
+            vm.connect(self.leader)
 
     def happen(self, kind: str) -> None:
         now = self.rig.clock.now()
         model = self.rng.choice(list(self.rig.models.values()))
         match kind:
             case 'takeover':
-                old = self.owner
+                old = self.leader
                 self.take_over()
                 for vm in self.vms:
                     vm.cut(old)
             case 'silent takeover':
                 self.take_over()
             case 'cut':
-                self.rng.choice(self.vms).cut(self.owner)
+                self.rng.choice(self.vms).cut(self.leader)
             case 'reconnect':
                 self.reconnect()
             case 'crash':
@@ -183,18 +186,18 @@
             case 'restart':
                 self.restart_workers(now)
             case 'stall':
-                self.owner.doubt_all('test')
+                self.leader.doubt_all('test')
 
     def reconnect(self) -> None:
         for vm in self.vms:
-            if self.owner not in vm.ends:
-                vm.connect(self.owner)
+            if self.leader not in vm.ends:
+                vm.connect(self.leader)
 
     def restart_workers(self, now: float) -> None:
         for each in self.rig.models.values():
             if not each.is_up:
                 each.restart(now)
-        self.owner.set_workers(
+        self.leader.set_workers(
             [each.worker for each in self.rig.models.values()], complete=True
         )
 
@@ -206,7 +209,7 @@
             steps=(
                 jobs.Step(
                     count=self.rng.randint(1, 4),
-                    shape=samples.usual_work('', 1).shape,
+                    resources=samples.usual_work('', 1).resources,
                     estimate_s=0.3,
                 ),
             ),
--- a/tests/process/cells/test_cell.py
+++ b/tests/process/shards/test_shard.py
@@ -6,9 +6,9 @@
 from testtools import matchers
 
 from sardineproxy import ids
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 
 def _long(task: workers.TaskName, run: int) -> worker_model.Work:
@@ -96,11 +96,11 @@
 
         samples.with_rig(scenario)
 
-    def test_tasks_without_room_go_to_a_cell_that_has_some(self) -> None:
+    def test_tasks_without_free_capacity_go_to_another_shard(self) -> None:
         """Guards against waiting while another cell is idle."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.CellId('zone-b'), 5, rig.clock.now())
+            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
             owned = await rig.ready()
             link = samples.FakeLink()
             owned.submit(link, samples.make_submit('j1', 5), rig.clock.now())
@@ -114,7 +114,7 @@
         """Guards against tasks sent to an owner that is lost."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.CellId('zone-b'), 5, rig.clock.now())
+            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
             owned = await rig.ready()
             await asyncio.sleep(0.6)
             link = samples.FakeLink()
@@ -127,7 +127,7 @@
         """Guards against tasks that are sent to and fro between cells."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.CellId('zone-b'), 5, rig.clock.now())
+            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
             owned = await rig.ready()
             link = samples.FakeLink()
             owned.submit(
@@ -165,7 +165,7 @@
         samples.with_rig(
             scenario,
             work_of=lambda task, run: worker_model.Work(
-                shape=samples.usual_work(task, run).shape,
+                resources=samples.usual_work(task, run).resources,
                 work_s=0.1,
                 how=workers.Ending.FAILED,
             ),
@@ -224,7 +224,7 @@
 
         samples.with_rig(scenario)
 
-    def test_new_owner_waits_for_the_list_of_workers(self) -> None:
+    def test_new_leader_waits_for_the_list_of_workers(self) -> None:
         """Guards against starts on workers that have said that they leave.
 
         In a sweep of 30 VMs a VM that read the list every 15 s won a cell, and
@@ -244,7 +244,7 @@
 
         samples.with_rig(scenario)
 
-    def test_new_owner_works_without_the_store(self) -> None:
+    def test_new_leader_works_without_the_store(self) -> None:
         """Guards against a zone without work while the store is silent."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -273,7 +273,7 @@
 
         samples.with_rig(scenario)
 
-    def test_worker_that_comes_back_knows_the_same_owner(self) -> None:
+    def test_returning_worker_knows_the_same_leader(self) -> None:
         """Guards against a lower fence after a worker was away."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -287,7 +287,7 @@
             owned.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
             self.assertEqual({0: 'done'}, link.ends())
-            self.assertEqual([], rig.superseded_cells)
+            self.assertEqual([], rig.superseded_shards)
 
         samples.with_rig(scenario)
 
@@ -327,7 +327,7 @@
 
 
 class TestTakeover(testtools.TestCase):
-    def test_new_owner_takes_over_what_runs(self) -> None:
+    def test_new_leader_takes_over_what_runs(self) -> None:
         """Guards against lost work when an owner dies."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -351,7 +351,7 @@
 
         samples.with_rig(scenario, work_of=_long)
 
-    def test_old_owner_is_fenced(self) -> None:
+    def test_old_leader_is_fenced(self) -> None:
         """Guards against two owners that order on one worker."""
 
         async def scenario(rig: samples.Rig) -> None:
@@ -363,7 +363,7 @@
                 rig.clock.now(),
             )
             await asyncio.sleep(0.5)
-            self.assertIn(old, rig.superseded_cells)
+            self.assertIn(old, rig.superseded_shards)
             self.assertEqual([], rig.records())
 
         samples.with_rig(scenario)
--- a/tests/process/keeping/world.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -9,15 +9,20 @@
 from sardineproxy import ids
 from sardineproxy.connection import messages
 from sardineproxy.process import metrics, store
-from sardineproxy.process.cells import cell as cells
-from sardineproxy.process.cells import fences, times, workers
-from sardineproxy.process.keeping import guarded_rows, keeper, records, table
-from sardineproxy.process.membership import keepers
+from sardineproxy.process.shards import shard as shards
+from sardineproxy.process.shards import fences, times, workers
+from sardineproxy.process.stored_jobs import (
+    fenced_rows,
+    job_manager,
+    records,
+    job_table,
+)
+from sardineproxy.process.membership import loaded_shards
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.standin import row_store, run_checks, worker_model
 from sardineproxy.version import routes
 from tests import virtual_time
-from tests.process.cells import samples, wire
+from tests.process.shards import samples, wire
 
 MAX_ATTEMPTS = 3
 
@@ -38,7 +43,7 @@
     steps = tuple(
         jobs.Step(
             count=count,
-            shape=samples.usual_work('', 1).shape,
+            resources=samples.usual_work('', 1).resources,
             estimate_s=0.2,
             after=(position - 1,) if position else (),
         )
@@ -64,7 +69,7 @@
         self.rows = row_store.RowStore()
         self.rng = rng
         self.fault_share = fault_share
-        self.is_down = False
+        self.is_unavailable = False
         self.calls = 0
 
         #: Rows whose writing is refused begin so, none if empty.
@@ -72,41 +77,43 @@
         self._late: set[asyncio.Task[None]] = set()
 
     async def read(self, name: str, *, part: str = '') -> Any:
-        if not await self._passes():
-            return _failed(store.ErrorKind.UNAVAILABLE)
+        if not await self._is_reachable():
+            return _error(store.ErrorKind.UNAVAILABLE)
         page = self.rows.read(name, part=part, limit=10**6)
         return result.Ok(store.Rows(rows=page.rows, revision=page.revision))
 
     async def get(self, key: str, *, part: str = '') -> Any:
-        if not await self._passes():
-            return _failed(store.ErrorKind.UNAVAILABLE)
+        if not await self._is_reachable():
+            return _error(store.ErrorKind.UNAVAILABLE)
         return result.Ok(self.rows.get(key, part=part))
 
     async def transact(self, **changes: Any) -> Any:
-        if not await self._passes() or self._refuses(changes['writes']):
-            return _failed(store.ErrorKind.UNAVAILABLE)
+        if not await self._is_reachable() or self._is_refused(
+            changes['writes']
+        ):
+            return _error(store.ErrorKind.UNAVAILABLE)
         if self.rng.random() < self.fault_share:
-            self._do_later(changes)
-            return _failed(store.ErrorKind.UNKNOWN)
+            self._apply_later(changes)
+            return _error(store.ErrorKind.UNKNOWN)
         done = self.rows.transact(**changes)
         if self.rng.random() < self.fault_share:
-            return _failed(store.ErrorKind.UNKNOWN)
+            return _error(store.ErrorKind.UNKNOWN)
         if isinstance(done, row_store.Conflict):
-            return _failed(store.ErrorKind.CONFLICT)
+            return _error(store.ErrorKind.CONFLICT)
         return result.Ok(done)
 
-    async def _passes(self) -> bool:
+    async def _is_reachable(self) -> bool:
         self.calls += 1
         await asyncio.sleep(self.rng.uniform(0.004, 0.012))
-        return not self.is_down and self.rng.random() >= self.fault_share
+        return not self.is_unavailable and self.rng.random() >= self.fault_share
 
-    def _refuses(self, writes: tuple[store.Write, ...]) -> bool:
+    def _is_refused(self, writes: tuple[store.Write, ...]) -> bool:
         prefix = self.refused_prefix
         return bool(prefix) and any(
             write.key.startswith(prefix) for write in writes
         )
 
-    def _do_later(self, changes: Any) -> None:
+    def _apply_later(self, changes: Any) -> None:
         async def later() -> None:
             await asyncio.sleep(self.rng.uniform(0.1, 4))
             self.rows.transact(**changes)
@@ -138,100 +145,102 @@
 class Process:
     """An owner of the cell with its keeper."""
 
-    def __init__(self, world: 'World', epoch: int) -> None:
-        self.world = world
+    def __init__(self, cluster: 'Cluster', epoch: int) -> None:
+        self.cluster = cluster
         self.epoch = epoch
         self.is_up = True
         self.link: Any = Link(self)
         api = wire.Wire(
-            models=world.rig.models,
-            clock=world.rig.clock,
-            fate_of=world.fate_of,
-            delay_s=lambda: world.rng.uniform(0.0001, 0.003),
+            models=cluster.rig.models,
+            clock=cluster.rig.clock,
+            fate_of=cluster.fate_of,
+            delay_s=lambda: cluster.rng.uniform(0.0001, 0.003),
+        )
+        api.late_s = cluster.rng.uniform(0.5, 4)
+        self.shard: shards.ShardLeader = cluster.rig.own(
+            epoch=epoch, api=api, around=self
         )
-        api.late_s = world.rng.uniform(0.5, 4)
-        self.cell: cells.Cell = world.rig.own(epoch=epoch, api=api, around=self)
-        self.keeper = keeper.Keeper(
-            rows=table.JobTable(
-                cell=samples.CELL,
-                guard=guarded_rows.Guard(
+        self.manager = job_manager.JobManager(
+            rows=job_table.JobTable(
+                shard=samples.SHARD,
+                writer=fenced_rows.Writer(
                     right=fences.Right(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
                 ),
-                store=world.store,
-                clock=world.rig.clock,
-                rng=world.rng,
+                store=cluster.store,
+                clock=cluster.rig.clock,
+                rng=cluster.rng,
                 metrics=metrics.Metrics(),
             ),
             router=self,
-            clock=world.rig.clock,
+            clock=cluster.rig.clock,
             metrics=metrics.Metrics(),
             states_s=120,
         )
-        self._keepers = keepers.Keepers()
-        self.keeper.start()
+        self._keepers = loaded_shards.LoadedShards()
+        self.manager.start()
 
-    def kept(self, job: ids.JobId) -> keepers.Kept | None:
+    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
-        cells_kept = [samples.CELL] if self.keeper.is_loaded else []
-        self._keepers.note(vm, cells_kept, self.world.rig.clock.now())
-        return self._keepers.get(samples.CELL, vm)
+        shards_kept = [samples.SHARD] if self.manager.is_loaded else []
+        self._keepers.update(vm, shards_kept, self.cluster.rig.clock.now())
+        return self._keepers.get(samples.SHARD, vm)
 
     def keeper_of(self, job: ids.JobId) -> Any:
         return self.link
 
-    def confirmed_at(self, cell: ids.CellId, now: float) -> float:
+    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now
 
     def listed_at(self) -> float:
-        return self.world.rig.clock.now()
+        return self.cluster.rig.clock.now()
 
     def list_answers(self) -> bool:
         return True
 
-    def home(self) -> ids.CellId | None:
-        return samples.CELL
+    def default_shard(self) -> ids.ShardId | None:
+        return samples.SHARD
 
-    def owner(self, cell: ids.CellId) -> Any:
+    def leader(self, shard: ids.ShardId) -> Any:
         return self.link
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
-        return self.world.routes.get(route)
+        return self.cluster.routes.get(route)
 
     def receive(self, message: Any) -> None:
         if self.is_up:
-            self._take(message)
+            self._dispatch(message)
 
     async def crash(self) -> None:
         """End without a word."""
         self.is_up = False
-        self.world.rig.superseded_cells.append(self.cell)
-        await self.keeper.close()
-        await self.cell.close()
+        self.cluster.rig.superseded_shards.append(self.shard)
+        await self.manager.close()
+        await self.shard.close()
 
     def relink(self) -> None:
         """Lose the link between keeper and cell, and open a new one."""
         lost = self.link
         self.link = Link(self)
-        self.cell.link_lost(lost, self.world.rig.clock.now())
-        self.keeper.tell_all(
-            open_tasks.OwnerLost(cell=samples.CELL, source=lost)
+        self.shard.link_lost(lost, self.cluster.rig.clock.now())
+        self.manager.broadcast(
+            open_tasks.LeaderLost(shard=samples.SHARD, source=lost)
         )
 
-    def _take(self, message: Any) -> None:
-        now = self.world.rig.clock.now()
+    def _dispatch(self, message: Any) -> None:
+        now = self.cluster.rig.clock.now()
         match message:
             case messages.Submit():
-                self.cell.submit(self.link, message, now)
+                self.shard.submit(self.link, message, now)
             case messages.Withdraw(job=job):
-                self.cell.withdraw(self.link, job)
+                self.shard.withdraw(self.link, job)
             case messages.EndsNoted():
-                self.cell.note_ends(message)
+                self.shard.note_ends(message)
             case _:
-                self.keeper.tell(self.link, message)
+                self.manager.handle_message(self.link, message)
 
 
-class World:
+class Cluster:
     """What several processes in turn see."""
 
     def __init__(
@@ -241,7 +250,7 @@
         fault_share: float = 0,
         count: int = 4,
         failing_percent: int = 0,
-        cfg: times.Cell | None = None,
+        cfg: times.ShardTiming | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.fault_share = fault_share
@@ -250,13 +259,13 @@
         self.store = FaultyStore(self.rng, fault_share)
         self.routes = {ROUTE.route: ROUTE}
         self.epoch = 0
-        self.owner = self.take_over()
+        self.leader = self.take_over()
 
     def work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
         draw = random.Random(f'{task}.{run}').randrange(100)
         is_failing = draw < self.failing_percent
         return worker_model.Work(
-            shape=samples.usual_work(task, run).shape,
+            resources=samples.usual_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
             how=workers.Ending.FAILED if is_failing else workers.Ending.DONE,
         )
@@ -267,32 +276,32 @@
     def take_over(self) -> Process:
         """Give the cell to a new process; the former one goes on."""
         self.epoch += 1
-        self.owner = Process(self, self.epoch)
-        return self.owner
+        self.leader = Process(self, self.epoch)
+        return self.leader
 
     async def replace(self) -> Process:
         """Let the owner crash, and give the cell to a new process."""
-        await self.owner.crash()
+        await self.leader.crash()
         return self.take_over()
 
     def restart_workers(self) -> None:
-        for each in self.rig.models.values():
-            if not each.is_up:
-                each.restart(self.rig.clock.now())
-        self.rig.list_workers(self.owner.cell, list(self.rig.models.values()))
+        for model in self.rig.models.values():
+            if not model.is_up:
+                model.restart(self.rig.clock.now())
+        self.rig.list_workers(self.leader.shard, list(self.rig.models.values()))
 
-    async def settle(self, job: ids.JobId, limit_s: float = 30) -> str:
+    async def wait_for_end(self, job: ids.JobId, limit_s: float = 30) -> str:
         """Wait for the end of a job; return its last state."""
         until = self.rig.clock.now() + limit_s
-        answer = keeper.KeeperAnswer.UNAVAILABLE
+        answer = job_manager.JobReply.UNAVAILABLE
         while self.rig.clock.now() < until:
-            answer = await self.owner.keeper.ask(job)
+            answer = await self.leader.manager.query(job)
             if answer.value in {'completed', 'failed', 'cancelled'}:
                 break
             await asyncio.sleep(0.05)
         return answer.value
 
-    def complaints(self) -> list[str]:
+    def violations(self) -> list[str]:
         found = self.rig.records()
         return [
             *self.rig.complaints(),
@@ -301,5 +310,5 @@
         ]
 
 
-def _failed(kind: store.ErrorKind) -> Any:
+def _error(kind: store.ErrorKind) -> Any:
     return result.Err(store.StoreError(kind=kind, detail=kind.value))
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -47,7 +47,7 @@
             await asyncio.sleep(0)
         finally:
             self.running[vm.name] -= 1
-        return work.Answer(
+        return work.Response(
             status=200, headers=(), body=b'', endpoint=ids.EndpointId(vm.name)
         )
 
@@ -65,8 +65,8 @@
         held = self.held.values()
         return sum(customer in {None, ticket.customer} for ticket in held)
 
-    def take(self, **place: Any) -> slots.Ticket | None:
-        ticket = super().take(**place)
+    def acquire(self, **place: Any) -> slots.Ticket | None:
+        ticket = super().acquire(**place)
         if ticket is not None:
             self.held[ticket.number] = ticket
         return ticket
@@ -89,7 +89,7 @@
     def __init__(self, *endpoint_slots: int, **limits: int) -> None:
         self.client = FakeClient()
         self.slots = LimitedSlots(limits)
-        self.directory = directory.Directory()
+        self.directory = directory.VmDirectory()
         names = [f'w{no}' for no, _ in enumerate(endpoint_slots)]
         self.list_vms(*(samples.make_vm(name=name) for name in names))
         self.own(*endpoint_slots)
@@ -103,7 +103,7 @@
             client=self.client,  # type: ignore[arg-type]
             health=self.health,
             metrics=metrics.Metrics(),
-            cfg=dispatcher.Config(pause_s=0.01),
+            cfg=dispatcher.Config(refusal_pause_s=0.01),
         )
 
     def list_vms(self, *vms: platform.Vm) -> None:
@@ -173,7 +173,7 @@
         rig, outcomes = asyncio.run(run_mix(customers, unreachable, cancelled))
         starts = [request for request, _ in rig.client.started]
         self.assertEqual(len(set(starts)), len(starts))
-        ran = [isinstance(outcome, work.Answer) for outcome in outcomes]
+        ran = [isinstance(outcome, work.Response) for outcome in outcomes]
         answers = {f'{no}' for no, whole in enumerate(ran) if whole}
         self.assertEqual(set(), answers - set(starts))
         self.assertGreater(len(answers), len(outcomes) - cancelled - 2)
@@ -326,7 +326,7 @@
         runs.append(rig.submit('late'))
         rig.client.answer.set()
         await asyncio.gather(*runs)
-        self.assertIsInstance(runs[0].result(), work.Answer)
+        self.assertIsInstance(runs[0].result(), work.Response)
         for run in runs[1:]:
             self.assertEqual('shutting_down', self.code_of(run))
 
@@ -340,5 +340,5 @@
         run = rig.submit('a')
         await turn()
         self.assertEqual([], rig.client.started)
-        self.assertIsInstance(await run, work.Answer)
+        self.assertIsInstance(await run, work.Response)
         self.assertIn('w1', rig.health.ranks)
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -10,11 +10,11 @@
 from sardineproxy.connection import messages
 from sardineproxy.request import coordinator, jobs, open_tasks
 from tests import virtual_time
-from tests.process.cells import samples as cell_samples
+from tests.process.shards import samples as shard_samples
 from tests.process.node import samples
 
-HOME = ids.CellId('zone-a')
-OTHER = ids.CellId('zone-b')
+HOME = ids.ShardId('zone-a')
+OTHER = ids.ShardId('zone-b')
 
 
 class Rig:
@@ -22,13 +22,13 @@
 
     def __init__(self, count: int = 2) -> None:
         self.clock = virtual_time.LoopClock()
-        self.links: dict[ids.CellId, Any] = {
-            HOME: cell_samples.FakeLink('vm-1'),
-            OTHER: cell_samples.FakeLink('vm-2'),
+        self.links: dict[ids.ShardId, Any] = {
+            HOME: shard_samples.FakeLink('vm-1'),
+            OTHER: shard_samples.FakeLink('vm-2'),
         }
         step = jobs.Step(
             count=count,
-            shape=cell_samples.usual_work('', 1).shape,
+            resources=shard_samples.usual_work('', 1).resources,
             estimate_s=0.3,
         )
         self.tested = coordinator.Coordinator(
@@ -41,23 +41,23 @@
         )
         self.outcome = asyncio.create_task(self.tested.run())
 
-    def home(self) -> ids.CellId | None:
+    def default_shard(self) -> ids.ShardId | None:
         return HOME if HOME in self.links else None
 
-    def owner(self, cell: ids.CellId) -> Any:
-        return self.links.get(cell)
+    def leader(self, shard: ids.ShardId) -> Any:
+        return self.links.get(shard)
 
-    def submitted(self, cell: ids.CellId = HOME) -> list[messages.Submit]:
+    def submitted(self, shard: ids.ShardId = HOME) -> list[messages.Submit]:
         return [
             message
-            for message in self.links[cell].sent
+            for message in self.links[shard].sent
             if isinstance(message, messages.Submit)
         ]
 
     async def end(self, index: int, how: str = 'done', run: int = 1) -> None:
-        self.tested.tell(
+        self.tested.post(
             messages.Ended(
-                cell=HOME,
+                shard=HOME,
                 job=self.tested.job.job,
                 step=0,
                 index=index,
@@ -69,11 +69,11 @@
         await asyncio.sleep(0.001)
 
     async def decline(
-        self, *indices: int, cell: ids.CellId = HOME, other: str = ''
+        self, *indices: int, shard: ids.ShardId = HOME, other: str = ''
     ) -> None:
-        self.tested.tell(
+        self.tested.post(
             messages.Declined(
-                cell=cell,
+                shard=shard,
                 job=self.tested.job.job,
                 step=0,
                 indices=indices,
@@ -85,9 +85,9 @@
         )
         await asyncio.sleep(0.001)
 
-    async def lose_owner(self) -> None:
+    async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.tell(open_tasks.OwnerLost(cell=HOME, source=lost))
+        self.tested.post(open_tasks.LeaderLost(shard=HOME, source=lost))
         await asyncio.sleep(0.001)
 
 
@@ -155,7 +155,7 @@
         """Guards against answers on what others may have taken over."""
 
         async def scenario(rig: Rig) -> None:
-            rig.tested.tell(coordinator.Stalled())
+            rig.tested.post(coordinator.Stalled())
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
         with_rig(scenario)
@@ -193,28 +193,28 @@
         with_rig(scenario)
 
 
-class TestLostOwner(testtools.TestCase):
-    def test_new_owner_is_asked_for_what_the_former_one_had(self) -> None:
+class TestLostLeader(testtools.TestCase):
+    def test_new_leader_is_asked_for_what_the_former_one_had(self) -> None:
         """Guards against second runs after a takeover."""
 
         async def scenario(rig: Rig) -> None:
             await rig.end(0)
-            await rig.lose_owner()
-            rig.links[HOME] = cell_samples.FakeLink('vm-3')
-            rig.tested.tell(open_tasks.OwnerFound(cell=HOME))
+            await rig.lose_leader()
+            rig.links[HOME] = shard_samples.FakeLink('vm-3')
+            rig.tested.post(open_tasks.LeaderFound(shard=HOME))
             await asyncio.sleep(0.001)
-            asked = cell_samples.only(rig.submitted())
+            asked = shard_samples.only(rig.submitted())
             self.assertTrue(asked.resumed)
             self.assertEqual(((1, 1),), asked.tasks)
 
         with_rig(scenario)
 
-    def test_job_without_an_owner_is_given_up_in_time(self) -> None:
+    def test_job_without_a_leader_is_given_up_in_time(self) -> None:
         """Guards against requests held until their deadline."""
 
         async def scenario(rig: Rig) -> None:
             begin = rig.clock.now()
-            await rig.lose_owner()
+            await rig.lose_leader()
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
             self.assertThat(rig.clock.now() - begin, matchers.LessThan(1.1))
 
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -12,9 +12,11 @@
 RIVAL = ids.CustomerId('rival')
 
 
-def make_ring(secret: bytes = b'one', incarnation: str = 'a1') -> keys.KeyRing:
+def make_ring(
+    secret: bytes = b'one', incarnation: str = 'a1'
+) -> keys.KeyIssuer:
     names = {'vm': ids.VmId('vm1'), 'incarnation': incarnation}
-    return keys.KeyRing(secret=secret, ttl_s=900, **names)
+    return keys.KeyIssuer(secret=secret, ttl_s=900, **names)
 
 
 class KeyRingTest(testtools.TestCase):
@@ -22,7 +24,7 @@
 
     def test_only_the_customer_and_the_minter_recognize_a_key(self) -> None:
         ring = make_ring()
-        key = keys.parse(ring.mint(customer=WARM, now=5))
+        key = keys.parse(ring.issue(customer=WARM, now=5))
         assert key is not None
         self.assertEqual(905, key.expires_at)
         for judge, customer, expected in (
@@ -40,7 +42,7 @@
         self, data: strategies.DataObject
     ) -> None:
         ring = make_ring()
-        text = ring.mint(customer=WARM, now=5)
+        text = ring.issue(customer=WARM, now=5)
         place = data.draw(strategies.integers(0, len(text) - 1))
         symbol = data.draw(strategies.sampled_from('0123456789abcdef.-sp'))
         changed = text[:place] + symbol + text[place + 1 :]
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -13,7 +13,13 @@
 
 from sardineproxy import clock, ids, verdicts
 from sardineproxy.process import metrics
-from sardineproxy.request import forwarding, job, questions, submissions, work
+from sardineproxy.request import (
+    forwarding,
+    executions,
+    key_requests,
+    submissions,
+    work,
+)
 from sardineproxy.version import contracts, versions
 
 WARM = ids.CustomerId('warm')
@@ -23,8 +29,8 @@
 TASK = {'method': 'POST', 'path': '/stamp', 'body_text': 'reprint'}
 
 
-def make_answer(status: int = 200, body: bytes = b'') -> work.Answer:
-    return work.Answer(
+def make_answer(status: int = 200, body: bytes = b'') -> work.Response:
+    return work.Response(
         status=status, headers=(), body=body, endpoint=ids.EndpointId('e1')
     )
 
@@ -44,7 +50,7 @@
         self.entered.set()
         await self.gate.wait()
         if task.request_id in self.cancelled:
-            return work.Refused(problem=job.cancelled())
+            return work.Refused(problem=executions.cancelled())
         self.starts[task.request_id, task.index] += 1
         outcome = self.outcomes.get(task.index, make_answer(body=task.body))
         if isinstance(outcome, Exception):
@@ -115,22 +121,22 @@
 class SubmissionsCase(testtools.TestCase):
     """Two processes; each test is one scenario on an event loop."""
 
-    def mint(self) -> str:
-        reply = self.process.mint(customer=WARM, body=b'')
+    def issue_key(self) -> str:
+        reply = self.process.issue_keys(customer=WARM, body=b'')
         return json.loads(reply.body)['keys'][0]
 
     async def submit(self, **changes: Any) -> tuple[int, Any]:
         process = changes.pop('process', self.process)
         body = changes.pop('body', TASK)
         arguments = {'customer': WARM, 'key_text': self.key, **changes}
-        arguments.setdefault('kind', work.Kind.SINGLE)
+        arguments.setdefault('kind', work.TaskKind.SINGLE)
         arguments['body'] = json.dumps(body).encode()
         reply = await process.submit(**arguments)
         return reply.status, json.loads(reply.body)
 
     async def submit_job(self, count: int = 3, **changes: Any) -> Any:
         job = {'tasks': [TASK for _ in range(count)]}
-        return await self.submit(kind=work.Kind.JOB, body=job, **changes)
+        return await self.submit(kind=work.TaskKind.JOB, body=job, **changes)
 
     async def ask(
         self, verb: str, process: Any = None, customer: Any = WARM
@@ -159,8 +165,8 @@
         self.process = make_submissions(self.runner, self.mesh)
         self.other = make_submissions(Runner(), self.mesh, vm='vm2')
         self.time = self.mesh.time
-        self.key = self.mint()
-        self.spare = self.mint()
+        self.key = self.issue_key()
+        self.spare = self.issue_key()
         await self._get_test_method()()
         if self.listener:
             await self.listener.close()
@@ -197,13 +203,13 @@
             replayed = await self.submit_job(process=process, customer=RIVAL)
             self.assert_problem(replayed, 'unknown_key', 'not_run', True)
         self.runner.gate.set()
-        await self.process.idle()
+        await self.process.wait_until_idle()
         self.assertEqual(200, (await self.ask('status'))[0])
 
     async def test_refusal_is_remembered(self) -> None:
         """Guards against "not run" for a key that starts work later."""
         self.process.set_version(make_version(submit_per_s=0.1, submit_burst=1))
-        await self.submit(key_text=self.mint())
+        await self.submit(key_text=self.issue_key())
         for _ in range(2):
             refused = await self.submit()
             self.assert_problem(refused, 'rate_limited', 'not_run', True)
@@ -233,7 +239,7 @@
             (None, verdicts.Verdict.NOT_RUN),
         ):
             reply = self.process.refuse(
-                customer=WARM, key_text=key_text, problem=job.cancelled()
+                customer=WARM, key_text=key_text, problem=executions.cancelled()
             )
             self.assertIs(verdict, reply.verdict)
         answer = await self.submit()
@@ -257,7 +263,7 @@
     async def test_job_that_the_runner_cannot_cancel(self) -> None:
         """Its tasks are not known to the runner yet, or run already."""
         for handed_over, verdict in ((False, 'not_run'), (True, 'ran')):
-            key = self.mint()
+            key = self.issue_key()
             await self.submit_job(key_text=key, wait=False)
             if handed_over:
                 await self.runner.entered.wait()
@@ -309,14 +315,14 @@
         self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
 
     async def test_malformed_forward(self) -> None:
-        question = questions.Question(
-            operation=questions.Operation.CANCEL, customer=WARM, key=self.key
+        question = key_requests.KeyRequest(
+            operation=key_requests.Operation.CANCEL, customer=WARM, key=self.key
         )
-        whole = questions.pack_question(question)
+        whole = key_requests.encode_request(question)
         for size, _ in enumerate(whole):
             for payload in (whole[:size], whole + bytes(size + 1)):
                 reply = await self.process.handle(payload)
-                verdict = questions.unpack_reply(reply).verdict
+                verdict = key_requests.decode_reply(reply).verdict
                 self.assertIs(verdicts.Verdict.MAY_HAVE_RUN, verdict)
         self.assertEqual(200, (await self.submit())[0])
 
@@ -332,11 +338,11 @@
             process.drain()
         refused = await self.submit(key_text=self.spare)
         self.assert_problem(refused, 'shutting_down', 'not_run', True)
-        idle = asyncio.create_task(self.process.idle())
+        wait_until_idle = asyncio.create_task(self.process.wait_until_idle())
         await asyncio.sleep(0)
-        self.assertFalse(idle.done())
+        self.assertFalse(wait_until_idle.done())
         self.runner.gate.set()
-        await asyncio.gather(idle, first)
+        await asyncio.gather(wait_until_idle, first)
         self.assertEqual(200, (await self.submit(process=self.other))[0])
 
     async def test_disconnected_caller_does_not_cancel(self) -> None:
@@ -353,8 +359,8 @@
         self.assertIn('"age_s": 2', state)
         self.assertNotIn('reprint', state)
         self.runner.gate.set()
-        await self.other.idle()
-        await self.process.idle()
+        await self.other.wait_until_idle()
+        await self.process.wait_until_idle()
         self.assertEqual(
             {(self.key, 0): 1, (self.spare, 0): 1}, self.runner.starts
         )
@@ -362,5 +368,5 @@
     async def test_overload_is_refused(self) -> None:
         for bounds in ({'max_records': 0}, {'max_running_bytes': 10}):
             self.process = make_submissions(self.runner, self.mesh, **bounds)
-            answer = await self.submit(key_text=self.mint())
+            answer = await self.submit(key_text=self.issue_key())
             self.assert_problem(answer, 'overloaded', 'not_run', True)
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from sardineproxy import ids
-from sardineproxy.process.cells import workers
+from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 from sardineproxy.standin import relay_server, row_store, worker_model
 from tests.platform import worker_server
-from tests.process.cells import samples
+from tests.process.shards import samples
 
 #: Time between two writes of a worker's entry, in seconds.
 BEAT_S = 1.5
@@ -97,7 +97,7 @@
         elif self.fails:
             how = workers.Ending.FAILED
         return worker_model.Work(
-            shape=jobs.Shape(
+            resources=jobs.Resources(
                 millicores=samples.TASK_MILLICORES, memory_mb=64, gpus=0
             ),
             work_s=0.01 if self.fails else random.Random(task).choice(WORK_S),
