--- a/sardineproxy/process/node/dependencies.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -51,7 +51,7 @@
 ) -> job_manager.JobManager:
     """Return the keeper of a cell that this process owns from now on."""
     return job_manager.JobManager(
-        rows=job_table.JobTable(
+        table=job_table.JobTable(
             shard=shard,
             writer=writer,
             store=dependencies.store,
@@ -62,5 +62,5 @@
         router=router,
         clock=dependencies.clock,
         metrics=dependencies.metrics,
-        states_s=states_s,
+        retention_s=states_s,
     )
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -225,7 +225,7 @@
     def closed(self, closed: link.Link) -> None:
         """Forget what the link told."""
         self.led_shards.link_lost(closed, self._clock.now())
-        self.job_service.closed(closed)
+        self.job_service.link_closed(closed)
         if self.links.get(closed.peer.vm) is None:
             self.leaders.forget(closed.peer.vm)
         self._choose_leaders()
@@ -464,7 +464,7 @@
             self._dependencies,
             shard=shard,
             writer=fenced_rows.Writer(
-                right=right, incarnation=self.me.incarnation
+                token=right, incarnation=self.me.incarnation
             ),
             router=self,
             states_s=self.cfg.bounds.states_s,
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -75,9 +75,9 @@
         *,
         stored: records.StoredJob,
         progress: records.JobProgress,
-        home: ids.ShardId,
+        home_shard: ids.ShardId,
         router: Router,
-        rows: job_table.JobTable,
+        table: job_table.JobTable,
         clock: clock.Clock,
         on_finished: Callable[[records.StoredJob], None],
         resumed: bool,
@@ -90,11 +90,11 @@
         self.stored = stored
         self.has_begun = bool(progress.done or progress.failed)
         self._progress = progress
-        self._home = home
+        self._home_shard = home_shard
         self._router = router
-        self._rows = rows
+        self._table = table
         self._clock = clock
-        self._on_end = on_finished
+        self._on_finished = on_finished
         self._events: asyncio.Queue[Event] = asyncio.Queue()
         now = clock.now()
         self._open = open_tasks.OpenTasks(
@@ -146,21 +146,21 @@
             },
         )
         completions = self._pop_unacknowledged()
-        is_stored = await self._rows.put(
+        is_stored = await self._table.put(
             f'{job_table.JOB_PREFIX}{ended.job.job}',
             records.encode_job(ended),
             max_delay_s=FINAL_COMMIT_DELAY_S,
         )
         if is_stored:
             # Not before: the next keeper would start done tasks again.
-            self._rows.put(
+            self._table.put(
                 f'{job_table.PROGRESS_PREFIX}{ended.job.job}',
                 None,
                 max_delay_s=PROGRESS_COMMIT_DELAY_S,
             )
             self.stored = ended
             self._acknowledge([*completions, *self._drain_completions()])
-            self._on_end(ended)
+            self._on_finished(ended)
         if not self.finished.done():
             self.finished.set_result(is_stored)
 
@@ -224,7 +224,7 @@
             tasks = [
                 self._restore_progress(task)
                 for task in open_tasks.new_tasks(
-                    self.stored.job, number, self._home
+                    self.stored.job, number, self._home_shard
                 )
                 if task.key not in self._progress.done
             ]
@@ -237,7 +237,7 @@
             for shard in shards:
                 self._open.send(
                     [task for task in tasks if task.shard == shard],
-                    firm=shard != self._home,
+                    firm=shard != self._home_shard,
                     begun=self._resumed,
                 )
 
@@ -247,9 +247,9 @@
         """Give a task what is known of its former runs."""
         task_progress = self._progress.failed.get(task.key)
         if task_progress is not None:
-            task.number = task_progress.number
-        task.shard = self._progress.moved.get(task.key, self._home)
-        task.was_moved = task.shard != self._home
+            task.number = task_progress.next_run
+        task.shard = self._progress.moved.get(task.key, self._home_shard)
+        task.was_moved = task.shard != self._home_shard
         task.resumed = self._resumed
         return task
 
@@ -311,7 +311,7 @@
         )
         if not tasks:
             return
-        other = ids.ShardId(declined.other or self._home)
+        other = ids.ShardId(declined.other or self._home_shard)
         for task in tasks:
             self._progress.moved[task.key] = other
             task.source = None
@@ -338,7 +338,7 @@
         )
 
     def _put_progress(self) -> asyncio.Future[bool]:
-        return self._rows.put(
+        return self._table.put(
             f'{job_table.PROGRESS_PREFIX}{self.stored.job.job}',
             records.encode_progress(self._progress),
             max_delay_s=PROGRESS_COMMIT_DELAY_S,
--- a/sardineproxy/process/stored_jobs/fenced_rows.py
+++ b/sardineproxy/process/stored_jobs/fenced_rows.py
@@ -46,7 +46,7 @@
 class Writer:
     """Who writes the rows."""
 
-    right: fences.Right
+    token: fences.Right
     incarnation: ids.Incarnation
 
 
@@ -85,7 +85,7 @@
             writer = _decode_writer(row)
             if writer == self.writer:
                 return WriteOutcome.DONE
-            if writer.right > self.writer.right:
+            if writer.token > self.writer.token:
                 return WriteOutcome.SUPERSEDED
         return await self._store_writer()
 
@@ -200,7 +200,7 @@
             'Store did not answer well.',
             extra={
                 'cell': self.shard,
-                'epoch': self.writer.right.epoch,
+                'epoch': self.writer.token.epoch,
                 'kind': error.kind.value,
                 'cause': error.detail,
                 'failures': self.consecutive_failures,
@@ -210,7 +210,7 @@
 
 def _encode_writer(writer: Writer) -> bytes:
     packed: bytes = msgpack.packb(
-        [writer.right.epoch, writer.right.rank, writer.incarnation]
+        [writer.token.epoch, writer.token.rank, writer.incarnation]
     )
     return packed
 
@@ -218,6 +218,6 @@
 def _decode_writer(row: store.Row) -> Writer:
     epoch, rank, incarnation = msgpack.unpackb(row.body or b'')
     return Writer(
-        right=fences.Right(epoch=epoch, rank=rank),
+        token=fences.Right(epoch=epoch, rank=rank),
         incarnation=ids.Incarnation(incarnation),
     )
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -72,22 +72,22 @@
     def __init__(
         self,
         *,
-        rows: job_table.JobTable,
+        table: job_table.JobTable,
         router: execution.Router,
         clock: clock.Clock,
         metrics: metrics.Metrics,
-        states_s: float,
+        retention_s: float,
     ) -> None:
         """Prepare; ``run`` takes the jobs over that are stored.
 
-        States of ended jobs are kept for ``states_s``.
+        States of ended jobs are kept for ``retention_s``.
         """
-        self.shard = rows.shard
-        self._rows = rows
+        self.shard = table.shard
+        self._table = table
         self._router = router
         self._clock = clock
         self._metrics = metrics
-        self._states_s = states_s
+        self._retention_s = retention_s
         self._open: dict[ids.JobId, execution.Execution] = {}
         self._finished: dict[ids.JobId, records.StoredJob] = {}
         self._storing: dict[ids.JobId, asyncio.Future[bool]] = {}
@@ -97,7 +97,7 @@
     @property
     def is_loaded(self) -> bool:
         """Tell whether all stored jobs are known and written only here."""
-        return self._is_loaded and not self._rows.is_superseded
+        return self._is_loaded and not self._table.is_superseded
 
     def start(self) -> None:
         """Take the stored jobs over, and keep the table written."""
@@ -106,7 +106,7 @@
     async def close(self) -> None:
         """Stop writing; jobs and their runs go on with the next keeper."""
         await self._tasks.close()
-        await self._rows.close()
+        await self._table.close()
 
     def pending(self) -> dict[ids.RouteId, int]:
         """Return how many jobs of each route have not begun."""
@@ -187,8 +187,8 @@
         return {
             'cell': self.shard,
             'loaded': self._is_loaded,
-            'unstored_s': round(self._rows.oldest_unstored_s(now), 3),
-            'superseded': self._rows.is_superseded,
+            'unstored_s': round(self._table.oldest_unstored_s(now), 3),
+            'superseded': self._table.is_superseded,
             'open': {
                 job: each.state().value for job, each in self._open.items()
             },
@@ -209,12 +209,12 @@
         return JobReply(running.state().value)
 
     async def _run(self) -> None:
-        found = await self._rows.open()
+        found = await self._table.open()
         if found is None:
             return
         self._load(found)
         self._tasks.spawn(self._clean_up())
-        await self._rows.run()
+        await self._table.run()
 
     def _load(self, found: Iterable[store.Row]) -> None:
         """Take over the jobs that are stored."""
@@ -232,7 +232,7 @@
             'Stored jobs taken over.',
             extra={
                 'cell': self.shard,
-                'epoch': self._rows.epoch,
+                'epoch': self._table.epoch,
                 'open': len(self._open),
                 'ended': len(self._finished),
             },
@@ -272,9 +272,9 @@
         started = execution.Execution(
             stored=stored,
             progress=progress,
-            home=self.shard,
+            home_shard=self.shard,
             router=self._router,
-            rows=self._rows,
+            table=self._table,
             clock=self._clock,
             on_finished=self._record_finished,
             resumed=resumed,
@@ -295,7 +295,7 @@
 
     def _store(self, stored: records.StoredJob) -> asyncio.Future[bool]:
         job = stored.job.job
-        done = self._rows.put(
+        done = self._table.put(
             f'{job_table.JOB_PREFIX}{job}',
             records.encode_job(stored),
             max_delay_s=ACCEPT_COMMIT_DELAY_S,
@@ -321,7 +321,7 @@
         if done.done():
             # An owner that was replaced cannot tell what the store has.
             return JobReply.ACCEPTED if done.result() else JobReply.UNKNOWN
-        if self._rows.withdraw(f'{job_table.JOB_PREFIX}{job}'):
+        if self._table.withdraw(f'{job_table.JOB_PREFIX}{job}'):
             return JobReply.REFUSED
         return JobReply.UNKNOWN
 
@@ -329,7 +329,7 @@
         """Remove the states of jobs that nobody asks for any more."""
         while True:
             await asyncio.sleep(CLEANUP_PERIOD_S)
-            oldest = self._clock.wall() - self._states_s - CLEANUP_SLACK_S
+            oldest = self._clock.wall() - self._retention_s - CLEANUP_SLACK_S
             old = [
                 job
                 for job, ended in self._finished.items()
@@ -338,7 +338,7 @@
             for job in old:
                 self._finished.pop(job)
                 for prefix in (job_table.JOB_PREFIX, job_table.PROGRESS_PREFIX):
-                    self._rows.put(
+                    self._table.put(
                         f'{prefix}{job}',
                         None,
                         max_delay_s=execution.PROGRESS_COMMIT_DELAY_S,
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -145,7 +145,7 @@
                 return False
         return True
 
-    def closed(self, lost: link.Link) -> None:
+    def link_closed(self, lost: link.Link) -> None:
         """Answer what was asked over a link that is lost."""
         for token, used in self._links.items():
             waiting = self._pending_replies[token]
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Prepare; ``open`` must end well before anything is written."""
         self.shard = shard
-        self.epoch = writer.right.epoch
+        self.epoch = writer.token.epoch
         self._rows = fenced_rows.FencedRows(
             shard=shard, writer=writer, store=store, metrics=metrics
         )
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -46,13 +46,13 @@
     ended_at: float = 0
     state: JobState = JobState.QUEUED
 
-    def finish(self, state: JobState, wall: float) -> 'StoredJob':
+    def finish(self, state: JobState, ended_at: float) -> 'StoredJob':
         """Return the job without what is needed only while it runs."""
         return dataclasses.replace(
             self,
             job=dataclasses.replace(self.job, payload='', steps=()),
             state=state,
-            ended_at=wall,
+            ended_at=ended_at,
         )
 
 
@@ -63,7 +63,7 @@
     failures: int = 0
 
     #: Number of its next run.
-    number: int = 1
+    next_run: int = 1
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -84,7 +84,7 @@
         """Tell whether the end of a task's run was counted before."""
         task_progress = self.failed.get(key)
         return key in self.done or (
-            task_progress is not None and run < task_progress.number
+            task_progress is not None and run < task_progress.next_run
         )
 
     def record_success(self, key: open_tasks.TaskKey) -> None:
@@ -96,7 +96,7 @@
         """Count a failed run; return how many there are of the task."""
         task_progress = self.failed.setdefault(key, TaskProgress())
         task_progress.failures += 1
-        task_progress.number = run + 1
+        task_progress.next_run = run + 1
         return task_progress.failures
 
 
@@ -142,7 +142,7 @@
             FORMAT_VERSION,
             sorted(progress.done),
             [
-                (*key, task.failures, task.number)
+                (*key, task.failures, task.next_run)
                 for key, task in progress.failed.items()
             ],
             [(*key, shard) for key, shard in progress.moved.items()],
@@ -160,9 +160,9 @@
                 done={(int(step), int(index)) for step, index in done},
                 failed={
                     (int(step), int(index)): TaskProgress(
-                        failures=int(failures), number=int(number)
+                        failures=int(failures), next_run=int(next_run)
                     )
-                    for step, index, failures, number in failed
+                    for step, index, failures, next_run in failed
                 },
                 moved={
                     (int(step), int(index)): ids.ShardId(shard)
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -161,10 +161,10 @@
             epoch=epoch, api=api, around=self
         )
         self.manager = job_manager.JobManager(
-            rows=job_table.JobTable(
+            table=job_table.JobTable(
                 shard=samples.SHARD,
                 writer=fenced_rows.Writer(
-                    right=fences.Right(epoch=epoch, rank=0),
+                    token=fences.Right(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
                 ),
                 store=cluster.store,
@@ -175,16 +175,18 @@
             router=self,
             clock=cluster.rig.clock,
             metrics=metrics.Metrics(),
-            states_s=120,
+            retention_s=120,
         )
-        self._keepers = loaded_shards.LoadedShards()
+        self._loaded_shards = loaded_shards.LoadedShards()
         self.manager.start()
 
     def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
         shards_kept = [samples.SHARD] if self.manager.is_loaded else []
-        self._keepers.update(vm, shards_kept, self.cluster.rig.clock.now())
-        return self._keepers.get(samples.SHARD, vm)
+        self._loaded_shards.update(
+            vm, shards_kept, self.cluster.rig.clock.now()
+        )
+        return self._loaded_shards.get(samples.SHARD, vm)
 
     def keeper_of(self, job: ids.JobId) -> Any:
         return self.link
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -10,7 +10,7 @@
 from tests.process.shards import samples
 from tests.process.stored_jobs import cluster as clusters
 
-_Answer = job_manager.JobReply
+_Reply = job_manager.JobReply
 
 
 def with_cluster(
@@ -32,7 +32,7 @@
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 3)
             answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Answer.ACCEPTED, answer)
+            self.assertEqual(_Reply.ACCEPTED, answer)
             key = f'{job_table.JOB_PREFIX}{stored.job.job}'
             self.assertIsNotNone(
                 cluster.store.rows.get(key, part=samples.SHARD)
@@ -55,7 +55,7 @@
                     for number in range(120)
                 )
             )
-            self.assertEqual([_Answer.ACCEPTED] * 120, answers)
+            self.assertEqual([_Reply.ACCEPTED] * 120, answers)
 
         with_cluster(scenario)
 
@@ -67,10 +67,10 @@
             answers = await asyncio.gather(
                 *(cluster.leader.manager.accept(stored) for _ in range(3))
             )
-            self.assertEqual([_Answer.ACCEPTED] * 3, answers)
+            self.assertEqual([_Reply.ACCEPTED] * 3, answers)
             await cluster.wait_for_end(stored.job.job)
             answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Answer.ACCEPTED, answer)
+            self.assertEqual(_Reply.ACCEPTED, answer)
             await asyncio.sleep(2)
             self.assertEqual(1, len(cluster.rig.records()))
 
@@ -119,7 +119,7 @@
             await cluster.leader.manager.accept(stored)
             await asyncio.sleep(0.03)
             answer = await cluster.leader.manager.cancel(stored.job.job)
-            self.assertEqual(_Answer.CANCELLED, answer)
+            self.assertEqual(_Reply.CANCELLED, answer)
             await asyncio.sleep(0.05)
             before = len(cluster.rig.records())
             await asyncio.sleep(2)
@@ -136,12 +136,12 @@
             stored = clusters.make_job(1, 1)
             cluster.store.is_unavailable = True
             answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Answer.REFUSED, answer)
+            self.assertEqual(_Reply.REFUSED, answer)
             cluster.store.is_unavailable = False
             await asyncio.sleep(5)
             self.assertEqual([], cluster.rig.records())
             answer = await cluster.leader.manager.query(stored.job.job)
-            self.assertEqual(_Answer.ABSENT, answer)
+            self.assertEqual(_Reply.ABSENT, answer)
 
         with_cluster(scenario)
 
@@ -177,7 +177,7 @@
             await cluster.wait_for_end(stored.job.job)
             await asyncio.sleep(150)
             answer = await cluster.leader.manager.query(stored.job.job)
-            self.assertEqual(_Answer.ABSENT, answer)
+            self.assertEqual(_Reply.ABSENT, answer)
             key = f'{job_table.JOB_PREFIX}{stored.job.job}'
             self.assertIsNone(cluster.store.rows.get(key, part=samples.SHARD))
 
@@ -211,7 +211,7 @@
             await cluster.replace()
             await asyncio.sleep(0.2)
             answer = await cluster.leader.manager.query(stored.job.job)
-            self.assertEqual(_Answer.COMPLETED, answer)
+            self.assertEqual(_Reply.COMPLETED, answer)
 
         with_cluster(scenario)
 
@@ -223,9 +223,9 @@
             cluster.take_over()
             await asyncio.sleep(0.2)
             answer = await former.manager.accept(clusters.make_job(1, 1))
-            self.assertEqual(_Answer.UNKNOWN, answer)
+            self.assertEqual(_Reply.UNKNOWN, answer)
             answer = await former.manager.accept(clusters.make_job(2, 1))
-            self.assertEqual(_Answer.UNAVAILABLE, answer)
+            self.assertEqual(_Reply.UNAVAILABLE, answer)
             await asyncio.sleep(2)
             self.assertEqual([], cluster.rig.records())
 
