--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -101,7 +101,7 @@
                 loan.recalled = True
                 self._index(loan)
 
-    def remove_idle(
+    def pop_idle(
         self, now: float, idle_s: float, *, lender: ids.VmId | None = None
     ) -> dict[ids.VmId, tuple[frames.Lot, ...]]:
         """Remove idle slots that are due and return them for each lender.
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -21,7 +21,7 @@
 GRANT_TIMEOUT_S = 0.3
 
 #: Most slots to ask of a lender that has none free.
-MAX_PROBE_SLOTS = 64
+MAX_PROBE_REQUEST_SLOTS = 64
 
 OutgoingFrames = list[tuple[ids.VmId, frames.Frame]]
 Claims = Mapping[tuple[str, ids.CustomerId], tuple[float, int]]
@@ -208,15 +208,13 @@
 
     def return_idle(self, now: float) -> OutgoingFrames:
         """Return slots that are idle or recalled to their lenders."""
-        return _to_frames(
-            self._borrowed.remove_idle(now, self._cfg.idle_return_s)
-        )
+        return _to_frames(self._borrowed.pop_idle(now, self._cfg.idle_return_s))
 
     def return_all_idle(
         self, vm: ids.VmId | None, now: float
     ) -> OutgoingFrames:
         """Return all idle slots to one lender, or to all if None."""
-        return _to_frames(self._borrowed.remove_idle(now, 0, lender=vm))
+        return _to_frames(self._borrowed.pop_idle(now, 0, lender=vm))
 
     def return_many_idle(self, vm: ids.VmId, now: float) -> OutgoingFrames:
         """Return the idle slots of a lender with a backlog, unless few."""
@@ -281,7 +279,7 @@
         return [
             *((lender, lender.free_slots) for lender in large or ready[:1]),
             *(
-                (lender, MAX_PROBE_SLOTS)
+                (lender, MAX_PROBE_REQUEST_SLOTS)
                 for lender in self._probe_targets(lenders, now)
             ),
         ]
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -78,7 +78,7 @@
             if not estimate.is_ejected:
                 self.ranks[endpoint] = estimate.rank(self._cfg)
 
-    def on_probation(
+    def endpoints_on_probation(
         self, endpoints: Iterable[ids.EndpointId], *, now: float
     ) -> list[ids.EndpointId]:
         """Return those whose ejection has passed and that have no probe.
@@ -94,7 +94,7 @@
             and self._ejected[endpoint].is_on_probation(now)
         ]
 
-    def filter_unsafe_probes(
+    def probes_for_any_task(
         self, probes: list[ids.EndpointId], *, now: float
     ) -> list[ids.EndpointId]:
         """Return those of ``probes`` that any task may probe.
@@ -104,7 +104,7 @@
         """
         if not self.ranks:
             return probes
-        return self.on_probation(
+        return self.endpoints_on_probation(
             probes, now=now - self._cfg.unsafe_probe_after_s
         )
 
@@ -124,7 +124,7 @@
         if estimate is not None and now >= estimate.ejected_until:
             estimate.probes += 1
 
-    def record_answer(self, endpoint: ids.EndpointId, *, now: float) -> None:
+    def record_response(self, endpoint: ids.EndpointId, *, now: float) -> None:
         """Note a whole answer that is no failure of the endpoint."""
         estimate = self._estimates.get(endpoint)
         if estimate is None:
@@ -143,7 +143,7 @@
         now: float,
     ) -> None:
         """Learn from a whole answer without an error status."""
-        self.record_answer(endpoint, now=now)
+        self.record_response(endpoint, now=now)
         cfg = self._cfg
         fleet_s = self._mean_run_s.get(customer, run_s)
         self._mean_run_s[customer] = fleet_s + cfg.fleet_gain * (
@@ -153,8 +153,10 @@
         if estimate is None:
             return
         estimate.failure_rate -= cfg.failure_gain * estimate.failure_rate
-        estimate.update_slowness(self._relative_run_time(customer, run_s), cfg)
-        estimate.last_change = now
+        estimate.update_relative_run_time(
+            self._relative_run_time(customer, run_s), cfg
+        )
+        estimate.last_update = now
         if not estimate.is_ejected:
             self.ranks[endpoint] = estimate.rank(cfg)
 
@@ -181,7 +183,7 @@
         if estimate.is_ejected:
             estimate.renew_ejection(cfg=self._cfg, rng=self._rng, now=now)
             return
-        if self._requests.is_at_fault(request_id, endpoint):
+        if self._requests.is_request_at_fault(request_id, endpoint):
             return
         estimate.failures_in_row += 1
         self._count_failure(endpoint, estimate, now=now)
@@ -247,12 +249,14 @@
         """
         half_life_s = self._cfg.half_life_s
         for endpoint, estimate in self._estimates.items():
-            idle_s = now - estimate.last_change
+            idle_s = now - estimate.last_update
             if idle_s >= 1 and self.ranks.get(endpoint):
                 kept = math.pow(2, -min(idle_s, half_life_s) / half_life_s)
-                estimate.slowness = 1 + (estimate.slowness - 1) * kept
+                estimate.relative_run_time = (
+                    1 + (estimate.relative_run_time - 1) * kept
+                )
                 estimate.failure_rate *= kept
-                estimate.last_change = now
+                estimate.last_update = now
                 self.ranks[endpoint] = estimate.rank(self._cfg)
 
     def state(self, *, now: float) -> dict[str, object]:
@@ -262,7 +266,7 @@
                 'ejected_for_s': max(0, estimate.ejected_until - now)
                 if estimate.is_ejected
                 else None,
-                'slowness': round(estimate.slowness, 3),
+                'slowness': round(estimate.relative_run_time, 3),
                 'failure_rate': round(estimate.failure_rate, 3),
                 'failures_in_row': estimate.failures_in_row,
                 'ejections': estimate.ejections,
@@ -292,7 +296,7 @@
         estimate.failure_rate += self._cfg.failure_gain * (
             1 - estimate.failure_rate
         )
-        estimate.last_change = now
+        estimate.last_update = now
         self.ranks[endpoint] = estimate.rank(self._cfg)
 
     def _eject(
--- a/sardineproxy/process/health_estimates.py
+++ b/sardineproxy/process/health_estimates.py
@@ -15,9 +15,9 @@
 SCORE_STEP = 1.1
 
 #: Requests for which failures and successes are remembered.
-MAX_KNOWN_REQUESTS = 1024
+MAX_TRACKED_REQUESTS = 1024
 
-_RANKS_PER_E = 1 / math.log(SCORE_STEP)
+_RANKS_PER_LOG_UNIT = 1 / math.log(SCORE_STEP)
 
 #: Stands for "some task of the request succeeded".
 _SUCCEEDED = ids.EndpointId('')
@@ -84,7 +84,7 @@
     zone: ids.ZoneId
 
     #: Run time relative to the fleet, as a geometric mean.
-    slowness: float = 1
+    relative_run_time: float = 1
 
     #: Successes that the slowness was learned from.
     observations: int = 0
@@ -101,18 +101,18 @@
     probes: int = 0
     readmitted_at: float = -math.inf
     last_success: float = -math.inf
-    last_change: float = 0
+    last_update: float = 0
 
-    def update_slowness(self, relative: float, cfg: Config) -> None:
+    def update_relative_run_time(self, relative: float, cfg: Config) -> None:
         """Move the slowness towards a task's; the first ones count most.
 
         The mean is geometric, so that one long task does not outweigh many.
         """
         self.observations += 1
         gain = max(cfg.speed_gain, 1 / (self.observations + 1))
-        self.slowness = math.pow(self.slowness, 1 - gain) * math.pow(
-            relative, gain
-        )
+        self.relative_run_time = math.pow(
+            self.relative_run_time, 1 - gain
+        ) * math.pow(relative, gain)
 
     def is_on_probation(self, now: float) -> bool:
         """Tell whether the ejection has passed and no probe is running."""
@@ -139,10 +139,12 @@
 
     def rank(self, cfg: Config) -> int:
         """Return the logarithm of the score in steps of ``SCORE_STEP``."""
-        score = self.slowness * (1 + cfg.failure_weight * self.failure_rate)
+        score = self.relative_run_time * (
+            1 + cfg.failure_weight * self.failure_rate
+        )
         if score <= 0:
             return self.base_rank
-        return self.base_rank + round(math.log(score) * _RANKS_PER_E)
+        return self.base_rank + round(math.log(score) * _RANKS_PER_LOG_UNIT)
 
 
 class RequestFailures:
@@ -159,7 +161,7 @@
         self._first_failed[request_id] = _SUCCEEDED
         self._drop_oldest()
 
-    def is_at_fault(
+    def is_request_at_fault(
         self, request_id: ids.RequestId, endpoint: ids.EndpointId
     ) -> bool:
         """Tell whether the request, not the endpoint, explains a failure."""
@@ -168,5 +170,5 @@
         return first not in {endpoint, _SUCCEEDED}
 
     def _drop_oldest(self) -> None:
-        if len(self._first_failed) > MAX_KNOWN_REQUESTS:
+        if len(self._first_failed) > MAX_TRACKED_REQUESTS:
             self._first_failed.popitem(last=False)
--- a/sardineproxy/process/ownership.py
+++ b/sardineproxy/process/ownership.py
@@ -31,8 +31,11 @@
             self._restrict()
         if not self.settled:
             candidate = self._views.candidate
-            self.settled = now >= self._drain_until or self._table.is_within(
-                candidate.owned, candidate.division
+            self.settled = (
+                now >= self._drain_until
+                or self._table.is_usage_within(
+                    candidate.owned, candidate.division
+                )
             )
         if self._views.confirm_candidate(now, settled=self.settled):
             self._adopt_candidate()
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -9,7 +9,7 @@
 
 #: A task that its deadline cut off counts against the endpoint only after
 #: this multiple of the customer's usual run time.
-MIN_MEAN_RUNS_TO_FAIL = 2
+DEADLINE_FAILURE_FACTOR = 2
 
 #: Above the ranks of all endpoints that may get work.
 _NO_RANK = 1_000_000
@@ -66,14 +66,14 @@
             free = self._remove_excluded(
                 free, entry.exclude | entry.unreachable
             )
-        probes = self._health.on_probation(free, now=now)
-        if probes and _is_harmless_probe(entry.task):
+        probes = self._health.endpoints_on_probation(free, now=now)
+        if probes and _may_probe(entry.task):
             return self._rng.choice(probes)
         rank_of = self._health.ranks.get
         ranks = [rank_of(endpoint, _NO_RANK) for endpoint in free]
         least = min(ranks, default=_NO_RANK)
         if least == _NO_RANK:
-            probes = self._health.filter_unsafe_probes(probes, now=now)
+            probes = self._health.probes_for_any_task(probes, now=now)
             return self._rng.choice(probes) if probes else None
         if ranks.count(least) == 1:
             return free[ranks.index(least)]
@@ -94,7 +94,7 @@
         """Tell the health estimates how a task ended; None if cancelled."""
         match outcome:
             case work.Response(status=status):
-                self._record_answer(task, endpoint, status, run_s, now)
+                self._record_response(task, endpoint, status, run_s, now)
             case work.OutcomeUnknown() if not self._is_deadline_too_short(
                 task, run_s, now
             ):
@@ -110,7 +110,7 @@
             case _:
                 self._health.record_inconclusive(endpoint)
 
-    def _record_answer(
+    def _record_response(
         self,
         task: work.Task,
         endpoint: ids.EndpointId,
@@ -128,7 +128,7 @@
                 endpoint, request_id=request_id, now=now
             )
         elif status >= _CLIENT_ERROR:
-            self._health.record_answer(endpoint, now=now)
+            self._health.record_response(endpoint, now=now)
         else:
             self._health.record_success(
                 endpoint, customer=task.customer, run_s=run_s, now=now
@@ -143,7 +143,7 @@
         if now < task.deadline:
             return False
         usual_s = self._health.mean_run_s(task.customer)
-        return run_s < MIN_MEAN_RUNS_TO_FAIL * usual_s
+        return run_s < DEADLINE_FAILURE_FACTOR * usual_s
 
     def _remove_excluded(
         self,
@@ -156,5 +156,5 @@
         return tuple(endpoint for endpoint in free if endpoint not in exclude)
 
 
-def _is_harmless_probe(task: work.Task) -> bool:
+def _may_probe(task: work.Task) -> bool:
     return task.idempotent and task.kind is work.TaskKind.SINGLE
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -181,7 +181,7 @@
             self._limit_shares[customer] = limit_share
         return limit_share
 
-    def is_within(
+    def is_usage_within(
         self, owned: Mapping[ids.EndpointId, int], division: LimitDivision
     ) -> bool:
         """Tell whether all use and loans are within what a view gives."""
--- a/tests/process/test_health.py
+++ b/tests/process/test_health.py
@@ -77,7 +77,9 @@
         for period_s in (1, 2, 4, 8):
             self.assertEqual(now + period_s, estimates.next_probe_at(now=now))
             now += period_s
-            self.assertEqual([FIRST], estimates.on_probation(NAMES, now=now))
+            self.assertEqual(
+                [FIRST], estimates.endpoints_on_probation(NAMES, now=now)
+            )
             estimates.record_start(FIRST, now=now)
             estimates.fail(FIRST, now=now)
 
@@ -94,11 +96,13 @@
         """Guards against a full load on an endpoint that may be broken."""
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
-        self.assertEqual([], estimates.on_probation(NAMES, now=0.9))
+        self.assertEqual([], estimates.endpoints_on_probation(NAMES, now=0.9))
         estimates.record_start(FIRST, now=1)
-        self.assertEqual([], estimates.on_probation(NAMES, now=1))
+        self.assertEqual([], estimates.endpoints_on_probation(NAMES, now=1))
         estimates.record_inconclusive(FIRST)
-        self.assertEqual([FIRST], estimates.on_probation(NAMES, now=1))
+        self.assertEqual(
+            [FIRST], estimates.endpoints_on_probation(NAMES, now=1)
+        )
         estimates.succeed(FIRST, now=1)
         self.assertIn(FIRST, estimates.ranks)
 
@@ -106,10 +110,10 @@
         """Guards against a job that fails as the probe of a bad endpoint."""
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
-        self.assertEqual([], estimates.filter_unsafe_probes([FIRST], now=2))
+        self.assertEqual([], estimates.probes_for_any_task([FIRST], now=2))
         self.assertEqual(11, estimates.next_probe_at(now=2))
         self.assertEqual(
-            [FIRST], estimates.filter_unsafe_probes([FIRST], now=11)
+            [FIRST], estimates.probes_for_any_task([FIRST], now=11)
         )
 
     def test_any_task_may_probe_the_only_endpoint(self) -> None:
@@ -117,9 +121,7 @@
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
         estimates.ranks.clear()
-        self.assertEqual(
-            [FIRST], estimates.filter_unsafe_probes([FIRST], now=2)
-        )
+        self.assertEqual([FIRST], estimates.probes_for_any_task([FIRST], now=2))
 
     def test_half_of_a_zone_stays(self) -> None:
         """Guards against a zone without endpoints when all seem to fail."""
