--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -12,14 +12,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Change:
+class LeadershipChange:
     """What a new choice of owners changed."""
 
     #: Cells of this VM that another VM owns under a higher right.
     lost: dict[ids.ShardId, ids.VmId]
 
     #: Cells that have a new owner.
-    found: list[ids.ShardId]
+    with_new_leader: list[ids.ShardId]
 
 
 class Leaders:
@@ -41,7 +41,7 @@
         #: Stored jobs that have not begun, by VM that owns their cells.
         self._pending: dict[ids.VmId, tuple[messages.Pending, ...]] = {}
 
-    def take(self, vm: ids.VmId, beat: messages.Beat, now: float) -> bool:
+    def update(self, vm: ids.VmId, beat: messages.Beat, now: float) -> bool:
         """Note what a VM owns; tell whether that has changed."""
         rights: dict[ids.ShardId, fences.Right] = {}
         for shard, epoch, rank, free, _ in beat.shards:
@@ -55,7 +55,7 @@
         self._offers[vm] = rights
         return changed
 
-    def forget(self, vm: ids.VmId, shard: ids.ShardId | None = None) -> None:
+    def remove(self, vm: ids.VmId, shard: ids.ShardId | None = None) -> None:
         """Forget what a VM owns, or that it owns one cell."""
         if shard is None:
             self._offers.pop(vm, None)
@@ -64,7 +64,7 @@
         else:
             self._offers.get(vm, {}).pop(shard, None)
 
-    def pending(self, route: ids.RouteId) -> int:
+    def pending_jobs(self, route: ids.RouteId) -> int:
         """Return how many stored jobs of a route wait at other VMs."""
         return sum(
             count
@@ -73,7 +73,9 @@
             if waiting == route
         )
 
-    def choose(self, own: Mapping[ids.ShardId, fences.Right]) -> Change:
+    def choose(
+        self, own: Mapping[ids.ShardId, fences.Right]
+    ) -> LeadershipChange:
         """Use the owner with the highest right for each cell.
 
         ``own`` are the rights of this VM.
@@ -97,7 +99,7 @@
         ]
         for changed in found:
             _log_leader(changed, *best[changed])
-        return Change(lost=lost, found=found)
+        return LeadershipChange(lost=lost, with_new_leader=found)
 
     def _highest_offers(
         self,
--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -183,7 +183,7 @@
         """Close links to other VMs after a while."""
         self._needed = vms
 
-    def known(self, address: deployment.Address, vm: ids.VmId) -> None:
+    def set_peer_vm(self, address: deployment.Address, vm: ids.VmId) -> None:
         """Note which VM listens at an address."""
         target = self._targets.get(address)
         if target is not None:
--- a/sardineproxy/process/membership/registry.py
+++ b/sardineproxy/process/membership/registry.py
@@ -32,7 +32,7 @@
 
 
 #: An entry VM and one of its processes.
-Process = tuple[ids.VmId, ids.Incarnation]
+ProcessId = tuple[ids.VmId, ids.Incarnation]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -43,11 +43,11 @@
 
     #: Rises with each change of the row, so that a fence made from it does.
     epoch: int
-    owner: Process
+    owner: ProcessId
 
     #: Who may take the cell over while the store cannot be written, in
     #: order. The position is part of the fence.
-    heirs: tuple[Process, ...]
+    heirs: tuple[ProcessId, ...]
 
     #: Revision of the row, 0 if there is none yet.
     revision: int
@@ -113,13 +113,13 @@
         self.claims[shard] = Claim(
             cell=shard,
             epoch=int(document['epoch']),
-            owner=_to_process(document['owner']),
-            heirs=tuple(map(_to_process, document['heirs'])),
+            owner=_to_process_id(document['owner']),
+            heirs=tuple(map(_to_process_id, document['heirs'])),
             revision=row.revision,
         )
 
 
-def _to_process(pair: Any) -> Process:
+def _to_process_id(pair: Any) -> ProcessId:
     vm, incarnation = pair
     return ids.VmId(str(vm)), ids.Incarnation(str(incarnation))
 
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -11,8 +11,8 @@
 
 #: Time without an owner after which the first candidate claims a cell, in
 #: seconds. The first directory and the first links take about 0.3 s.
-FIRST_CLAIM_S = 0.5
-NEXT_CLAIM_S = 0.05
+FIRST_CLAIM_DELAY_S = 0.5
+CLAIM_DELAY_S = 0.05
 
 #: Each further candidate waits this much longer, in seconds.
 CANDIDATE_STEP_S = 0.25
@@ -20,29 +20,29 @@
 #: Time without an owner, but with its workers in reach, after which VMs of
 #: other zones claim a cell, in seconds. After a partition the workers are in
 #: reach up to 0.5 s before the links are open again.
-FOREIGN_CLAIM_S = 0.8
+FOREIGN_CLAIM_DELAY_S = 0.8
 
 #: Time for which a cell's row differs from what its owner would write now
 #: before the owner writes it anew, in seconds.
-REFRESH_S = 1.0
+REFRESH_DELAY_S = 1.0
 
 #: Time between two writes of an owner that has no other VM in reach, in
 #: seconds. VMs of other zones see from them that it lives, and must see one
-#: within ``FOREIGN_CLAIM_S``.
-SIGN_S = 0.5
+#: within ``FOREIGN_CLAIM_DELAY_S``.
+ISOLATED_REFRESH_S = 0.5
 
 #: Up to this number of VMs all are linked with each other. Above it, each is
 #: linked with the owners and with this many candidates of its own zone.
-FULL_MESH = 10
+FULL_MESH_MAX_VMS = 10
 LINKED_CANDIDATES = 3
 
 #: Pause after a claim that failed, in seconds.
-RETRY_S = 0.2
+CLAIM_RETRY_S = 0.2
 
 _LOG = logs.get_logger('claim')
 
 
-class Claiming:
+class ShardClaimer:
     """Claims cells that have no owner in reach."""
 
     def __init__(
@@ -51,22 +51,22 @@
         store: store.Store,
         directory: registry.Registry,
         me: registry.Member,
-        on_right: Callable[[ids.ShardId, fences.Right], None],
+        on_token: Callable[[ids.ShardId, fences.Right], None],
     ) -> None:
-        """Call ``on_right`` with each right that this process wins."""
+        """Call ``on_token`` with each right that this process wins."""
         self._store = store
         self._directory = directory
         self._me = me
-        self._on_right = on_right
+        self._on_right = on_token
         self._absent_since: dict[ids.ShardId, float] = {}
         self._retry_at: dict[ids.ShardId, float] = {}
-        self._stale_since: dict[ids.ShardId, float] = {}
-        self._signed_at: dict[ids.ShardId, float] = {}
+        self._outdated_since: dict[ids.ShardId, float] = {}
+        self._written_at: dict[ids.ShardId, float] = {}
         self._seen_leader: set[ids.ShardId] = set()
         self._seen_revision: dict[ids.ShardId, int] = {}
         self._reached_since: dict[ids.ShardId, float] = {}
 
-    def due(
+    def should_claim(
         self,
         shard: ids.ShardId,
         *,
@@ -90,11 +90,11 @@
         since = self._absent_since.setdefault(shard, now)
         if now < self._retry_at.get(shard, 0):
             return False
-        return now - since >= self._patience_s(shard, in_reach)
+        return now - since >= self._claim_delay_s(shard, in_reach)
 
     def postpone(self, shard: ids.ShardId, now: float) -> None:
         """Do not try a claim again at once."""
-        self._retry_at[shard] = now + RETRY_S
+        self._retry_at[shard] = now + CLAIM_RETRY_S
 
     def record_probe(
         self, shard: ids.ShardId, *, reached: bool, now: float
@@ -107,17 +107,17 @@
             self._reached_since.pop(shard, None)
             return False
         since = self._reached_since.setdefault(shard, now)
-        return now - since >= FOREIGN_CLAIM_S
+        return now - since >= FOREIGN_CLAIM_DELAY_S
 
     async def claim(self, shard: ids.ShardId, now: float) -> None:
         """Write a claim; take the right of an heir if that is impossible."""
         self.postpone(shard, now)
-        self._signed_at[shard] = now
+        self._written_at[shard] = now
         old = self._directory.claims.get(shard)
         claim = registry.Claim(
             cell=shard,
             epoch=old.epoch + 1 if old else 1,
-            owner=self._process(),
+            owner=self._process_id(),
             heirs=self.successors(shard),
             revision=old.revision if old else 0,
         )
@@ -145,9 +145,9 @@
             'Claim failed.', shard, claim.epoch, 0, answer.err_value.detail
         )
         if answer.err_value.kind is not store.ErrorKind.CONFLICT:
-            self._inherit(shard, old)
+            self._claim_as_successor(shard, old)
 
-    def successors(self, shard: ids.ShardId) -> tuple[registry.Process, ...]:
+    def successors(self, shard: ids.ShardId) -> tuple[registry.ProcessId, ...]:
         """Return who may follow this process as owner, in order."""
         return tuple(
             (member.vm, member.incarnation)
@@ -167,11 +167,11 @@
 
     def needs_link(self, one: ids.VmId, other: ids.VmId) -> bool:
         """Tell whether two VMs should be linked; the same for both."""
-        if len(self._directory.members) <= FULL_MESH:
+        if len(self._directory.members) <= FULL_MESH_MAX_VMS:
             return True
-        return self._serves(one, other) or self._serves(other, one)
+        return self._may_lead_for(one, other) or self._may_lead_for(other, one)
 
-    def is_stale(
+    def needs_refresh(
         self,
         shard: ids.ShardId,
         right: fences.Right,
@@ -188,14 +188,14 @@
         if now < self._retry_at.get(shard, 0):
             return False
         if isolated:
-            return now - self._signed_at.get(shard, 0) >= SIGN_S
-        if claim is not None and self._is_mine(claim, right):
-            self._stale_since.pop(shard, None)
+            return now - self._written_at.get(shard, 0) >= ISOLATED_REFRESH_S
+        if claim is not None and self._is_current(claim, right):
+            self._outdated_since.pop(shard, None)
             return False
-        since = self._stale_since.setdefault(shard, now)
-        return now - since >= REFRESH_S
+        since = self._outdated_since.setdefault(shard, now)
+        return now - since >= REFRESH_DELAY_S
 
-    def _serves(self, one: ids.VmId, other: ids.VmId) -> bool:
+    def _may_lead_for(self, one: ids.VmId, other: ids.VmId) -> bool:
         """Tell whether a VM owns a cell or may soon own the other's."""
         if any(
             claim.owner[0] == one for claim in self._directory.claims.values()
@@ -207,15 +207,15 @@
         first = self._candidates(ids.ShardId(member.zone))[:LINKED_CANDIDATES]
         return any(candidate.vm == one for candidate in first)
 
-    def _is_mine(self, claim: registry.Claim, right: fences.Right) -> bool:
+    def _is_current(self, claim: registry.Claim, right: fences.Right) -> bool:
         """Tell whether a claim is what this process would write now."""
-        if claim.owner != self._process() or right.rank:
+        if claim.owner != self._process_id() or right.rank:
             return False
         return claim.epoch == right.epoch and (
             set(claim.heirs) == set(self.successors(claim.cell))
         )
 
-    def _process(self) -> registry.Process:
+    def _process_id(self) -> registry.ProcessId:
         return self._me.vm, self._me.incarnation
 
     def _candidates(self, shard: ids.ShardId) -> list[registry.Member]:
@@ -227,12 +227,12 @@
         ]
         return sorted(members, key=lambda each: (-each.cores, each.vm))
 
-    def _patience_s(
+    def _claim_delay_s(
         self, shard: ids.ShardId, in_reach: frozenset[ids.VmId]
     ) -> float:
-        first_s = FIRST_CLAIM_S
+        first_s = FIRST_CLAIM_DELAY_S
         if shard in self._seen_leader or shard in self._directory.claims:
-            first_s = NEXT_CLAIM_S
+            first_s = CLAIM_DELAY_S
         living = [
             member.vm
             for member in self._candidates(shard)
@@ -245,11 +245,13 @@
         others = sorted({*in_reach, self._me.vm})
         return first_s + CANDIDATE_STEP_S * others.index(self._me.vm)
 
-    def _inherit(self, shard: ids.ShardId, old: registry.Claim | None) -> None:
+    def _claim_as_successor(
+        self, shard: ids.ShardId, old: registry.Claim | None
+    ) -> None:
         """Use the right that the former owner's claim gives this process."""
-        if old is None or self._process() not in old.heirs:
+        if old is None or self._process_id() not in old.heirs:
             return
-        rank = old.heirs.index(self._process()) + 1
+        rank = old.heirs.index(self._process_id()) + 1
         self._log('Cell inherited.', shard, old.epoch, rank, 'store away')
         self._on_right(shard, fences.Right(epoch=old.epoch, rank=rank))
 
--- a/sardineproxy/process/node/core.py
+++ b/sardineproxy/process/node/core.py
@@ -23,7 +23,7 @@
 
 #: Allocations until a collection of each generation. The default of 700 costs
 #: more than it frees, as requests leave few cycles.
-COLLECTOR_THRESHOLDS = (10_000, 20, 20)
+GC_THRESHOLDS = (10_000, 20, 20)
 
 _STATUS = exit_status.ExitStatus
 _LOG = logs.get_logger('node')
@@ -86,12 +86,12 @@
         loop = asyncio.get_running_loop()
         handler = logs.configure_bounded(fd=sys.stdout.fileno(), loop=loop)
         stop = asyncio.Event()
-        loop.set_exception_handler(self._note_error)
+        loop.set_exception_handler(self._handle_loop_error)
         self._stop = stop
-        hang_up = asyncio.Event()
+        reload_requested = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
-        loop.add_signal_handler(signal.SIGHUP, hang_up.set)
+        loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
         own = service.Service(
             cfg=cfg,
             rules=self._rules,
@@ -101,15 +101,17 @@
         started = await own.start()
         if isinstance(started, result.Err):
             return _fail(f'{started.err_value}.', _STATUS.UNAVAILABLE)
-        _calm_collector()
-        watcher = asyncio.create_task(self._watch_settings(own, hang_up))
+        _configure_gc()
+        watcher = asyncio.create_task(
+            self._watch_settings(own, reload_requested)
+        )
         await stop.wait()
         watcher.cancel()
         await own.shut_down()
         handler.close()
         return _STATUS.ERROR if self._has_failed else _STATUS.SUCCESS
 
-    def _note_error(
+    def _handle_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
         """Log an error that nothing handled; end the process on a fatal one.
@@ -128,17 +130,17 @@
             self._stop.set()
 
     async def _watch_settings(
-        self, own: service.Service, hang_up: asyncio.Event
+        self, own: service.Service, reload_requested: asyncio.Event
     ) -> None:
         """Read the settings on SIGHUP, and now and then without it."""
         while True:
             try:
                 async with asyncio.timeout(SETTINGS_PERIOD_S):
-                    await hang_up.wait()
+                    await reload_requested.wait()
                 _LOG.info('Settings are read again: SIGHUP.')
             except TimeoutError:
                 pass  # noqa: WPS420
-            hang_up.clear()
+            reload_requested.clear()
             loaded = settings.load(self._path)
             if isinstance(loaded, result.Err):
                 _LOG.error(
@@ -146,7 +148,7 @@
                     extra={'cause': loaded.err_value},
                 )
             else:
-                own.use(loaded.ok_value)
+                own.update_settings(loaded.ok_value)
 
 
 #: Time between two readings of the settings without a signal, in seconds.
@@ -154,11 +156,11 @@
 SETTINGS_PERIOD_S = 5.0
 
 
-def _calm_collector() -> None:
+def _configure_gc() -> None:
     """Leave what was loaded at the start out of garbage collections."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def _fail(
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -16,18 +16,18 @@
 
 #: Longest wait for a change of the configuration, as a part of the time in
 #: which it must be in force even if one answer is lost.
-CONFIG_WAIT_SHARE = 0.5
+CONFIG_POLL_WAIT_SHARE = 0.5
 
 #: Longest wait for a change of members and claims, in seconds.
-DIRECTORY_WAIT_S = 5.0
+DIRECTORY_POLL_WAIT_S = 5.0
 
 #: The list of workers changes with each of their beats, so that it is asked
 #: for at intervals; a leaving worker must get no orders after 2 s.
-LEADER_ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=0.8)
-SUCCESSOR_ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=1.5)
+LEADER_ROSTER_TIMING = table_follower.PollTiming(wait_s=0, pause_s=0.8)
+SUCCESSOR_ROSTER_TIMING = table_follower.PollTiming(wait_s=0, pause_s=1.5)
 
 #: Pace of VMs that will not own a cell soon.
-ROSTER_PACE = table_follower.PollTiming(wait_s=0, pause_s=15)
+FOLLOWER_ROSTER_TIMING = table_follower.PollTiming(wait_s=0, pause_s=15)
 
 #: Shortest and longest pause before a registration is tried again, in seconds.
 REGISTER_RETRY_MIN_S = 0.3
@@ -78,12 +78,12 @@
             (
                 configuration_table,
                 handler.configuration_changed,
-                _steady(CONFIG_WAIT_SHARE * configuration_s),
+                _fixed_timing(CONFIG_POLL_WAIT_SHARE * configuration_s),
             ),
             (
                 registry.TABLE,
                 handler.directory_changed,
-                _steady(DIRECTORY_WAIT_S),
+                _fixed_timing(DIRECTORY_POLL_WAIT_S),
             ),
             (roster_table, handler.roster_changed, handler.roster_timing),
         )
@@ -126,7 +126,7 @@
         """Return the local time of the list of workers, in seconds."""
         return self.roster.answered_at or 0
 
-    def last_answer_at(self) -> float:
+    def last_response_at(self) -> float:
         """Return the local time of the store's last answer, in seconds."""
         return max(
             each.answered_at or 0
@@ -154,7 +154,7 @@
             )
 
 
-def _steady(wait_s: float) -> Callable[[], table_follower.PollTiming]:
+def _fixed_timing(wait_s: float) -> Callable[[], table_follower.PollTiming]:
     """Return a pace that does not change."""
     timing = table_follower.PollTiming(wait_s=wait_s, pause_s=0)
     return lambda: timing
--- a/sardineproxy/process/node/intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -13,29 +13,29 @@
 _LOG = logs.get_logger('node')
 
 
-class Intake:
+class JobIntake:
     """Runs jobs, and refuses those that would outlive the process."""
 
     def __init__(
         self,
         *,
         job_service: job_service.JobService,
-        board: active_jobs.ActiveJobs,
+        active_jobs: active_jobs.ActiveJobs,
         router: open_tasks.Router,
         versions: in_force.InForce,
         clock: clock.Clock,
         metrics: metrics.Metrics,
     ) -> None:
-        """Run jobs on ``board``."""
+        """Run jobs on ``active_jobs``."""
         self._job_service = job_service
-        self._board = board
+        self._board = active_jobs
         self._router = router
         self._versions = versions
         self._clock = clock
         self._metrics = metrics
 
         #: Local time at which a shutdown ends, None while there is none.
-        self.ends_at: float | None = None
+        self.shutdown_at: float | None = None
 
     async def run(
         self, job: jobs.Job, route: routes.Route, wait_s: float
@@ -65,7 +65,7 @@
         )
         return outcome
 
-    async def keep(
+    async def store(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
@@ -76,20 +76,20 @@
             ),
             wait_s,
         )
-        self._note_question('Job handed in.', job.job, answer, now)
+        self._record_query('Job handed in.', job.job, answer, now)
         return answer
 
-    async def ask(
+    async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
         now = self._clock.now()
         answer = await self._job_service.query(job, wait_s, cancel=cancel)
         text = 'Job cancelled.' if cancel else 'State asked.'
-        self._note_question(text, job, answer, now)
+        self._record_query(text, job, answer, now)
         return answer
 
-    def _note_question(
+    def _record_query(
         self,
         text: str,
         job: ids.JobId,
@@ -114,9 +114,9 @@
         self, job: jobs.Job, route: routes.Route, now: float
     ) -> jobs.Outcome | None:
         """Refuse a job that would not be answered before the process ends."""
-        if self.ends_at is None:
+        if self.shutdown_at is None:
             return None
-        if now + route.bound_s(job.total_estimate_s) <= self.ends_at:
+        if now + route.bound_s(job.total_estimate_s) <= self.shutdown_at:
             return None
         return jobs.NotRun(
             detail='process ends before the job would',
@@ -127,8 +127,8 @@
         self, job: jobs.Job, route: routes.Route, now: float, wait_s: float
     ) -> jobs.Outcome:
         deadline = now + wait_s
-        if self.ends_at is not None:
-            deadline = min(deadline, self.ends_at)
+        if self.shutdown_at is not None:
+            deadline = min(deadline, self.shutdown_at)
         return await self._board.run(
             coordinator.Coordinator(
                 job=job,
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -55,7 +55,7 @@
     def shard_gained(self, shard: ids.ShardId) -> None:
         """Tell others that this process owns a cell."""
 
-    def lost(self, shard: ids.ShardId) -> None:
+    def shard_lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
 
 
@@ -79,7 +79,7 @@
         self,
         *,
         dependencies: ShardDependencies,
-        claims: claiming.Claiming,
+        claims: claiming.ShardClaimer,
         links: links.Links,
         around: Surroundings,
         job_service: job_service.JobService,
@@ -104,7 +104,7 @@
     def tick(self, now: float, *, may_claim: bool) -> None:
         """Claim, refresh and give back cells, and do what is due in them."""
         if may_claim:
-            self._review(now)
+            self._claim_and_return(now)
         for owned in list(self.shards.values()):
             owned.tick(now)
 
@@ -143,7 +143,7 @@
         if owned is not None:
             owned.withdraw(source, job)
 
-    def note_ends(self, noted: messages.EndsNoted) -> None:
+    def acknowledge_results(self, noted: messages.EndsNoted) -> None:
         """Let workers forget ends that are stored."""
         owned = self.shards.get(noted.shard)
         if owned is not None:
@@ -154,7 +154,7 @@
         for owned in self.shards.values():
             owned.link_lost(lost, now)
 
-    def doubt_all(self, why: str) -> None:
+    def mark_all_unconfirmed(self, why: str) -> None:
         """Order nothing from a worker until it has reported anew."""
         for owned in self.shards.values():
             owned.doubt_all(why)
@@ -209,7 +209,7 @@
         )
         self._job_service.remove_manager(shard)
         self._tasks.spawn(lost.close())
-        self._around.lost(shard)
+        self._around.shard_lost(shard)
 
     def superseded(self, lost: shards.ShardLeader) -> None:
         """Give up a cell that another process has taken over."""
@@ -227,21 +227,23 @@
             complete=self._around.is_worker_list_complete(),
         )
 
-    def _review(self, now: float) -> None:
+    def _claim_and_return(self, now: float) -> None:
         self._refresh(now)
         if now >= self._return_at:
             self._return_shards(now)
         in_reach = frozenset(self._links.open_links)
         for shard in self._around.all_shards:
             vm = self._around.leader_of(shard)
-            if self._claims.due(shard, leader=vm, in_reach=in_reach, now=now):
+            if self._claims.should_claim(
+                shard, leader=vm, in_reach=in_reach, now=now
+            ):
                 self.start_claim(shard)
 
     def _refresh(self, now: float) -> None:
         """Write the rows of own cells anew where that is due."""
         isolated = self._around.is_isolated()
         for shard, owned in self.shards.items():
-            if self._claims.is_stale(
+            if self._claims.needs_refresh(
                 shard, owned.right, isolated=isolated, now=now
             ):
                 self.start_claim(shard)
@@ -251,12 +253,12 @@
         for shard in self.shards:
             if shard == self._around.home_shard:
                 continue
-            successor = self._settled_successor(shard, now)
+            successor = self._stable_successor(shard, now)
             if successor is not None:
                 self._return_at = now + RETURN_AFTER_S
                 successor.send(messages.TakeOver(shard=shard))
 
-    def _settled_successor(
+    def _stable_successor(
         self, shard: ids.ShardId, now: float
     ) -> link.Link | None:
         """Return the link to an heir that has been in reach for a while."""
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -26,11 +26,11 @@
     dependencies,
     feeds,
     led_shards,
-    intake,
+    job_intake,
     local_link,
     peering,
     policy,
-    sharing,
+    peer_sync,
     state_dump,
 )
 from sardineproxy.request import active_jobs, open_tasks
@@ -78,12 +78,12 @@
         self.versions = in_force.InForce(
             decode=dependencies.formats.decode_configuration
         )
-        self.board = active_jobs.ActiveJobs()
+        self.active_jobs = active_jobs.ActiveJobs()
         self.directory = registry.Registry()
-        self._sharing = sharing.Sharing(
+        self._peer_sync = peer_sync.PeerSync(
             versions=self.versions,
             directory=self.directory,
-            on_directory=self._call_others,
+            on_directory=self._update_links,
         )
         self.leaders = leaders.Leaders(me=cfg.vm)
         self.workers = worker_list.WorkerList(
@@ -109,18 +109,18 @@
         self.job_service = job_service.JobService(
             directory=self, clock=self._clock
         )
-        self._claims = claiming.Claiming(
+        self._claims = claiming.ShardClaimer(
             store=dependencies.store,
             directory=self.directory,
             me=self.member,
-            on_right=self._lead,
+            on_token=self._lead,
         )
         self.led_shards = led_shards.LedShards(
             dependencies=led_shards.ShardDependencies(
                 api=dependencies.workers,
                 clock=self._clock,
                 metrics=self.metrics,
-                cfg=rules.cell,
+                cfg=rules.shard,
                 new_job_manager=self._new_job_manager,
             ),
             claims=self._claims,
@@ -139,9 +139,9 @@
             rng=dependencies.rng,
             metrics=self.metrics,
         )
-        self.intake = intake.Intake(
+        self.job_intake = job_intake.JobIntake(
             job_service=self.job_service,
-            board=self.board,
+            active_jobs=self.active_jobs,
             router=self,
             versions=self.versions,
             clock=self._clock,
@@ -153,16 +153,16 @@
     async def start(self) -> None:
         """Listen for links, register, and follow the store."""
         await self.links.start(self.cfg.peers)
-        self._call_others()
+        self._update_links()
         self._ticked_at = self._clock.now()
         for work in self._feeds.tasks(self.member):
             self._tasks.spawn(work)
-        self._tasks.spawn(self._keep_ticking())
+        self._tasks.spawn(self._run_ticks())
 
-    def use(self, cfg: deployment.Deployment) -> None:
+    def update_settings(self, cfg: deployment.Deployment) -> None:
         """Use changed settings."""
         self.cfg = cfg
-        self._call_others()
+        self._update_links()
 
     async def close(self) -> None:
         """Stop everything."""
@@ -171,15 +171,15 @@
         await self.led_shards.close()
         await self.links.close()
 
-    def drain(self, *, ends_at: float) -> None:
-        """Ask other VMs to take the cells; this process ends at ``ends_at``."""
-        self.intake.ends_at = ends_at
+    def drain(self, *, shutdown_at: float) -> None:
+        """Ask other VMs to take the cells; this process ends at ``shutdown_at``."""
+        self.job_intake.shutdown_at = shutdown_at
         self.led_shards.hand_over()
 
     @property
     def draining(self) -> bool:
         """Tell whether the process shuts down."""
-        return self.intake.ends_at is not None
+        return self.job_intake.shutdown_at is not None
 
     # Jobs.
 
@@ -219,7 +219,7 @@
 
     def opened(self, opened: link.Link) -> None:
         """Exchange what both ends know."""
-        opened.send(self._beat(self._clock.now()))
+        opened.send(self._heartbeat(self._clock.now()))
         opened.send(messages.DirectoryAsk())
 
     def closed(self, closed: link.Link) -> None:
@@ -227,10 +227,10 @@
         self.led_shards.link_lost(closed, self._clock.now())
         self.job_service.link_closed(closed)
         if self.links.get(closed.peer.vm) is None:
-            self.leaders.forget(closed.peer.vm)
+            self.leaders.remove(closed.peer.vm)
         self._choose_leaders()
         for shard in self.all_shards:
-            self._tell_lost(shard, closed)
+            self._notify_leader_lost(shard, closed)
 
     def received(self, source: link.Link, message: messages.Message) -> None:
         """Act on a message."""
@@ -238,19 +238,19 @@
             return
         match message:
             case messages.EndsNoted():
-                self.led_shards.note_ends(message)
+                self.led_shards.acknowledge_results(message)
             case messages.Submit():
                 self.led_shards.submit(source, message, self._clock.now())
             case messages.Withdraw(shard=shard, job=job):
                 self.led_shards.withdraw(source, shard, job)
             case messages.Ended() | messages.Declined():
-                self.board.deliver(message)
+                self.active_jobs.deliver(message)
             case messages.Greeting():
                 source.abort()
             case messages.Beat() | messages.Disowned() | messages.TakeOver():
                 self._receive_leaderships(source, message)
             case _:
-                self._sharing.received(source, message)
+                self._peer_sync.received(source, message)
 
     # Surroundings of the holdings.
 
@@ -290,9 +290,9 @@
     def waiting_for(self, route: ids.RouteId) -> int:
         """Return how many jobs of a route have not begun."""
         return (
-            self.board.waiting_for(route)
+            self.active_jobs.waiting_for(route)
             + self.job_service.pending().get(route, 0)
-            + self.leaders.pending(route)
+            + self.leaders.pending_jobs(route)
         )
 
     def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
@@ -312,7 +312,7 @@
         successors = self._claims.successors_of_claim(shard)
         if all(self.links.get(vm) is not None for vm in successors):
             return now
-        return self._feeds.last_answer_at()
+        return self._feeds.last_response_at()
 
     def list_answers(self) -> bool:
         """Tell whether the store answers about the list of workers."""
@@ -326,14 +326,14 @@
         """Tell others that this process owns a cell."""
         self._feeds.roster.poll_now()
         self._choose_leaders()
-        self.links.broadcast(self._beat(self._clock.now()))
+        self.links.broadcast(self._heartbeat(self._clock.now()))
 
-    def lost(self, shard: ids.ShardId) -> None:
+    def shard_lost(self, shard: ids.ShardId) -> None:
         """Tell others that this process no longer owns a cell."""
         self.links.broadcast(messages.Disowned(shard=shard))
-        self.links.broadcast(self._beat(self._clock.now()))
+        self.links.broadcast(self._heartbeat(self._clock.now()))
         self._choose_leaders()
-        self._tell_lost(shard, self._local)
+        self._notify_leader_lost(shard, self._local)
 
     def state(self) -> dict[str, object]:
         """Return what this process believes, for the state dump."""
@@ -349,7 +349,7 @@
 
     def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed members and claims."""
-        self._sharing.apply_rows(rows)
+        self._peer_sync.apply_rows(rows)
 
     def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Use changed entries of workers."""
@@ -361,14 +361,14 @@
     def roster_timing(self) -> table_follower.PollTiming:
         """Return how often the list of workers is needed."""
         if self.led_shards.shards:
-            return feeds.LEADER_ROSTER_PACE
+            return feeds.LEADER_ROSTER_TIMING
         if self._claims.is_successor():
-            return feeds.SUCCESSOR_ROSTER_PACE
-        return feeds.ROSTER_PACE
+            return feeds.SUCCESSOR_ROSTER_TIMING
+        return feeds.FOLLOWER_ROSTER_TIMING
 
     # Internals.
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self._tick(self._clock.now())
             await asyncio.sleep(
@@ -381,7 +381,7 @@
         self.leaders.loaded_shards.update(
             self.cfg.vm, self.job_service.loaded_shards(), now
         )
-        self.links.tick(now, self._beat(now))
+        self.links.tick(now, self._heartbeat(now))
         self.led_shards.tick(now, may_claim=not self.draining)
 
     def _check_stall(self, now: float) -> None:
@@ -392,9 +392,9 @@
         _LOG.warning('Process stood still.', extra={'gap_s': round(gap_s, 3)})
         self.metrics.count('stalls_total')
         self._refuse_until = now + STALL_REFUSAL_S
-        self.board.notify_stalled()
+        self.active_jobs.notify_stalled()
         self.links.abort_all()
-        self.led_shards.doubt_all('process stood still')
+        self.led_shards.mark_all_unconfirmed('process stood still')
 
     def _heartbeat_timing(
         self, peer: messages.Greeting
@@ -409,7 +409,7 @@
             return links.LEADER_HEARTBEAT
         return links.FOLLOWER_HEARTBEAT
 
-    def _beat(self, now: float) -> messages.Beat:
+    def _heartbeat(self, now: float) -> messages.Beat:
         return messages.Beat(
             version=self.versions.number,
             shards=self.led_shards.offers(now),
@@ -425,18 +425,18 @@
         match message:
             case messages.Beat(version=version):
                 now = self._clock.now()
-                if self.leaders.take(source.peer.vm, message, now):
+                if self.leaders.update(source.peer.vm, message, now):
                     self._choose_leaders()
-                self._sharing.heard(
+                self._peer_sync.version_reported(
                     source,
                     version,
                     store_answers=self._feeds.is_configuration_available(),
                     now=now,
                 )
             case messages.Disowned(shard=shard):
-                self.leaders.forget(source.peer.vm, shard)
+                self.leaders.remove(source.peer.vm, shard)
                 self._choose_leaders()
-                self._tell_lost(shard, source)
+                self._notify_leader_lost(shard, source)
             case messages.TakeOver(shard=shard):
                 self.led_shards.start_claim(shard)
 
@@ -446,12 +446,14 @@
             # Each loss leads to a new choice, which may have lost them all.
             if shard in self.led_shards.shards:
                 self.led_shards.give_up(shard, f'{vm} has a higher right')
-        for found in change.found:
-            self.board.notify_leader_found(found)
-            self.job_service.broadcast(open_tasks.LeaderFound(shard=found))
+        for shard in change.with_new_leader:
+            self.active_jobs.notify_leader_found(shard)
+            self.job_service.broadcast(open_tasks.LeaderFound(shard=shard))
 
-    def _tell_lost(self, shard: ids.ShardId, source: link.Link) -> None:
-        self.board.notify_leader_lost(shard, source)
+    def _notify_leader_lost(
+        self, shard: ids.ShardId, source: link.Link
+    ) -> None:
+        self.active_jobs.notify_leader_lost(shard, source)
         self.job_service.broadcast(
             open_tasks.LeaderLost(shard=shard, source=source)
         )
@@ -470,9 +472,9 @@
             states_s=self.cfg.bounds.states_s,
         )
 
-    def _call_others(self) -> None:
+    def _update_links(self) -> None:
         """Keep links to all members, and to the seeds while there are none."""
-        peering.use_members(
+        peering.update_link_targets(
             self.links,
             members=self.directory.members.values(),
             claims=self._claims,
--- a/sardineproxy/process/node/sharing.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -21,7 +21,7 @@
 _LOG = logs.get_logger('config')
 
 
-class Sharing:
+class PeerSync:
     """Asks other VMs for versions and claims, and answers their questions."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self._on_directory = on_directory
         self._asking = asking.Asking()
 
-    def heard(
+    def version_reported(
         self, source: link.Link, number: int, *, store_answers: bool, now: float
     ) -> None:
         """Note a VM's version, and ask for it if that is due."""
@@ -64,9 +64,9 @@
             case messages.VersionAsk():
                 source.send(pack_version(self._versions))
             case messages.VersionGive():
-                self._take_version(source, message)
+                self._receive_version(source, message)
 
-    def _take_version(
+    def _receive_version(
         self, source: link.Link, given: messages.VersionGive
     ) -> None:
         unpacked = unpack_version(given)
--- a/sardineproxy/process/node/peering.py
+++ b/sardineproxy/process/node/peering.py
@@ -8,14 +8,14 @@
 
 #: Of two VMs the one with the lower name opens their link; the other one
 #: does so after this time, in seconds.
-CALL_WAIT_S = 0.5
+DIAL_DELAY_S = 0.5
 
 
-def use_members(
+def update_link_targets(
     own: links.Links,
     *,
     members: Iterable[registry.Member],
-    claims: claiming.Claiming,
+    claims: claiming.ShardClaimer,
     cfg: deployment.Deployment,
 ) -> None:
     """Keep links to the members that need one, to the seeds if none does."""
@@ -29,10 +29,10 @@
         return
     own.set_targets(
         {
-            member.address: 0 if cfg.vm < member.vm else CALL_WAIT_S
+            member.address: 0 if cfg.vm < member.vm else DIAL_DELAY_S
             for member in others
         }
     )
     own.set_needed({member.vm for member in others})
     for known in others:
-        own.known(known.address, known.vm)
+        own.set_peer_vm(known.address, known.vm)
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -14,36 +14,38 @@
 MAX_SETTINGS_BYTES = 65_536
 
 #: Longest time that a setting may name, in seconds.
-MAX_SECONDS = 3600
+MAX_SETTING_S = 3600
 
 #: Longest wait of a look, as a part of the lease, which it must extend twice
 #: even if one answer is lost.
-LOOKS_SHARE = 0.3
+POLL_WAIT_SHARE = 0.3
 
 #: A stop is repeated after this multiple of the platform's bound for one.
-STOPS = 2
+STOP_RETRY_FACTOR = 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Policy:
     """Times of cells and of calls to workers."""
 
-    cell: times.ShardTiming = times.ShardTiming()
+    shard: times.ShardTiming = times.ShardTiming()
 
     def fit(self, bounds: deployment.Bounds) -> 'Policy':
         """Return the policy as far as the platform's bounds allow it."""
-        calls = self.cell.calls
+        calls = self.shard.calls
         lease_s = min(calls.lease_s, bounds.lease_s)
         fitted = dataclasses.replace(
             calls,
             lease_s=lease_s,
-            look_wait_s=min(calls.look_wait_s, LOOKS_SHARE * lease_s),
-            stop_retry_s=max(calls.stop_retry_s, STOPS * bounds.stop_s),
+            look_wait_s=min(calls.look_wait_s, POLL_WAIT_SHARE * lease_s),
+            stop_retry_s=max(
+                calls.stop_retry_s, STOP_RETRY_FACTOR * bounds.stop_s
+            ),
         )
         return dataclasses.replace(
             self,
-            cell=dataclasses.replace(
-                self.cell, calls=fitted, distance_factor=bounds.distance_factor
+            shard=dataclasses.replace(
+                self.shard, calls=fitted, distance_factor=bounds.distance_factor
             ),
         )
 
@@ -73,7 +75,7 @@
     if isinstance(of_shard, result.Err):
         return of_shard
     shard_cfg = dataclasses.replace(of_shard.ok_value, calls=workers.ok_value)
-    return result.Ok(Policy(cell=shard_cfg))
+    return result.Ok(Policy(shard=shard_cfg))
 
 
 #: Fields that the platform's bounds set, and no settings file.
@@ -106,9 +108,9 @@
     if not known:
         return f'{place}: unknown setting'
     is_number = isinstance(found, (int, float)) and not isinstance(found, bool)
-    if not is_number or not 0 < float(found) <= MAX_SECONDS:  # type: ignore[arg-type]
+    if not is_number or not 0 < float(found) <= MAX_SETTING_S:  # type: ignore[arg-type]
         return (
-            f'{place}: expected a number over 0 and up to {MAX_SECONDS}, '
+            f'{place}: expected a number over 0 and up to {MAX_SETTING_S}, '
             f'found {found!r:.60}'
         )
     return None
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -25,13 +25,13 @@
 
 #: Least time from SIGTERM until the listeners close, in seconds. The
 #: balancer takes two failed checks, one each second, to notice.
-NOTICE_S = 2.6
+MIN_DRAIN_S = 2.6
 
 #: Time of the grace that is kept for closing, in seconds.
-CLOSE_S = 0.5
+CLOSE_RESERVE_S = 0.5
 
 #: Time between two looks at whether all requests are answered, in seconds.
-DRAIN_STEP_S = 0.05
+DRAIN_POLL_S = 0.05
 
 #: Settings that a running process cannot change.
 _FIXED = frozenset(('vm', 'zone', 'front', 'ready', 'peers'))
@@ -91,7 +91,7 @@
         )
         return result.Ok(None)
 
-    def use(self, cfg: deployment.Deployment) -> None:
+    def update_settings(self, cfg: deployment.Deployment) -> None:
         """Use changed settings as far as a running process can."""
         changed = [
             field.name
@@ -109,7 +109,7 @@
             cfg, **{name: getattr(self._cfg, name) for name in _FIXED}
         )
         self._store.use(self._cfg.store)
-        self._node.use(self._cfg)
+        self._node.update_settings(self._cfg)
 
     async def shut_down(self) -> None:
         """Hand the cells over, answer what is in progress, and close."""
@@ -139,11 +139,11 @@
         """Answer what is in progress before the grace ends."""
         started = self._clock.now()
         _LOG.info('Stopping.', extra={'requests': self._front.busy})
-        limit = started + self._cfg.bounds.grace_s - CLOSE_S
-        self._node.drain(ends_at=limit)
+        limit = started + self._cfg.bounds.grace_s - CLOSE_RESERVE_S
+        self._node.drain(shutdown_at=limit)
         while self._clock.now() < limit:
-            await asyncio.sleep(DRAIN_STEP_S)
-            has_waited = self._clock.now() - started > NOTICE_S
+            await asyncio.sleep(DRAIN_POLL_S)
+            has_waited = self._clock.now() - started > MIN_DRAIN_S
             if has_waited and not self._front.busy:
                 return
         _LOG.warning(
@@ -180,19 +180,19 @@
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> jobs.Outcome:
         """Run a job for a client that waits ``wait_s`` seconds."""
-        return await self._own.intake.run(job, route, wait_s)
+        return await self._own.job_intake.run(job, route, wait_s)
 
     async def keep_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
-        return await self._own.intake.keep(job, route, wait_s)
+        return await self._own.job_intake.store(job, route, wait_s)
 
     async def ask_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
-        return await self._own.intake.ask(job, wait_s, cancel=cancel)
+        return await self._own.job_intake.query(job, wait_s, cancel=cancel)
 
     def waiting_for(self, route: routes.Route) -> int:
         """Return how many jobs of a route wait for their first start."""
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -26,7 +26,7 @@
             shard: dataclasses.asdict(claim)
             for shard, claim in own.directory.claims.items()
         },
-        'jobs': own.board.state(),
+        'jobs': own.active_jobs.state(),
         'kept': [kept.state(now) for kept in own.job_service.managers.values()],
         'cells': [owned.state(now) for owned in own.led_shards.shards.values()],
     }
--- a/tests/process/membership/test_leaders.py
+++ b/tests/process/membership/test_leaders.py
@@ -24,7 +24,7 @@
     """Return owners after each VM has told its epoch of the cell."""
     tested = leaders.Leaders(me=ME)
     for vm, epoch in epochs.items():
-        tested.take(ids.VmId(vm), beat((SHARD, epoch, 0, 5)), 0)
+        tested.update(ids.VmId(vm), beat((SHARD, epoch, 0, 5)), 0)
     return tested
 
 
@@ -38,8 +38,8 @@
     def test_rank_decides_within_an_epoch(self) -> None:
         """Guards against two heirs that are both believed."""
         tested = leaders.Leaders(me=ME)
-        tested.take(FIRST, beat((SHARD, 3, 1, 0)), 0)
-        tested.take(SECOND, beat((SHARD, 3, 2, 0)), 0)
+        tested.update(FIRST, beat((SHARD, 3, 1, 0)), 0)
+        tested.update(SECOND, beat((SHARD, 3, 2, 0)), 0)
         tested.choose({})
         self.assertEqual({SHARD: SECOND}, tested.by_shard)
 
@@ -60,8 +60,8 @@
     def test_only_changes_are_told(self) -> None:
         """Guards against jobs that are sent again for no reason."""
         tested = make_leaders(first=3)
-        self.assertEqual([SHARD], tested.choose({}).found)
-        self.assertEqual([], tested.choose({}).found)
+        self.assertEqual([SHARD], tested.choose({}).with_new_leader)
+        self.assertEqual([], tested.choose({}).with_new_leader)
 
     def test_shard_without_a_leader_is_forgotten_with_its_free_capacity(
         self,
@@ -69,7 +69,7 @@
         """Guards against tasks sent to a VM that is gone."""
         tested = make_leaders(first=3)
         tested.choose({})
-        tested.forget(FIRST)
+        tested.remove(FIRST)
         tested.choose({})
         self.assertEqual({}, tested.by_shard)
         self.assertEqual({}, tested.rooms.free(0))
@@ -78,7 +78,7 @@
         """Guards against all cells of a VM lost with one of them."""
         other = ids.ShardId('zone-b')
         tested = leaders.Leaders(me=ME)
-        tested.take(FIRST, beat((SHARD, 1, 0, 0), (other, 1, 0, 0)), 0)
-        tested.forget(FIRST, SHARD)
+        tested.update(FIRST, beat((SHARD, 1, 0, 0), (other, 1, 0, 0)), 0)
+        tested.remove(FIRST, SHARD)
         tested.choose({})
         self.assertEqual({other: FIRST}, tested.by_shard)
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -34,11 +34,11 @@
         self.store = shared or samples.MemoryStore()
         self.directory = registry.Registry()
         self.rights: list[fences.Right] = []
-        self.claims = claiming.Claiming(
+        self.claims = claiming.ShardClaimer(
             store=self.store,
             directory=self.directory,
             me=me,
-            on_right=lambda _, right: self.rights.append(right),
+            on_token=lambda _, right: self.rights.append(right),
         )
         self.join(me)
 
@@ -51,16 +51,16 @@
     def read(self) -> None:
         self.directory.apply(self.store.rows.read(registry.TABLE).rows)
 
-    def due(self, now: float, **changes: Any) -> bool:
-        return self.claims.due(
+    def should_claim(self, now: float, **changes: Any) -> bool:
+        return self.claims.should_claim(
             SHARD,
             leader=changes.get('leader'),
             in_reach=changes.get('in_reach', NOBODY),
             now=1000 + now,
         )
 
-    def stale(self, now: float, *, isolated: bool = False) -> bool:
-        return self.claims.is_stale(
+    def needs_refresh(self, now: float, *, isolated: bool = False) -> bool:
+        return self.claims.needs_refresh(
             SHARD, self.rights[-1], isolated=isolated, now=1000 + now
         )
 
@@ -78,25 +78,25 @@
         small = Rig(make_member('small'))
         small.join(make_member('large', cores=2))
         reach = frozenset((ids.VmId('large'),))
-        self.assertFalse(small.due(0, in_reach=reach))
-        self.assertFalse(small.due(0.6, in_reach=reach))
-        self.assertTrue(small.due(0.8, in_reach=reach))
+        self.assertFalse(small.should_claim(0, in_reach=reach))
+        self.assertFalse(small.should_claim(0.6, in_reach=reach))
+        self.assertTrue(small.should_claim(0.8, in_reach=reach))
 
     def test_shard_with_a_leader_is_not_claimed(self) -> None:
         """Guards against cells that move for no reason."""
         rig = Rig(make_member('a'))
-        self.assertFalse(rig.due(0))
-        self.assertFalse(rig.due(60, leader=ids.VmId('b')))
-        self.assertFalse(rig.due(60.01))
+        self.assertFalse(rig.should_claim(0))
+        self.assertFalse(rig.should_claim(60, leader=ids.VmId('b')))
+        self.assertFalse(rig.should_claim(60.01))
 
     def test_other_zone_waits_while_the_zone_has_vms(self) -> None:
         """Guards against a zone's cell taken while its VMs can have it."""
         rig = Rig(make_member('a', zone='other'))
         rig.join(make_member('b'))
         reach = frozenset((ids.VmId('b'),))
-        self.assertFalse(rig.due(0, in_reach=reach))
-        self.assertFalse(rig.due(60, in_reach=reach))
-        self.assertTrue(rig.due(61))
+        self.assertFalse(rig.should_claim(0, in_reach=reach))
+        self.assertFalse(rig.should_claim(60, in_reach=reach))
+        self.assertTrue(rig.should_claim(61))
 
     def test_sign_of_life_restarts_the_wait(self) -> None:
         """Guards against the loss of an owner that is only cut off."""
@@ -105,10 +105,10 @@
             leader = Rig(make_member('b'))
             await leader.claim()
             rig = Rig(make_member('a', zone='other'), leader.store)
-            self.assertFalse(rig.due(0))
+            self.assertFalse(rig.should_claim(0))
             await leader.claim(5)
             rig.read()
-            self.assertFalse(rig.due(5))
+            self.assertFalse(rig.should_claim(5))
 
         run(scenario)
 
@@ -182,10 +182,10 @@
         async def scenario() -> None:
             rig = Rig(make_member('a'))
             await rig.claim()
-            self.assertFalse(rig.stale(5))
+            self.assertFalse(rig.needs_refresh(5))
             rig.join(make_member('b'))
-            self.assertFalse(rig.stale(5))
-            self.assertTrue(rig.stale(6.1))
+            self.assertFalse(rig.needs_refresh(5))
+            self.assertTrue(rig.needs_refresh(6.1))
 
         run(scenario)
 
@@ -195,10 +195,12 @@
         async def scenario() -> None:
             rig = Rig(make_member('a'))
             await rig.claim()
-            self.assertTrue(rig.stale(5, isolated=True))
+            self.assertTrue(rig.needs_refresh(5, isolated=True))
             await rig.claim(5)
-            self.assertFalse(rig.stale(5.3, isolated=True))
-            self.assertTrue(rig.stale(5.6, isolated=True))
-            self.assertLess(claiming.SIGN_S, claiming.FOREIGN_CLAIM_S)
+            self.assertFalse(rig.needs_refresh(5.3, isolated=True))
+            self.assertTrue(rig.needs_refresh(5.6, isolated=True))
+            self.assertLess(
+                claiming.ISOLATED_REFRESH_S, claiming.FOREIGN_CLAIM_DELAY_S
+            )
 
         run(scenario)
--- a/tests/process/node/test_node.py
+++ b/tests/process/node/test_node.py
@@ -25,8 +25,8 @@
 
         async def scenario(tested: node.Node) -> None:
             now = virtual_time.LoopClock().now()
-            tested.drain(ends_at=now + 0.5)
-            outcome = await tested.intake.run(
+            tested.drain(shutdown_at=now + 0.5)
+            outcome = await tested.job_intake.run(
                 samples.make_job(), samples.ROUTE, 2
             )
             self.assertEqual(
@@ -44,7 +44,7 @@
 
         async def scenario(tested: node.Node) -> None:
             self.assertFalse(tested.draining)
-            tested.drain(ends_at=2000)
+            tested.drain(shutdown_at=2000)
             self.assertTrue(tested.draining)
             self.assertFalse(tested.is_ready())
 
--- a/tests/process/node/test_sharing.py
+++ b/tests/process/node/test_peer_sync.py
@@ -10,7 +10,7 @@
 from sardineproxy.platform import configuration
 from sardineproxy.process import store
 from sardineproxy.process.membership import registry
-from sardineproxy.process.node import sharing
+from sardineproxy.process.node import peer_sync
 from sardineproxy.version import in_force
 from tests.platform import samples
 
@@ -27,16 +27,16 @@
         )
         versions = in_force.InForce(decode=configuration.decode)
         versions.offer(body, 'test')
-        packed = sharing.pack_version(versions)
+        packed = peer_sync.pack_version(versions)
         self.assertThat(len(packed.packed), matchers.LessThan(len(body) // 8))
-        self.assertEqual(body, sharing.unpack_version(packed).ok_value)
+        self.assertEqual(body, peer_sync.unpack_version(packed).ok_value)
 
     def test_damaged_and_oversized_versions_are_refused(self) -> None:
         """Guards against memory that a peer's message fills."""
-        huge = zlib.compress(bytes(sharing.MAX_VERSION_BYTES + 1))
+        huge = zlib.compress(bytes(peer_sync.MAX_VERSION_BYTES + 1))
         for packed in (b'no zlib', huge, zlib.compress(b'{}')[:-1]):
             given = messages.VersionGive(number=1, packed=packed)
-            unpacked = sharing.unpack_version(given)
+            unpacked = peer_sync.unpack_version(given)
             self.assertIsInstance(unpacked, result.Err)
 
 
@@ -50,5 +50,5 @@
             body=b'{"epoch": 3, "owner": ["a", "1"], "heirs": []}',
         )
         directory.apply((row,))
-        given = sharing.pack_directory(directory)
-        self.assertEqual((row,), sharing.unpack_directory(given))
+        given = peer_sync.pack_directory(directory)
+        self.assertEqual((row,), peer_sync.unpack_directory(given))
--- a/tests/process/node/test_policy.py
+++ b/tests/process/node/test_policy.py
@@ -21,8 +21,8 @@
         """Guards against settings that have no effect."""
         text = '{"cell": {"recall_s": 4}, "workers": {"lease_s": 0.5}} // end'
         rules = policy.parse(text).ok_value
-        self.assertEqual(4, rules.cell.recall_s)
-        self.assertEqual(0.5, rules.cell.calls.lease_s)
+        self.assertEqual(4, rules.shard.recall_s)
+        self.assertEqual(0.5, rules.shard.calls.lease_s)
 
     def test_errors_name_the_place(self) -> None:
         """Guards against a misspelt setting that is taken for a default."""
@@ -45,7 +45,7 @@
         bounds = dataclasses.replace(
             samples.make_deployment().bounds, lease_s=0.4
         )
-        calls = policy.Policy().fit(bounds).cell.calls
+        calls = policy.Policy().fit(bounds).shard.calls
         self.assertEqual(0.4, calls.lease_s)
         self.assertThat(2 * calls.look_wait_s, matchers.LessThan(0.4))
 
@@ -54,7 +54,7 @@
         bounds = dataclasses.replace(
             samples.make_deployment().bounds, stop_s=0.5
         )
-        calls = policy.Policy().fit(bounds).cell.calls
+        calls = policy.Policy().fit(bounds).shard.calls
         self.assertThat(calls.stop_retry_s, matchers.GreaterThan(0.5))
 
     def test_usual_bounds_change_nothing(self) -> None:
