--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -100,7 +100,7 @@
     if not 0 < len(steps) <= MAX_STEPS or not 0 < tasks <= MAX_TASKS:
         raise fields.FormatError(f'{len(steps)} steps with {tasks} tasks')
     return jobs.Job(
-        job=job,
+        job_id=job,
         payload=payload,
         steps=steps,
         stored=not fields.flag(document, 'burstable'),
--- a/sardineproxy/process/node/job_intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -53,7 +53,7 @@
         _LOG.info(
             'Job answered.',
             extra={
-                'job': job.job,
+                'job': job.job_id,
                 'route': route.route,
                 'version': self._versions.number,
                 'outcome': kind,
@@ -76,7 +76,7 @@
             ),
             wait_s,
         )
-        self._record_query('Job handed in.', job.job, answer, now)
+        self._record_query('Job handed in.', job.job_id, answer, now)
         return answer
 
     async def query(
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -140,21 +140,21 @@
         _LOG.info(
             'Job ends.',
             extra={
-                'job': ended.job.job,
+                'job': ended.job.job_id,
                 'state': state.value,
                 'age_s': round(ended.ended_at - ended.accepted_at, 4),
             },
         )
         completions = self._pop_unacknowledged()
         is_stored = await self._table.put(
-            f'{job_table.JOB_PREFIX}{ended.job.job}',
+            f'{job_table.JOB_PREFIX}{ended.job.job_id}',
             records.encode_job(ended),
             max_delay_s=FINAL_COMMIT_DELAY_S,
         )
         if is_stored:
             # Not before: the next keeper would start done tasks again.
             self._table.put(
-                f'{job_table.PROGRESS_PREFIX}{ended.job.job}',
+                f'{job_table.PROGRESS_PREFIX}{ended.job.job_id}',
                 None,
                 max_delay_s=PROGRESS_COMMIT_DELAY_S,
             )
@@ -181,7 +181,7 @@
                 case messages.Ended(how=jobs.TaskResult.REPLACED.value):
                     _LOG.info(
                         'Another keeper has the job.',
-                        extra={'job': self.stored.job.job},
+                        extra={'job': self.stored.job.job_id},
                     )
                     return None
                 case messages.Ended() if self._handle_completion(event):
@@ -283,7 +283,7 @@
         _LOG.info(
             'Task failed.',
             extra={
-                'job': self.stored.job.job,
+                'job': self.stored.job.job_id,
                 'task': key,
                 'run': run,
                 'failures': failures,
@@ -339,7 +339,7 @@
 
     def _put_progress(self) -> asyncio.Future[bool]:
         return self._table.put(
-            f'{job_table.PROGRESS_PREFIX}{self.stored.job.job}',
+            f'{job_table.PROGRESS_PREFIX}{self.stored.job.job_id}',
             records.encode_progress(self._progress),
             max_delay_s=PROGRESS_COMMIT_DELAY_S,
         )
@@ -379,7 +379,7 @@
                 source.send(
                     messages.EndsNoted(
                         shard=completion.shard,
-                        job=self.stored.job.job,
+                        job=self.stored.job.job_id,
                         step=completion.step,
                         ends=((completion.index, completion.run),),
                     )
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -118,7 +118,7 @@
 
     async def accept(self, stored: records.StoredJob) -> JobReply:
         """Store a job, unless it is stored already."""
-        job = stored.job.job
+        job = stored.job.job_id
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
         if job in self._open or job in self._finished:
@@ -248,7 +248,7 @@
             return
         stored = decoded.ok_value
         if stored.state.is_final:
-            self._finished[stored.job.job] = stored
+            self._finished[stored.job.job_id] = stored
             return
         progress = records.JobProgress()
         if of_tasks is not None:
@@ -279,7 +279,7 @@
             on_finished=self._record_finished,
             resumed=resumed,
         )
-        self._open[stored.job.job] = started
+        self._open[stored.job.job_id] = started
         started.start()
         self._tasks.spawn(started.run())
 
@@ -290,11 +290,11 @@
             max(0, ended.ended_at - ended.accepted_at),
             state=ended.state.value,
         )
-        self._open.pop(ended.job.job)
-        self._finished[ended.job.job] = ended
+        self._open.pop(ended.job.job_id)
+        self._finished[ended.job.job_id] = ended
 
     def _store(self, stored: records.StoredJob) -> asyncio.Future[bool]:
-        job = stored.job.job
+        job = stored.job.job_id
         done = self._table.put(
             f'{job_table.JOB_PREFIX}{job}',
             records.encode_job(stored),
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -90,7 +90,7 @@
         """Store a job at its home."""
         body = records.encode_job(stored)
         return await self._request_from_leader(
-            stored.job.job,
+            stored.job.job_id,
             wait_s,
             lambda shard, token: messages.KeepJob(
                 shard=shard, token=token, record=body
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -106,7 +106,7 @@
     packed: bytes = msgpack.packb(
         [
             FORMAT_VERSION,
-            stored.job.job,
+            stored.job.job_id,
             stored.job.payload,
             [_pack_step(step) for step in stored.job.steps],
             [
@@ -206,7 +206,7 @@
 ) -> StoredJob:
     return StoredJob(
         job=jobs.Job(
-            job=ids.JobId(job),
+            job_id=ids.JobId(job),
             payload=payload,
             steps=tuple(_unpack_step(*step) for step in steps),
             stored=True,
--- a/sardineproxy/request/active_jobs.py
+++ b/sardineproxy/request/active_jobs.py
@@ -32,7 +32,7 @@
 
     async def run(self, new: coordinator.Coordinator) -> jobs.Outcome:
         """Run a job, or join it if it is in progress."""
-        job = new.job.job
+        job = new.job.job_id
         entry = self._entries.get(job)
         if entry is None:
             entry = _Entry(coordinator=new, task=asyncio.create_task(new.run()))
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -212,7 +212,7 @@
             _LOG.info(
                 'Owner lost, tasks wait for another.',
                 extra={
-                    'job': self.job.job,
+                    'job': self.job.job_id,
                     'cell': lost.shard,
                     'owner': lost.source.peer.vm,
                     'tasks': [task.index for task in stranded],
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -78,7 +78,7 @@
 class Job:
     """What a client asks for under one id."""
 
-    job: ids.JobId
+    job_id: ids.JobId
 
     #: What the tasks are to do; workers read it.
     payload: str
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -156,7 +156,7 @@
         sent = source.send(
             messages.Submit(
                 shard=first.shard,
-                job=self.job.job,
+                job=self.job.job_id,
                 step=first.step,
                 route=self.route.route,
                 service=self.route.service,
@@ -224,7 +224,7 @@
         }
         for shard, source in places:
             if source is not None:
-                source.send(messages.Withdraw(shard=shard, job=self.job.job))
+                source.send(messages.Withdraw(shard=shard, job=self.job.job_id))
         self._open.clear()
 
     def _has_others(self, tasks: Sequence[OpenTask]) -> bool:
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -71,7 +71,7 @@
         count=1, resources=samples.usual_work('', 1).resources, estimate_s=0.3
     )
     fields: dict[str, Any] = {
-        'job': ids.JobId('00000000000000a1'),
+        'job_id': ids.JobId('00000000000000a1'),
         'payload': 'text',
         'steps': (step,),
     }
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -204,7 +204,7 @@
     async def client(self, number: int) -> None:
         """Send a job, and send it again to another VM after a failure."""
         job = jobs.Job(
-            job=ids.JobId(f'{number:016x}'),
+            job_id=ids.JobId(f'{number:016x}'),
             payload='text',
             steps=(
                 jobs.Step(
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -50,7 +50,7 @@
         for position, count in enumerate(counts)
     )
     job = jobs.Job(
-        job=ids.JobId(f'{number:016x}'),
+        job_id=ids.JobId(f'{number:016x}'),
         payload='text',
         steps=steps,
         stored=True,
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -33,12 +33,12 @@
             stored = clusters.make_job(1, 3)
             answer = await cluster.leader.manager.accept(stored)
             self.assertEqual(_Reply.ACCEPTED, answer)
-            key = f'{job_table.JOB_PREFIX}{stored.job.job}'
+            key = f'{job_table.JOB_PREFIX}{stored.job.job_id}'
             self.assertIsNotNone(
                 cluster.store.rows.get(key, part=samples.SHARD)
             )
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(3, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -68,7 +68,7 @@
                 *(cluster.leader.manager.accept(stored) for _ in range(3))
             )
             self.assertEqual([_Reply.ACCEPTED] * 3, answers)
-            await cluster.wait_for_end(stored.job.job)
+            await cluster.wait_for_end(stored.job.job_id)
             answer = await cluster.leader.manager.accept(stored)
             self.assertEqual(_Reply.ACCEPTED, answer)
             await asyncio.sleep(2)
@@ -83,7 +83,7 @@
             stored = clusters.make_job(1, 2, 3, 1)
             await cluster.leader.manager.accept(stored)
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             spans: dict[str, list[tuple[float, float]]] = {}
             for record in cluster.rig.records():
@@ -105,7 +105,7 @@
             stored = clusters.make_job(1, 1)
             await cluster.leader.manager.accept(stored)
             self.assertEqual(
-                'failed', await cluster.wait_for_end(stored.job.job)
+                'failed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(clusters.MAX_ATTEMPTS, len(cluster.rig.records()))
 
@@ -118,7 +118,7 @@
             stored = clusters.make_job(1, 30)
             await cluster.leader.manager.accept(stored)
             await asyncio.sleep(0.03)
-            answer = await cluster.leader.manager.cancel(stored.job.job)
+            answer = await cluster.leader.manager.cancel(stored.job.job_id)
             self.assertEqual(_Reply.CANCELLED, answer)
             await asyncio.sleep(0.05)
             before = len(cluster.rig.records())
@@ -140,7 +140,7 @@
             cluster.store.is_unavailable = False
             await asyncio.sleep(5)
             self.assertEqual([], cluster.rig.records())
-            answer = await cluster.leader.manager.query(stored.job.job)
+            answer = await cluster.leader.manager.query(stored.job.job_id)
             self.assertEqual(_Reply.ABSENT, answer)
 
         with_cluster(scenario)
@@ -160,7 +160,7 @@
             )
             cluster.store.is_unavailable = False
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             await asyncio.sleep(1)
             for record in cluster.rig.records():
@@ -174,11 +174,11 @@
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             await cluster.leader.manager.accept(stored)
-            await cluster.wait_for_end(stored.job.job)
+            await cluster.wait_for_end(stored.job.job_id)
             await asyncio.sleep(150)
-            answer = await cluster.leader.manager.query(stored.job.job)
+            answer = await cluster.leader.manager.query(stored.job.job_id)
             self.assertEqual(_Reply.ABSENT, answer)
-            key = f'{job_table.JOB_PREFIX}{stored.job.job}'
+            key = f'{job_table.JOB_PREFIX}{stored.job.job_id}'
             self.assertIsNone(cluster.store.rows.get(key, part=samples.SHARD))
 
         with_cluster(scenario)
@@ -194,7 +194,7 @@
             await asyncio.sleep(0.15)
             await cluster.replace()
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(6, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -207,10 +207,10 @@
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             await cluster.leader.manager.accept(stored)
-            await cluster.wait_for_end(stored.job.job)
+            await cluster.wait_for_end(stored.job.job_id)
             await cluster.replace()
             await asyncio.sleep(0.2)
-            answer = await cluster.leader.manager.query(stored.job.job)
+            answer = await cluster.leader.manager.query(stored.job.job_id)
             self.assertEqual(_Reply.COMPLETED, answer)
 
         with_cluster(scenario)
@@ -244,7 +244,7 @@
             await asyncio.sleep(2)
             cluster.store.is_unavailable = False
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -263,7 +263,7 @@
             await asyncio.sleep(1)
             cluster.store.refused_prefix = ''
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -282,7 +282,7 @@
                 await asyncio.sleep(0.12)
                 await cluster.replace()
             self.assertEqual(
-                'failed', await cluster.wait_for_end(stored.job.job)
+                'failed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual([], cluster.violations())
 
@@ -297,7 +297,7 @@
             await asyncio.sleep(0.1)
             cluster.leader.relink()
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
 
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -79,9 +79,9 @@
                 break
             await asyncio.sleep(1.3)
         if answers[-1] is job_manager.JobReply.ACCEPTED:
-            self.accepted.add(stored.job.job)
+            self.accepted.add(stored.job.job_id)
         elif job_manager.JobReply.UNKNOWN not in answers:
-            self.refused.add(stored.job.job)
+            self.refused.add(stored.job.job_id)
 
     async def _inject(self, kind: str) -> None:
         cluster = self.cluster
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -58,7 +58,7 @@
         self.tested.post(
             messages.Ended(
                 shard=HOME,
-                job=self.tested.job.job,
+                job=self.tested.job.job_id,
                 step=0,
                 index=index,
                 run=run,
@@ -74,7 +74,7 @@
         self.tested.post(
             messages.Declined(
                 shard=shard,
-                job=self.tested.job.job,
+                job=self.tested.job.job_id,
                 step=0,
                 indices=indices,
                 other=other,
