--- a/sardineproxy/process/stored_jobs/__init__.py
+++ b/sardineproxy/process/stored_jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Stored jobs: where they are kept and how they are carried out."""
+"""Stored jobs: their storage in the platform's store and their execution."""
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -1,4 +1,4 @@
-"""One stored job at its keeper, from acceptance or takeover to its end."""
+"""Execution of one stored job by the leader of its home shard."""
 
 import asyncio
 import dataclasses
@@ -11,36 +11,38 @@
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.version import routes
 
-#: Ends of tasks whose job goes on wait this long for others to join their
-#: commit, in seconds. A shorter wait means more calls to the store, a longer
-#: one more looks at workers.
+#: Delay in seconds by which task results of an unfinished job are grouped
+#: into one commit. A shorter delay causes more calls to the store, a longer
+#: one more polls of workers.
 PROGRESS_COMMIT_DELAY_S = 0.025
 
-#: The same for the end of a job, which clients wait for.
+#: Delay in seconds of the commit of a job's final state, which clients wait
+#: for.
 FINAL_COMMIT_DELAY_S = 0.005
 
-#: Deadline of a job from its acceptance, in seconds. No client waits for its
-#: end, and the owners of cells do not give it up.
+#: Time from acceptance to the deadline of a job, in seconds. It never
+#: expires in practice: no client holds a connection for the result, and
+#: shard leaders must not abandon the job.
 NO_DEADLINE_S = 1e6
 
 _LOG = logs.get_logger('jobs')
 
 
 class Router(open_tasks.Router, Protocol):
-    """Finds owners of cells and the routes in force."""
+    """Looks up shard leaders and the routes in force."""
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
-        """Return a route of the version in force, None if it was removed."""
+        """Return the route in the version in force, None if removed."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CancelRequested:
-    """The client cancels the job."""
+    """The client asked to cancel the job."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _ShardChangeStored:
-    """The new cell of tasks is stored, so that they can be sent there."""
+    """The new shard of tasks is stored, so they can be sent there."""
 
     tasks: tuple[open_tasks.OpenTask, ...]
     shard: ids.ShardId
@@ -59,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Completion:
-    """An end that its worker may forget once it is stored."""
+    """A result that its worker may discard once it is stored."""
 
     shard: ids.ShardId
     step: int
@@ -68,7 +70,7 @@
 
 
 class Execution:  # noqa: WPS214, WPS230
-    """Sends a stored job's tasks to cells, and stores how they end."""
+    """Sends the tasks of a stored job to shards and stores their results."""
 
     def __init__(
         self,
@@ -82,9 +84,10 @@
         on_finished: Callable[[records.StoredJob], None],
         resumed: bool,
     ) -> None:
-        """Prepare a job that is stored; ``begin`` sends its first tasks.
+        """Create the execution of a job that is already stored.
 
-        A former keeper may have sent tasks of it if ``resumed``.
+        ``resumed`` means that a previous leader of the home shard may have
+        sent tasks of the job. ``start`` sends the first tasks.
         """
         self._resumed = resumed
         self.stored = stored
@@ -110,27 +113,28 @@
         self._waiting_steps = set(range(len(stored.job.steps)))
         self._done_steps: set[int] = set()
 
-        #: Ends that were counted since the last change was handed over.
+        #: Results that were counted but are not yet part of a commit.
         self._unacknowledged: list[_Completion] = []
 
-        #: True once the job has ended and its end is on its way to the store.
+        #: True once the job has ended and its final state is being stored.
         self.is_finishing = False
 
-        #: Set once the end of the job is stored.
+        #: Resolves once the final state is stored (True), or once another
+        #: leader writes the table (False).
         self.finished: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
 
     def start(self) -> None:
-        """Send the first tasks."""
+        """Send the tasks of all steps that do not wait for others."""
         self._start_ready_steps()
 
     def post_event(self, event: Event) -> None:
-        """Hand in an event."""
+        """Queue an event for ``run``."""
         self._events.put_nowait(event)
 
     async def run(self) -> None:
-        """Carry the job out until its end is stored."""
+        """Process events until the final state of the job is stored."""
         state = await self._run()
         if state is None:
             return
@@ -138,7 +142,7 @@
         self._open.withdraw()
         ended = self.stored.finish(state, self._clock.wall())
         _LOG.info(
-            'Job ends.',
+            'Job ended.',
             extra={
                 'job': ended.job.job_id,
                 'state': state.value,
@@ -152,7 +156,8 @@
             max_delay_s=FINAL_COMMIT_DELAY_S,
         )
         if is_stored:
-            # Not before: the next keeper would start done tasks again.
+            # The progress row goes last: a new leader that finds the job
+            # unfinished and no progress would start completed tasks again.
             self._table.put(
                 f'{job_table.PROGRESS_PREFIX}{ended.job.job_id}',
                 None,
@@ -165,7 +170,7 @@
             self.finished.set_result(is_stored)
 
     def state(self) -> records.JobState:
-        """Return the state as it is stored."""
+        """Return the state of the job according to the store."""
         if self.stored.state.is_final:
             return self.stored.state
         if self.has_begun:
@@ -173,14 +178,14 @@
         return records.JobState.QUEUED
 
     async def _run(self) -> records.JobState | None:
-        """Return how the job ends; None if another keeper has it."""
+        """Return the final state, None if another leader has the job."""
         while self._open or self._waiting_steps:
             event = await self._events.get()
             self._refresh_route()
             match event:
                 case messages.Ended(how=jobs.TaskResult.REPLACED.value):
                     _LOG.info(
-                        'Another keeper has the job.',
+                        'Another leader has taken over the job.',
                         extra={'job': self.stored.job.job_id},
                     )
                     return None
@@ -194,7 +199,7 @@
         return records.JobState.COMPLETED
 
     def _handle_event(self, event: Event) -> None:
-        """Act on an event that does not end the job."""
+        """Handle an event that does not end the job."""
         match event:
             case messages.Declined():
                 self._handle_declined(event)
@@ -209,13 +214,13 @@
                 self._send_to_new_shard(tasks, shard)
 
     def _refresh_route(self) -> None:
-        """Use the route as the version in force has it."""
-        newest = self._router.route(self.stored.route.route)
-        if newest is not None:
-            self._open.route = newest
+        """Update the route from the version in force."""
+        route = self._router.route(self.stored.route.route)
+        if route is not None:
+            self._open.route = route
 
     def _start_ready_steps(self) -> None:
-        """Send the tasks of steps whose earlier steps are done."""
+        """Send the tasks of steps whose predecessors are completed."""
         for number in sorted(self._waiting_steps):
             step = self.stored.job.steps[number]
             if not self._done_steps.issuperset(step.after):
@@ -244,7 +249,7 @@
     def _restore_progress(
         self, task: open_tasks.OpenTask
     ) -> open_tasks.OpenTask:
-        """Give a task what is known of its former runs."""
+        """Set the run number and the shard of a task from the progress."""
         task_progress = self._progress.failed.get(task.key)
         if task_progress is not None:
             task.number = task_progress.next_run
@@ -253,25 +258,25 @@
         task.resumed = self._resumed
         return task
 
-    def _handle_completion(self, end: messages.Ended) -> bool:
-        """Count an end; tell whether the job has failed by it."""
+    def _handle_completion(self, completion: messages.Ended) -> bool:
+        """Count a result; return whether it makes the job fail."""
         self.has_begun = True
-        key = (end.step, end.index)
-        how = jobs.TaskResult(end.how)
-        if how is jobs.TaskResult.LATE:
+        key = (completion.step, completion.index)
+        task_result = jobs.TaskResult(completion.how)
+        if task_result is jobs.TaskResult.LATE:
             self._retry(key)
             return False
-        self._unacknowledged.append(_to_completion(end))
-        if self._progress.is_recorded(key, end.run):
-            # Its worker has not heard so.
+        self._unacknowledged.append(_to_completion(completion))
+        if self._progress.is_recorded(key, completion.run):
+            # A repeated report: the worker missed the acknowledgement.
             return False
-        if how is jobs.TaskResult.DONE:
+        if task_result is jobs.TaskResult.DONE:
             self._record_success(key)
             return False
-        return self._record_failure(key, end.run)
+        return self._record_failure(key, completion.run)
 
     def _record_success(self, key: open_tasks.TaskKey) -> None:
-        """Count a good end, also of a task that a former keeper sent."""
+        """Record a success, also of a task that a previous leader sent."""
         self._progress.record_success(key)
         if self._open.get(key) is not None and self._open.close(key):
             self._done_steps.add(key[0])
@@ -302,21 +307,22 @@
             self._open.send([task], firm=True, begun=True)
 
     def _handle_declined(self, declined: messages.Declined) -> None:
-        """Send tasks to a cell that has more room, once that is stored.
+        """Move declined tasks to a shard with more free capacity.
 
-        The next keeper must ask for them there.
+        The new shard is stored before the tasks are sent, because the next
+        leader has to look for their runs there.
         """
         tasks = self._open.in_shard(
             declined.step, declined.indices, declined.shard
         )
         if not tasks:
             return
-        other = ids.ShardId(declined.other or self._home_shard)
+        new_shard = ids.ShardId(declined.other or self._home_shard)
         for task in tasks:
-            self._progress.moved[task.key] = other
+            self._progress.moved[task.key] = new_shard
             task.source = None
             task.is_moving = True
-        moved = _ShardChangeStored(tasks=tuple(tasks), shard=other)
+        moved = _ShardChangeStored(tasks=tuple(tasks), shard=new_shard)
         self._put_progress().add_done_callback(
             functools.partial(self._post_if_stored, moved)
         )
@@ -329,7 +335,7 @@
             self._open.move(remaining, shard, begun=self.has_begun)
 
     def _store_progress(self) -> None:
-        """Store what changed, and let workers forget the ends of it."""
+        """Store new results, then acknowledge them to the workers."""
         if not self._unacknowledged or not (self._open or self._waiting_steps):
             return
         completions = self._pop_unacknowledged()
@@ -351,7 +357,7 @@
             self.post_event(event)
 
     def _drain_completions(self) -> list[_Completion]:
-        """Return the ends that came while the job's end was stored."""
+        """Return the results that arrived while the final state was stored."""
         events = [
             self._events.get_nowait() for _ in range(self._events.qsize())
         ]
@@ -386,7 +392,7 @@
                 )
 
 
-def _to_completion(end: messages.Ended) -> _Completion:
+def _to_completion(event: messages.Ended) -> _Completion:
     return _Completion(
-        shard=end.shard, step=end.step, index=end.index, run=end.run
+        shard=event.shard, step=event.step, index=event.index, run=event.run
     )
--- a/sardineproxy/process/stored_jobs/fenced_rows.py
+++ b/sardineproxy/process/stored_jobs/fenced_rows.py
@@ -1,9 +1,9 @@
-"""Rows of one cell's stored jobs that only the cell's newest owner writes.
+"""Rows of one shard's stored jobs, written only by the newest leader.
 
-Each call holds only while the guard row is unchanged, which a new owner of
-the cell rewrites, and while the rows are as they were last written. So a
-write whose answer was lost cannot take effect after a later one of the same
-row, nor after a takeover.
+Each transaction depends on the revision of the writer row, which a new
+leader of the shard rewrites, and on the revisions of the rows that it
+changes. So a write whose answer was lost cannot take effect after a later
+write of the same row, nor after a takeover.
 """
 
 import dataclasses
@@ -17,41 +17,44 @@
 from sardineproxy.process import metrics, store
 from sardineproxy.process.shards import fences
 
-#: Table of stored jobs in the platform's store, in one part for each cell.
+#: Table of stored jobs in the platform's store, one part for each shard.
 TABLE = 'sardineproxy_jobs'
 
+#: Key of the row that names the process that may write the part.
 WRITER_KEY = f'{TABLE}/guard'
 
 _LOG = logs.get_logger('jobs')
 
 
 class WriteOutcome(enum.Enum):
-    """What became of a call."""
+    """Outcome of a write."""
 
     DONE = 'done'
 
-    #: It had no effect and never will have.
+    #: The write had no effect and will have none.
     NOT_APPLIED = 'not_sent'
+
+    #: The write may have taken effect, or may still do so.
     UNKNOWN = 'unknown'
 
-    #: A newer owner writes the rows.
+    #: A newer leader writes the rows.
     SUPERSEDED = 'superseded'
 
 
-#: New contents of rows by key, None for rows that are to be removed.
+#: New contents of rows by key, None for rows to remove.
 RowChanges = Mapping[str, bytes | None]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Writer:
-    """Who writes the rows."""
+    """Process that writes the rows, with its fencing token."""
 
     token: fences.Right
     incarnation: ids.Incarnation
 
 
 class FencedRows:
-    """Calls to the store for the rows of one cell."""
+    """Reads and conditionally writes the rows of one shard."""
 
     def __init__(
         self,
@@ -61,7 +64,7 @@
         store: store.Store,
         metrics: metrics.Metrics,
     ) -> None:
-        """Prepare; ``take`` comes before all else."""
+        """Create the client; ``acquire`` must succeed before other calls."""
         self.shard = shard
         self.writer = writer
         self._store = store
@@ -69,17 +72,17 @@
         self._writer_revision = 0
         self._revisions: dict[str, int] = {}
 
-        #: Calls in a row that did not succeed.
+        #: Number of failed calls since the last successful write.
         self.consecutive_failures = 0
 
     async def acquire(self) -> WriteOutcome:
-        """Become the writer of the rows."""
+        """Write this process into the writer row."""
         self._count_call()
-        found = await self._store.get(WRITER_KEY, part=self.shard)
-        if isinstance(found, result.Err):
-            self._record_failure(found.err_value)
+        answer = await self._store.get(WRITER_KEY, part=self.shard)
+        if isinstance(answer, result.Err):
+            self._record_failure(answer.err_value)
             return WriteOutcome.UNKNOWN
-        row = found.ok_value
+        row = answer.ok_value
         if row is not None:
             self._writer_revision = row.revision
             writer = _decode_writer(row)
@@ -90,7 +93,7 @@
         return await self._store_writer()
 
     async def read(self) -> tuple[store.Row, ...] | None:
-        """Return all rows, None if the store does not tell them."""
+        """Return all rows, None if the call fails."""
         self._count_call()
         answer = await self._store.read(TABLE, part=self.shard)
         if isinstance(answer, result.Err):
@@ -101,7 +104,10 @@
         return rows
 
     async def commit(self, changes: RowChanges) -> WriteOutcome:
-        """Change rows; after UNKNOWN the same changes may be sent again."""
+        """Write or remove rows.
+
+        After UNKNOWN the same changes may be sent again.
+        """
         self._count_call()
         answer = await self._store.transact(
             conditions=(
@@ -155,10 +161,10 @@
         return WriteOutcome.DONE
 
     async def _resolve_conflict(self, changes: RowChanges) -> WriteOutcome:
-        """Tell who wrote what is in the way of a call.
+        """Return the outcome of a write whose conditions did not hold.
 
-        While the guard is that of this owner, it was an earlier call for the
-        same changes whose answer was lost.
+        If the writer row is unchanged, an earlier attempt to write the same
+        changes took effect and its answer was lost.
         """
         writer_row = await self._get(WRITER_KEY)
         if writer_row is None:
@@ -173,7 +179,7 @@
         return WriteOutcome.DONE
 
     async def _get(self, key: str) -> store.Row | None:
-        """Return a row, None if the store does not tell it."""
+        """Return a row, None if it is missing or the call fails."""
         self._count_call()
         answer = await self._store.get(key, part=self.shard)
         if isinstance(answer, result.Err):
@@ -197,7 +203,7 @@
     def _record_failure(self, error: store.StoreError) -> None:
         self.consecutive_failures += 1
         _LOG.info(
-            'Store did not answer well.',
+            'Call to the job store failed.',
             extra={
                 'cell': self.shard,
                 'epoch': self.writer.token.epoch,
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -1,4 +1,4 @@
-"""All stored jobs of one cell, at the process that owns the cell."""
+"""Stored jobs of one shard, managed by the leader of the shard."""
 
 import asyncio
 import collections
@@ -13,48 +13,48 @@
 from sardineproxy.process.stored_jobs import execution, records, job_table
 from sardineproxy.request import open_tasks
 
-#: Most stored jobs of a cell that have not ended, as a bound on memory: some
-#: 3 KB each.
+#: Maximum number of unfinished stored jobs of a shard. It bounds memory: a
+#: job takes about 3 KB.
 MAX_OPEN_JOBS = 5000
 
-#: An accepted job is on its way to the store after this time, in seconds.
+#: Delay in seconds by which accepted jobs are grouped into one commit.
 ACCEPT_COMMIT_DELAY_S = 0.002
 
-#: Longest wait for the store before a job is refused or said to be unknown,
-#: in seconds. A commit takes 16 ms, a slow store 0.6 s.
+#: Timeout in seconds of a write to the store, after which the reply is
+#: REFUSED or UNKNOWN. A commit takes 16 ms, with a slow store 0.6 s.
 STORE_TIMEOUT_S = 1.0
 
-#: Wait of a question for a change of a job that runs, in seconds. Clients ask
-#: as a job should end, and again a quarter of a second later; the end of a
-#: run is known here up to a pause between looks after it.
+#: Time in seconds that a query for a running job waits for its completion.
+#: Clients query when a job should end, and again a quarter of a second later;
+#: the result of a run arrives here up to one poll interval after its end.
 RUNNING_QUERY_WAIT_S = 0.04
 
-#: Wait of a question for the state of a job whose end is being stored, in
-#: seconds. A commit takes 16 ms; in most cases the new state is told.
+#: Time in seconds that a query waits while the final state of the job is
+#: being stored. A commit takes 16 ms, so the reply usually has the new state.
 FINISHING_QUERY_WAIT_S = 0.1
 
-#: States are kept this much longer than they are asked for, in seconds.
+#: Time in seconds that final states are kept beyond their retention.
 CLEANUP_SLACK_S = 10.0
 
-#: Time between two searches for states that can be removed, in seconds.
+#: Interval of the removal of expired final states, in seconds.
 CLEANUP_PERIOD_S = 5.0
 
 _LOG = logs.get_logger('jobs')
 
 
 class JobReply(enum.Enum):
-    """What a keeper answers about a job."""
+    """Reply of a job manager about a job."""
 
     #: The job is stored, now or since an earlier request.
     ACCEPTED = 'accepted'
 
-    #: The job is not stored and never will be by this request.
+    #: This request did not store the job and will not do so later.
     REFUSED = 'refused'
 
-    #: Nobody knows the jobs of this cell at the moment; nothing was done.
+    #: The shard's jobs are not loaded at the moment; nothing was changed.
     UNAVAILABLE = 'unavailable'
 
-    #: It may be stored, or cancelled.
+    #: The job may or may not have been stored or cancelled.
     UNKNOWN = 'unknown'
 
     #: No such job is stored.
@@ -67,7 +67,7 @@
 
 
 class JobManager:
-    """Accepts, carries out and cancels the stored jobs of a cell."""
+    """Accepts, executes and cancels the stored jobs of one shard."""
 
     def __init__(
         self,
@@ -78,9 +78,9 @@
         metrics: metrics.Metrics,
         retention_s: float,
     ) -> None:
-        """Prepare; ``run`` takes the jobs over that are stored.
+        """Create a manager without jobs; ``start`` loads the stored ones.
 
-        States of ended jobs are kept for ``retention_s``.
+        States of ended jobs are kept for ``retention_s`` seconds.
         """
         self.shard = table.shard
         self._table = table
@@ -96,24 +96,24 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether all stored jobs are known and written only here."""
+        """Return whether all jobs are loaded and written only here."""
         return self._is_loaded and not self._table.is_superseded
 
     def start(self) -> None:
-        """Take the stored jobs over, and keep the table written."""
+        """Load and resume the stored jobs, and start writing the table."""
         self._tasks.spawn(self._run())
 
     async def close(self) -> None:
-        """Stop writing; jobs and their runs go on with the next keeper."""
+        """Stop writing; the next leader resumes the jobs and their runs."""
         await self._tasks.close()
         await self._table.close()
 
     def pending(self) -> dict[ids.RouteId, int]:
-        """Return how many jobs of each route have not begun."""
+        """Return the number of jobs per route that have not started."""
         return collections.Counter(
-            each.stored.route.route
-            for each in self._open.values()
-            if not each.has_begun
+            unfinished.stored.route.route
+            for unfinished in self._open.values()
+            if not unfinished.has_begun
         )
 
     async def accept(self, stored: records.StoredJob) -> JobReply:
@@ -130,7 +130,7 @@
         return await self._wait_stored(job, self._storing[job])
 
     async def query(self, job: ids.JobId) -> JobReply:
-        """Return the state of a job as it is stored."""
+        """Return the state of a job according to the store."""
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
         running = self._open.get(job)
@@ -144,7 +144,7 @@
         return JobReply.ABSENT
 
     async def cancel(self, job: ids.JobId) -> JobReply:
-        """Cancel a job that has not ended; return its state then."""
+        """Cancel a job unless it has ended; return the resulting state."""
         running = self._open.get(job)
         if running is None:
             return await self.query(job)
@@ -159,12 +159,13 @@
         source: link.Link,
         message: messages.Ended | messages.Declined | messages.JobBegun,
     ) -> None:
-        """Hand a message to its job."""
+        """Pass a message to the execution of its job."""
         running = self._open.get(message.job)
         if running is not None:
             running.post_event(message)
         elif isinstance(message, messages.Ended):
-            # Nothing of the job will start any more, or it is not stored.
+            # The job has ended or was never stored, so the result is not
+            # needed: the worker can discard it.
             if self.is_loaded:
                 source.send(
                     messages.EndsNoted(
@@ -178,19 +179,20 @@
     def broadcast(
         self, event: open_tasks.LeaderLost | open_tasks.LeaderFound
     ) -> None:
-        """Tell all jobs of a change of a cell's owner."""
-        for each in self._open.values():
-            each.post_event(event)
+        """Report a change of a shard's leader to all unfinished jobs."""
+        for unfinished in self._open.values():
+            unfinished.post_event(event)
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what is kept, for the state dump."""
+        """Return the jobs and the state of the table for the state dump."""
         return {
             'cell': self.shard,
             'loaded': self._is_loaded,
             'unstored_s': round(self._table.oldest_unstored_s(now), 3),
             'superseded': self._table.is_superseded,
             'open': {
-                job: each.state().value for job, each in self._open.items()
+                job: unfinished.state().value
+                for job, unfinished in self._open.items()
             },
             'ended': len(self._finished),
         }
@@ -209,27 +211,27 @@
         return JobReply(running.state().value)
 
     async def _run(self) -> None:
-        found = await self._table.open()
-        if found is None:
+        rows = await self._table.open()
+        if rows is None:
             return
-        self._load(found)
+        self._load(rows)
         self._tasks.spawn(self._clean_up())
         await self._table.run()
 
-    def _load(self, found: Iterable[store.Row]) -> None:
-        """Take over the jobs that are stored."""
+    def _load(self, rows: Iterable[store.Row]) -> None:
+        """Resume the unfinished jobs and load the states of ended ones."""
         progress = {
             row.key.removeprefix(job_table.PROGRESS_PREFIX): row
-            for row in found
+            for row in rows
             if row.key.startswith(job_table.PROGRESS_PREFIX)
         }
-        for row in found:
+        for row in rows:
             if row.key.startswith(job_table.JOB_PREFIX):
                 name = row.key.removeprefix(job_table.JOB_PREFIX)
                 self._load_job(row, progress.get(name))
         self._is_loaded = True
         _LOG.info(
-            'Stored jobs taken over.',
+            'Stored jobs loaded.',
             extra={
                 'cell': self.shard,
                 'epoch': self._table.epoch,
@@ -238,11 +240,11 @@
             },
         )
 
-    def _load_job(self, row: store.Row, of_tasks: store.Row | None) -> None:
+    def _load_job(self, row: store.Row, progress_row: store.Row | None) -> None:
         decoded = records.decode_job(row.body or b'')
         if isinstance(decoded, result.Err):
             _LOG.error(
-                'Stored job not understood.',
+                'Stored job is malformed and was skipped.',
                 extra={'key': row.key, 'cause': decoded.err_value},
             )
             return
@@ -251,15 +253,15 @@
             self._finished[stored.job.job_id] = stored
             return
         progress = records.JobProgress()
-        if of_tasks is not None:
-            known = records.decode_progress(of_tasks.body or b'')
-            if isinstance(known, result.Err):
+        if progress_row is not None:
+            loaded = records.decode_progress(progress_row.body or b'')
+            if isinstance(loaded, result.Err):
                 _LOG.error(
-                    'Progress not understood.',
-                    extra={'key': of_tasks.key, 'cause': known.err_value},
+                    'Job progress is malformed; the job was skipped.',
+                    extra={'key': progress_row.key, 'cause': loaded.err_value},
                 )
                 return
-            progress = known.ok_value
+            progress = loaded.ok_value
         self._start_execution(stored, progress, resumed=True)
 
     def _start_execution(
@@ -319,14 +321,15 @@
         if done.cancelled():
             return JobReply.REFUSED
         if done.done():
-            # An owner that was replaced cannot tell what the store has.
+            # A leader that was superseded does not know whether the row was
+            # stored.
             return JobReply.ACCEPTED if done.result() else JobReply.UNKNOWN
         if self._table.withdraw(f'{job_table.JOB_PREFIX}{job}'):
             return JobReply.REFUSED
         return JobReply.UNKNOWN
 
     async def _clean_up(self) -> None:
-        """Remove the states of jobs that nobody asks for any more."""
+        """Periodically remove final states past their retention."""
         while True:
             await asyncio.sleep(CLEANUP_PERIOD_S)
             oldest = self._clock.wall() - self._retention_s - CLEANUP_SLACK_S
@@ -345,6 +348,6 @@
                     )
             if old:
                 _LOG.info(
-                    'States removed.',
+                    'Expired job states removed.',
                     extra={'cell': self.shard, 'jobs': len(old)},
                 )
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -1,4 +1,4 @@
-"""Ways from any entry VM to the keeper of a stored job."""
+"""Requests about stored jobs, served by the leaders of their home shards."""
 
 import asyncio
 import collections
@@ -15,44 +15,44 @@
 
 _Reply = job_manager.JobReply
 
-#: Longest wait for an owner of a job's home cell and its answer, in seconds.
-#: A lost owner is replaced within a second.
+#: Timeout of a request, including the wait for a leader of the job's home
+#: shard, in seconds. A failed leader is replaced within a second.
 REPLY_TIMEOUT_S = 2.5
 
-#: Wait for one answer: longer than a keeper waits for the store, in seconds.
+#: Timeout of one attempt in seconds, longer than a manager's store timeout.
 ATTEMPT_TIMEOUT_S = 1.3
 
-#: Pause before an owner is asked again, in seconds.
+#: Delay before the next attempt, in seconds.
 RETRY_PAUSE_S = 0.05
 
-#: Time that is kept for the way of the answer to the client, in seconds.
+#: Time reserved to return the reply to the client, in seconds.
 REPLY_MARGIN_S = 0.1
 
 _LOG = logs.get_logger('jobs')
 
 
 class ShardDirectory(Protocol):
-    """What the homes need to know."""
+    """Looks up shards and their leaders."""
 
     @property
     def all_shards(self) -> Iterable[ids.ShardId]:
-        """Return all cells of the deployment."""
+        """Return all shards of the deployment."""
 
     def leader(self, shard: ids.ShardId) -> link.Link | None:
-        """Return the link to a cell's owner."""
+        """Return the link to the leader of a shard, None if unknown."""
 
 
-#: Returns the question to a cell's owner for a token.
+#: Returns the request to a shard's leader for a shard and a request token.
 _RequestFactory = Callable[[ids.ShardId, int], messages.Message]
 
 
 class JobService:
-    """The keepers of this process, and questions to those of others."""
+    """Job managers of this process, and requests to those of others."""
 
     def __init__(
         self, *, directory: ShardDirectory, clock: clock.Clock
     ) -> None:
-        """Start without keepers."""
+        """Create a service without job managers."""
         self._directory = directory
         self._clock = clock
         self._tokens = itertools.count()
@@ -62,32 +62,32 @@
         self.managers: dict[ids.ShardId, job_manager.JobManager] = {}
 
     async def close(self) -> None:
-        """Stop answering; keepers stay as they are stored."""
+        """Stop serving requests and close all job managers."""
         await self._tasks.close()
         for manager in self.managers.values():
             await manager.close()
 
     def home_shard(self, job: ids.JobId) -> ids.ShardId:
-        """Return the cell that keeps a job, the same at all VMs."""
+        """Return the shard that stores a job, the same at all VMs."""
         return rendezvous.rank(job, self._directory.all_shards)[0]
 
     def add_manager(self, manager: job_manager.JobManager) -> None:
-        """Keep the jobs of a cell that this process owns now."""
+        """Start to manage the jobs of a shard that this process leads."""
         self.managers[manager.shard] = manager
         manager.start()
 
     def remove_manager(self, shard: ids.ShardId) -> None:
-        """Leave the jobs of a cell to its next owner."""
+        """Stop managing the jobs of a shard that this process led."""
         manager = self.managers.pop(shard, None)
         if manager is not None:
             self._tasks.spawn(manager.close())
 
-    # Questions of this process.
+    # Requests of this process.
 
     async def store(
         self, stored: records.StoredJob, wait_s: float
     ) -> job_manager.JobReply:
-        """Store a job at its home."""
+        """Store a job in its home shard; wait at most ``wait_s`` seconds."""
         body = records.encode_job(stored)
         return await self._request_from_leader(
             stored.job.job_id,
@@ -100,7 +100,7 @@
     async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool = False
     ) -> job_manager.JobReply:
-        """Return a job's state, or cancel it."""
+        """Return the state of a job, or cancel it."""
         return await self._request_from_leader(
             job,
             wait_s,
@@ -110,7 +110,7 @@
         )
 
     def loaded_shards(self) -> list[ids.ShardId]:
-        """Return the cells whose stored jobs this process knows."""
+        """Return the shards whose stored jobs are loaded here."""
         return [
             shard
             for shard, manager in self.managers.items()
@@ -118,25 +118,25 @@
         ]
 
     def pending(self) -> dict[ids.RouteId, int]:
-        """Return how many jobs of each route have not begun here."""
-        found: collections.Counter[ids.RouteId] = collections.Counter()
+        """Return the number of jobs per route that have not started."""
+        counts: collections.Counter[ids.RouteId] = collections.Counter()
         for manager in self.managers.values():
-            found.update(manager.pending())
-        return found
+            counts.update(manager.pending())
+        return counts
 
-    # Links.
+    # Messages and links.
 
     def handle_message(
         self, source: link.Link, message: messages.Message
     ) -> bool:
-        """Act on a message; tell whether it was for a keeper or its asker."""
+        """Handle a message; return False if it concerns no stored job."""
         match message:
             case messages.KeepJob() | messages.AskJob():
                 self._tasks.spawn(self._serve(source, message))
             case messages.TellJob(token=token, answer=answer):
-                waiting = self._pending_replies.get(token)
-                if waiting is not None and not waiting.done():
-                    waiting.set_result(_Reply(answer))
+                reply_fut = self._pending_replies.get(token)
+                if reply_fut is not None and not reply_fut.done():
+                    reply_fut.set_result(_Reply(answer))
             case messages.Ended(stored=True) | messages.Declined(stored=True):
                 self._deliver(source, message)
             case messages.JobBegun():
@@ -146,16 +146,16 @@
         return True
 
     def link_closed(self, lost: link.Link) -> None:
-        """Answer what was asked over a link that is lost."""
-        for token, used in self._links.items():
-            waiting = self._pending_replies[token]
-            if used is lost and not waiting.done():
-                waiting.set_result(_Reply.UNKNOWN)
+        """Resolve requests sent over a lost link as UNKNOWN."""
+        for token, request_link in self._links.items():
+            reply_fut = self._pending_replies[token]
+            if request_link is lost and not reply_fut.done():
+                reply_fut.set_result(_Reply.UNKNOWN)
 
     def broadcast(
         self, event: open_tasks.LeaderLost | open_tasks.LeaderFound
     ) -> None:
-        """Tell all stored jobs of a change of a cell's owner."""
+        """Report a change of a shard's leader to all stored jobs."""
         for manager in self.managers.values():
             manager.broadcast(event)
 
@@ -171,26 +171,27 @@
     async def _request_from_leader(
         self, job: ids.JobId, wait_s: float, make_request: _RequestFactory
     ) -> job_manager.JobReply:
-        """Ask the home's owner, and the next one if it is lost.
+        """Send a request to the leader of the home shard, with retries.
 
-        The answer is UNKNOWN if an owner was asked and did not answer.
+        Each attempt goes to the current leader. The reply is UNKNOWN if a
+        leader received the request and its answer was lost.
         """
         shard = self.home_shard(job)
-        until = self._clock.now() + min(
+        retry_until = self._clock.now() + min(
             wait_s - REPLY_MARGIN_S, REPLY_TIMEOUT_S
         )
-        worst = _Reply.UNAVAILABLE
+        fallback_reply = _Reply.UNAVAILABLE
         while True:
             answer = await self._attempt(shard, make_request)
-            if answer is _Reply.REFUSED and worst is _Reply.UNKNOWN:
-                # What an earlier question did is not known.
-                return worst
+            if answer is _Reply.REFUSED and fallback_reply is _Reply.UNKNOWN:
+                # An earlier attempt may have stored the job.
+                return fallback_reply
             if answer not in {_Reply.UNAVAILABLE, _Reply.UNKNOWN}:
                 return answer
             if answer is _Reply.UNKNOWN:
-                worst = answer
-            if self._clock.now() + RETRY_PAUSE_S >= until:
-                return worst
+                fallback_reply = answer
+            if self._clock.now() + RETRY_PAUSE_S >= retry_until:
+                return fallback_reply
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _attempt(
@@ -200,16 +201,16 @@
         if source is None:
             return _Reply.UNAVAILABLE
         token = next(self._tokens)
-        waiting: asyncio.Future[_Reply] = (
+        reply_fut: asyncio.Future[_Reply] = (
             asyncio.get_running_loop().create_future()
         )
-        self._pending_replies[token] = waiting
+        self._pending_replies[token] = reply_fut
         self._links[token] = source
         try:
             if not source.send(make_request(shard, token)):
                 return _Reply.UNAVAILABLE
             async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
-                return await waiting
+                return await reply_fut
         except TimeoutError:
             return _Reply.UNKNOWN
         finally:
@@ -235,6 +236,8 @@
                 return await manager.query(job)
         decoded = records.decode_job(request.record)
         if isinstance(decoded, result.Err):
-            _LOG.error('Job not kept.', extra={'cause': decoded.err_value})
+            _LOG.error(
+                'Malformed job was refused.', extra={'cause': decoded.err_value}
+            )
             return _Reply.REFUSED
         return await manager.accept(decoded.ok_value)
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -1,4 +1,4 @@
-"""The stored jobs of one cell as rows of the store, with group commits."""
+"""Stored jobs of one shard as rows of the store, with group commits."""
 
 import asyncio
 import dataclasses
@@ -12,18 +12,19 @@
 JOB_PREFIX = f'{fenced_rows.TABLE}/job/'
 PROGRESS_PREFIX = f'{fenced_rows.TABLE}/progress/'
 
-#: Most rows of one commit. The store takes 100 entries: a condition and a
-#: change for each row, and the condition on the guard.
+#: Maximum rows of one commit. The store accepts 100 entries: a condition and
+#: a change for each row, and the condition on the writer row.
 MAX_ROWS = 49
 
-#: Most bytes of one commit; the store takes 1 MB, a third of it for base64.
+#: Maximum bytes of one commit. The store accepts 1 MB, and base64 adds a
+#: third.
 MAX_BYTES = 500_000
 
-#: Most commits that are under way at a time.
+#: Maximum number of concurrent commits.
 MAX_COMMITS = 4
 
-#: Shortest and longest pause after a failed call, in seconds. The store's
-#: rates are shared by all entry VMs.
+#: Bounds of the exponential delay after a failed call, in seconds. The
+#: store's rate limits are shared by all entry VMs.
 BACK_OFF_MIN_S = 0.05
 BACK_OFF_MAX_S = 0.5
 
@@ -37,7 +38,8 @@
     body: bytes | None
     done: asyncio.Future[bool]
 
-    #: Local times at which it was made and must be sent, in seconds.
+    #: Local times of creation and of the latest start of its commit, in
+    #: seconds.
     created_at: float
     due_at: float
 
@@ -46,7 +48,7 @@
 
 
 class JobTable:
-    """Changes of one cell's stored jobs on their way to the store."""
+    """Writes changes of one shard's stored jobs in group commits."""
 
     def __init__(
         self,
@@ -58,7 +60,7 @@
         rng: random.Random,
         metrics: metrics.Metrics,
     ) -> None:
-        """Prepare; ``open`` must end well before anything is written."""
+        """Create the table; ``open`` must succeed before ``run``."""
         self.shard = shard
         self.epoch = writer.token.epoch
         self._rows = fenced_rows.FencedRows(
@@ -73,20 +75,22 @@
         self._wake = asyncio.Event()
         self._tasks = background.Tasks()
 
-        #: True once another owner writes the table.
+        #: True once another leader writes the table.
         self.is_superseded = False
 
     async def open(self) -> tuple[store.Row, ...] | None:
         """Become the only writer and return all rows.
 
-        Repeats until the store answers; None if a newer owner writes.
+        Retries until the store answers. Returns None if a newer leader
+        writes the table.
         """
         while not self.is_superseded:
             outcome = await self._rows.acquire()
             if outcome is _Outcome.SUPERSEDED:
                 self._mark_superseded()
             if outcome is _Outcome.DONE:
-                # What the former owner wrote is known from here on.
+                # The previous leader can no longer write, so this read sees
+                # all its changes.
                 rows = await self._rows.read()
                 if rows is not None:
                     return rows
@@ -94,11 +98,11 @@
         return None
 
     async def close(self) -> None:
-        """Stop all commits; what they do to the store is not known."""
+        """Cancel all commits; the store may still apply them."""
         await self._tasks.close()
 
     def oldest_unstored_s(self, now: float) -> float:
-        """Return for how long the oldest change has not been stored."""
+        """Return the age in seconds of the oldest change not stored yet."""
         created_at = min(
             (
                 change.created_at
@@ -112,19 +116,20 @@
     def put(
         self, key: str, body: bytes | None, *, max_delay_s: float
     ) -> asyncio.Future[bool]:
-        """Write or remove a row; the newest contents of a key count.
+        """Write a row, or remove it if ``body`` is None.
 
-        The future is true once the row is stored, and false if another owner
-        has taken the table over. The change waits up to ``within_s`` for
-        others to join its commit.
+        The change replaces one of the same key that is still waiting. It
+        waits up to ``max_delay_s`` seconds so that other changes can join its
+        commit. The future resolves to True once the row is stored, and to
+        False if another leader has taken over the table.
         """
         now = self._clock.now()
-        known = self._waiting.get(key)
-        if known is not None:
-            known.body = body
-            known.due_at = min(known.due_at, now + max_delay_s)
+        waiting = self._waiting.get(key)
+        if waiting is not None:
+            waiting.body = body
+            waiting.due_at = min(waiting.due_at, now + max_delay_s)
             self._wake.set()
-            return known.done
+            return waiting.done
         change = _PendingWrite(
             body=body,
             done=asyncio.get_running_loop().create_future(),
@@ -139,7 +144,7 @@
         return change.done
 
     def withdraw(self, key: str) -> bool:
-        """Take a change back; tell whether it certainly was not sent."""
+        """Withdraw a waiting change; return False if it may have been sent."""
         change = self._waiting.pop(key, None)
         if change is None:
             return False
@@ -147,7 +152,7 @@
         return True
 
     async def run(self) -> None:
-        """Commit changes until another owner has taken the table over."""
+        """Commit changes until another leader takes over the table."""
         while not self.is_superseded:
             await self._wait_until_due()
             batch = self._next_batch()
@@ -159,17 +164,17 @@
     async def _wait_until_due(self) -> None:
         while not self.is_superseded:
             self._wake.clear()
-            left_s = self._next_due_in_s(self._clock.now())
-            if left_s is not None and left_s <= 0:
+            wait_s = self._next_due_in_s(self._clock.now())
+            if wait_s is not None and wait_s <= 0:
                 return
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(wait_s):
                     await self._wake.wait()
             except TimeoutError:
                 return
 
     def _next_due_in_s(self, now: float) -> float | None:
-        """Return how long nothing is to be sent, None if nothing waits."""
+        """Return the time to the next commit, None if none can start."""
         if self._active_commits >= MAX_COMMITS:
             return None
         times = (
@@ -190,12 +195,12 @@
             if batch and (len(batch) >= MAX_ROWS or size > MAX_BYTES):
                 break
             batch[key] = change
-        for taken in batch:
-            self._waiting.pop(taken)
+        for key in batch:
+            self._waiting.pop(key)
         return batch
 
     async def _commit(self, batch: _Batch) -> None:
-        """Send a batch until it is stored or certainly was not sent."""
+        """Commit a batch, and resolve or requeue its changes."""
         began_at = self._clock.now()
         outcome = await self._commit_until_resolved(batch)
         self._metrics.observe(
@@ -228,12 +233,13 @@
                 outcome is _Outcome.NOT_APPLIED and not may_be_stored
             ):
                 return outcome
-            # The same call again: one of them takes effect.
+            # Send the same changes again: their conditions let at most one
+            # of the calls take effect.
             may_be_stored = True
             await asyncio.sleep(self._backoff_s())
 
     def _requeue(self, batch: _Batch) -> None:
-        """Let changes wait again, unless newer ones of their rows do."""
+        """Queue changes again, unless newer ones of their rows wait."""
         due_at = self._clock.now() + self._backoff_s()
         for key, change in batch.items():
             newer = self._waiting.get(key)
@@ -256,7 +262,7 @@
             return
         self.is_superseded = True
         _LOG.warning(
-            'Another owner writes the jobs.',
+            'Another leader has taken over the job table.',
             extra={'cell': self.shard, 'epoch': self.epoch},
         )
         _resolve(self._waiting.values(), stored=False)
@@ -270,7 +276,7 @@
 
 
 def _resolve_with(change: _PendingWrite, newer: _PendingWrite) -> None:
-    """End an older change of a row as the newer one ends."""
+    """Resolve a change with the outcome of a newer one of its row."""
 
     def settle(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
         if not change.done.done():
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -11,43 +11,43 @@
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.version import routes
 
-#: First item of each row; rows with another one are not understood.
+#: First item of each row. Rows with another value are rejected.
 FORMAT_VERSION = 1
 
 
 class JobState(enum.Enum):
-    """What is known of a stored job."""
+    """State of a stored job."""
 
     QUEUED = 'queued'
     RUNNING = 'running'
     COMPLETED = 'completed'
 
-    #: A task has failed as often as its route allows.
+    #: A task has used up the attempts that its route allows.
     FAILED = 'failed'
     CANCELLED = 'cancelled'
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the job has ended."""
+        """Return whether the job has ended."""
         return self not in {JobState.QUEUED, JobState.RUNNING}
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoredJob:
-    """A job as it was accepted, or how it ended."""
+    """A job as it was accepted, or its final state."""
 
     job: jobs.Job
 
     #: The route that accepted it.
     route: routes.Route
 
-    #: Unix times of acceptance and end, in seconds, 0 for no end.
+    #: Unix times of acceptance and end in seconds; the end is 0 before it.
     accepted_at: float
     ended_at: float = 0
     state: JobState = JobState.QUEUED
 
     def finish(self, state: JobState, ended_at: float) -> 'StoredJob':
-        """Return the job without what is needed only while it runs."""
+        """Return the ended job, without its payload and steps."""
         return dataclasses.replace(
             self,
             job=dataclasses.replace(self.job, payload='', steps=()),
@@ -58,42 +58,42 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class TaskProgress:
-    """What is known of a task that has not ended well."""
+    """Failures of a task that has not succeeded."""
 
     failures: int = 0
 
-    #: Number of its next run.
+    #: Number of the next run.
     next_run: int = 1
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class JobProgress:
-    """Which tasks of a job have ended well or failed, and where they are."""
+    """Succeeded and failed tasks of a job, and the shards of moved ones."""
 
     done: set[open_tasks.TaskKey] = dataclasses.field(default_factory=set)
     failed: dict[open_tasks.TaskKey, TaskProgress] = dataclasses.field(
         default_factory=dict
     )
 
-    #: Cells of the tasks that were sent on from the job's home cell.
+    #: Shards of the tasks that were moved out of the job's home shard.
     moved: dict[open_tasks.TaskKey, ids.ShardId] = dataclasses.field(
         default_factory=dict
     )
 
     def is_recorded(self, key: open_tasks.TaskKey, run: int) -> bool:
-        """Tell whether the end of a task's run was counted before."""
+        """Return whether the result of a run was recorded before."""
         task_progress = self.failed.get(key)
         return key in self.done or (
             task_progress is not None and run < task_progress.next_run
         )
 
     def record_success(self, key: open_tasks.TaskKey) -> None:
-        """Count a good end."""
+        """Record that a task succeeded."""
         self.done.add(key)
         self.failed.pop(key, None)
 
     def record_failure(self, key: open_tasks.TaskKey, run: int) -> int:
-        """Count a failed run; return how many there are of the task."""
+        """Record a failed run; return the number of failures of the task."""
         task_progress = self.failed.setdefault(key, TaskProgress())
         task_progress.failures += 1
         task_progress.next_run = run + 1
@@ -101,7 +101,7 @@
 
 
 def encode_job(stored: StoredJob) -> bytes:
-    """Return the row of a job."""
+    """Encode a job as the body of its row."""
     route = stored.route
     packed: bytes = msgpack.packb(
         [
@@ -128,15 +128,15 @@
 
 
 def decode_job(body: bytes) -> result.Result[StoredJob, str]:
-    """Read the row of a job; the error is one sentence."""
+    """Decode the row of a job; the error is one sentence."""
     try:
         return result.Ok(_unpack_job(*_unpack(body)))
     except (ValueError, TypeError, KeyError) as exc:
-        return result.Err(f'not a stored job: {exc}')
+        return result.Err(f'malformed job row: {exc}')
 
 
 def encode_progress(progress: JobProgress) -> bytes:
-    """Return the row of a job's progress."""
+    """Encode the progress of a job as the body of its row."""
     packed: bytes = msgpack.packb(
         [
             FORMAT_VERSION,
@@ -152,7 +152,7 @@
 
 
 def decode_progress(body: bytes) -> result.Result[JobProgress, str]:
-    """Read the row of a job's progress; the error is one sentence."""
+    """Decode the row of a job's progress; the error is one sentence."""
     try:
         done, failed, moved = _unpack(body)
         return result.Ok(
@@ -171,13 +171,13 @@
             )
         )
     except (ValueError, TypeError) as exc:
-        return result.Err(f'not the progress of a job: {exc}')
+        return result.Err(f'malformed progress row: {exc}')
 
 
 def _unpack(body: bytes) -> list[Any]:
     document = msgpack.unpackb(body)
     if not isinstance(document, list) or document[:1] != [FORMAT_VERSION]:
-        raise ValueError('unknown format')
+        raise ValueError('unsupported format version')
     return document[1:]
 
 
