--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -1,7 +1,7 @@
-"""Run tasks on free slots and account for their outcomes.
+"""Dispatch of tasks to endpoints with a free slot.
 
-A task stays with the coroutine that submitted it; the dispatcher only hands
-out slots and wakes exactly the coroutines whose tasks start or end.
+A task runs in the coroutine that submitted it. The dispatcher assigns slots
+and wakes only the coroutines whose tasks start or are refused.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 )
 from sardineproxy.request import fair_queue, flows, work
 
-#: Default of ``Dispatcher.run``: any endpoint will do.
+#: Default of ``Dispatcher.run``: the task may run at any endpoint.
 NOTHING_EXCLUDED: frozenset[ids.EndpointId] = frozenset()
 
 
@@ -38,24 +38,26 @@
         default_factory=fair_queue.Config
     )
 
-    #: Customers that could use no free slot are tried again after this time.
+    #: Delay in seconds before customers that could use none of the free
+    #: slots are tried again.
     blocked_retry_s: float = 0.05
 
-    #: Least time between two demands on the backlog stream, in seconds.
+    #: Shortest interval between items of the backlog stream, in seconds.
     backlog_interval_s: float = 0.001
 
-    #: Interval of the search for stragglers, in seconds.
+    #: Interval of the straggler search and of the decay of health
+    #: estimates, in seconds.
     housekeeping_s: float = 0.25
 
-    #: Unreachable endpoints after which a task pauses before the next one.
+    #: Unreachable endpoints that a task tries in a row before it backs off.
     refusals_before_pause: int = 3
 
-    #: Mean of that pause, in seconds.
+    #: Mean of this back-off, in seconds.
     refusal_pause_s: float = 0.2
 
 
 class Dispatcher:
-    """Runs tasks on the slots that this process may use."""
+    """Dispatches tasks to the slots that this process may use."""
 
     def __init__(
         self,
@@ -70,7 +72,7 @@
         metrics: metrics.Metrics,
         cfg: Config | None = None,
     ) -> None:
-        """Start with no waiting tasks."""
+        """Create a dispatcher that follows the VM lists of ``directory``."""
         self._clock = clock
         self._rng = rng
         self._client = client
@@ -95,7 +97,7 @@
 
     @property
     def backlog(self) -> reactivex.Observable[demand.Demand]:
-        """Return the stream of demands while tasks wait for slots."""
+        """Return a stream that emits the demand while tasks wait for slots."""
         return self._backlog.stream
 
     async def run(
@@ -104,9 +106,9 @@
         task: work.Task,
         exclude: frozenset[ids.EndpointId] = NOTHING_EXCLUDED,
     ) -> work.Outcome:
-        """Run the task once when a slot is free, and return its outcome.
+        """Run the task once as soon as a slot is free; return its outcome.
 
-        Endpoints in ``exclude`` do not get it while others are listed.
+        Endpoints in ``exclude`` are not used while others are listed.
         """
         now = self._clock.now()
         if self._closed:
@@ -121,16 +123,16 @@
         outcome: work.Outcome | None = None
         while outcome is None:
             if placement is None:
-                granted = await self._wait(entry)
-                if isinstance(granted, work.Refused):
-                    return granted
-                placement = granted
+                wait_result = await self._wait(entry)
+                if isinstance(wait_result, work.Refused):
+                    return wait_result
+                placement = wait_result
             outcome = await self._attempt(placement)
             placement = None
         return outcome
 
     def cancel(self, *, request_id: ids.RequestId) -> None:
-        """End the waiting tasks of a request as not run."""
+        """Refuse the waiting tasks of a request as cancelled."""
         for entry in self._queue.cancel(request_id):
             self._refuse(entry, _cancelled())
 
@@ -140,11 +142,11 @@
         return 0 if flow is None else flow.waiting
 
     def set_weights(self, weights: Mapping[ids.CustomerId, float]) -> None:
-        """Replace the customers' shares."""
+        """Replace the customers' scheduling weights."""
         self._queue.set_weights(weights)
 
     def demand(self) -> demand.Demand:
-        """Return the waiting and running work."""
+        """Return the number of waiting and running tasks of each customer."""
         return demand.Demand(
             customers=tuple(
                 demand.CustomerDemand(
@@ -159,14 +161,14 @@
         )
 
     def wake(self) -> None:
-        """Look again for free slots, because the slot table changed."""
+        """Start waiting tasks after a change of the slot table."""
         if self._queue.waiting:
             now = self._clock.now()
             self._matcher.match_all(now=now)
             self._report_backlog(now)
 
     def close(self) -> None:
-        """Refuse all waiting tasks and stop the timers."""
+        """Refuse all waiting tasks and new ones, and stop the timers."""
         self._closed = True
         self._subscription.dispose()
         for entry in self._queue.expire(now=math.inf):
@@ -209,7 +211,7 @@
         self, entry: flows.QueueEntry
     ) -> matching.Placement | work.Refused:
         waiter = entry.waiter
-        assert waiter is not None, 'only prepared tasks wait'
+        assert waiter is not None, '_prepare_wait was not called'
         self._backlog.schedule()
         try:
             return await waiter
@@ -226,7 +228,7 @@
     async def _attempt(
         self, placement: matching.Placement
     ) -> work.Outcome | None:
-        """Return the outcome, or None if the task waits for another slot."""
+        """Send the task; return its outcome, or None if it was requeued."""
         entry = placement.entry
         outcome: work.Outcome | None = None
         try:
@@ -249,11 +251,14 @@
     def _finish_attempt(
         self, placement: matching.Placement, outcome: work.Outcome | None
     ) -> None:
-        """Account for an ended attempt and start the next task."""
+        """Record the outcome, release the slot and start the next task.
+
+        ``outcome`` is None if the attempt was cancelled.
+        """
         entry = placement.entry
         now = self._clock.now()
         run_s = now - placement.started
-        in_service = len(self._health.ranks)
+        in_service_before = len(self._health.ranks)
         self._matcher.router.record_outcome(
             entry.task,
             placement.ticket.endpoint,
@@ -263,9 +268,9 @@
         )
         if isinstance(outcome, work.Refused):
             self._queue.undo_start(entry)
-            may_start = not (self._closed or entry.cancelled)
+            may_retry = not (self._closed or entry.cancelled)
             if (
-                may_start
+                may_retry
                 and _is_unreachable(outcome)
                 and now < entry.task.deadline
             ):
@@ -275,7 +280,7 @@
         else:
             self._queue.finish(entry, run_s=run_s)
         self._matcher.release(placement, now=now)
-        if len(self._health.ranks) > in_service:
+        if len(self._health.ranks) > in_service_before:
             self.wake()
         elif self._queue.waiting:
             self._report_backlog(now)
@@ -283,7 +288,10 @@
     def _requeue(
         self, entry: flows.QueueEntry, endpoint: ids.EndpointId, now: float
     ) -> None:
-        """Put a task of which nothing was sent at the front again."""
+        """Return a task whose endpoint was unreachable to the queue's front.
+
+        No part of it was sent, so it may be sent elsewhere.
+        """
         self._metrics.count('dispatch_put_back_total')
         self._prepare_wait(entry, now)
         entry.unreached_attempts += 1
@@ -291,7 +299,8 @@
             entry.unreachable |= {endpoint}
             self._queue.enqueue(entry, first=True)
             return
-        # Most endpoints are unreachable; trying the rest at once is a storm.
+        # Several endpoints in a row are unreachable. Back off, because trying
+        # all the others at once would cause a storm of connection attempts.
         entry.unreachable = NOTHING_EXCLUDED
         self._queue.pause(entry)
         refusal_pause_s = self._cfg.refusal_pause_s * self._rng.uniform(
@@ -314,13 +323,13 @@
             entry.waiter.set_result(work.Refused(problem=problem))
 
     def _report_backlog(self, now: float) -> None:
-        """Ask for slots, and see to customers that were passed over."""
+        """Publish the backlog, and schedule a retry of blocked customers."""
         self._backlog.schedule()
         if self._matcher.blocked:
             self._timer.set(now + self._cfg.blocked_retry_s, now=now)
 
     def _on_timer(self) -> None:
-        """Act on deadlines, ended ejections, held customers, stragglers."""
+        """Process deadlines, ended ejections, blocked flows and stragglers."""
         now = self._clock.now()
         for entry in self._queue.expire(now=now):
             self._refuse(entry, endpoint_conn.deadline_passed())
@@ -331,16 +340,17 @@
         self.wake()
         if not self._queue.waiting and not self._matcher.running:
             return
-        for due in (
+        for fire_at in (
             self._next_housekeeping,
             self._queue.next_deadline(),
             self._health.next_probe_at(now=now),
         ):
-            if due is not None:
-                self._timer.set(due, now=now)
+            if fire_at is not None:
+                self._timer.set(fire_at, now=now)
 
 
-#: States of a task whose attempt ended and that waits for another slot.
+#: States of a task that was requeued after an attempt. It may have started
+#: again before the previous attempt returned.
 _PENDING = frozenset((flows.EntryState.WAITING, flows.EntryState.STARTED))
 
 
@@ -353,7 +363,7 @@
 def _final_refusal(
     entry: flows.QueueEntry, *, closed: bool
 ) -> problems.Problem:
-    """Tell why an unreachable endpoint was the last one tried."""
+    """Return why a task is not retried after an unreachable endpoint."""
     if entry.cancelled:
         return _cancelled()
     return _shutting_down() if closed else endpoint_conn.deadline_passed()
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -1,8 +1,9 @@
-"""Learned speed, failures and ejection of endpoints.
+"""Ranking and outlier ejection of endpoints from observed task outcomes.
 
-The expected run time of an endpoint is learned from successes only, relative
-to what the fleet needs for the same workload. Failures never make an endpoint
-more attractive; they raise its score and, in a row, eject it for a time.
+The expected run time of an endpoint is estimated from successes only, relative
+to the fleet's run time for the same workload, so that an endpoint that fails
+fast does not look fast. Failures raise its score, and consecutive failures
+eject it for a limited time.
 """
 
 import collections
@@ -13,10 +14,10 @@
 from sardineproxy import ids, logs
 from sardineproxy.process import health_estimates
 
-#: Bounds of ejection and learning.
+#: Parameters of ejection and of the estimates.
 Config = health_estimates.Config
 
-#: Shorter run times count as this, in seconds.
+#: Shortest run time used in estimates, in seconds; keeps logarithms finite.
 MIN_RUN_S = 1e-6
 
 _log = logs.get_logger('dispatch')
@@ -28,7 +29,7 @@
     def __init__(
         self, *, rng: random.Random, cfg: Config | None = None
     ) -> None:
-        """Start without endpoints."""
+        """Create estimates without endpoints."""
         self._rng = rng
         self._cfg = cfg or Config()
         self._estimates: dict[ids.EndpointId, health_estimates.Estimate] = {}
@@ -42,8 +43,8 @@
         self._geometric_mean_run_s: dict[ids.CustomerId, float] = {}
         self._requests = health_estimates.RequestFailures()
 
-        #: Place of the expected run time of each endpoint that is listed and
-        #: not ejected, least first; only the estimates change it.
+        #: Ranks of the endpoints that are in service (listed and not
+        #: ejected); lower is better. Read-only for other modules.
         self.ranks: dict[ids.EndpointId, int] = {}
 
     def set_endpoints(
@@ -52,22 +53,23 @@
         *,
         own: ids.ZoneId,
     ) -> None:
-        """Replace the listed endpoints; estimates of the others are dropped.
+        """Replace the listed endpoints and drop the estimates of others.
 
-        Endpoints of the ``own`` zone rank before all others.
+        Endpoints of the zone ``own`` rank before all others.
         """
-        kept = {
+        retained = {
             endpoint: estimate
             for endpoint, estimate in self._estimates.items()
             if zones.get(endpoint) == estimate.zone
         }
         self._estimates = {
-            endpoint: kept.get(endpoint) or health_estimates.Estimate(zone=zone)
+            endpoint: retained.get(endpoint)
+            or health_estimates.Estimate(zone=zone)
             for endpoint, zone in zones.items()
         }
         self._ejected = {
             endpoint: estimate
-            for endpoint, estimate in kept.items()
+            for endpoint, estimate in retained.items()
             if estimate.is_ejected
         }
         self._zone_sizes = collections.Counter(zones.values())
@@ -81,9 +83,10 @@
     def endpoints_on_probation(
         self, endpoints: Iterable[ids.EndpointId], *, now: float
     ) -> list[ids.EndpointId]:
-        """Return those whose ejection has passed and that have no probe.
+        """Return the endpoints on probation that have no running probe.
 
-        Each may get one task at a time.
+        An endpoint is on probation from the end of its ejection until a
+        success. It gets one task at a time, as a probe.
         """
         if not self._ejected:
             return []
@@ -97,10 +100,10 @@
     def probes_for_any_task(
         self, probes: list[ids.EndpointId], *, now: float
     ) -> list[ids.EndpointId]:
-        """Return those of ``probes`` that any task may probe.
+        """Return the endpoints on probation that any task may probe.
 
-        While other endpoints are in service these are only the ones that no
-        harmless task has probed for long.
+        While other endpoints are in service, these are only the ones that
+        have waited for an idempotent probe for ``unsafe_probe_after_s``.
         """
         if not self.ranks:
             return probes
@@ -109,23 +112,26 @@
         )
 
     def next_probe_at(self, *, now: float) -> float | None:
-        """Return when more tasks may probe an endpoint, None if never."""
-        ends = [
+        """Return the next time at which more tasks may probe an endpoint.
+
+        Returns None if no ejection or probation limits any task.
+        """
+        probe_times = [
             estimate.ejected_until + wait_s
             for estimate in self._ejected.values()
             for wait_s in (0, self._cfg.unsafe_probe_after_s)
             if estimate.ejected_until + wait_s > now
         ]
-        return min(ends, default=None)
+        return min(probe_times, default=None)
 
     def record_start(self, endpoint: ids.EndpointId, *, now: float) -> None:
-        """Note that a task is about to be sent to the endpoint."""
+        """Count a task that is about to be sent; it may be a probe."""
         estimate = self._ejected.get(endpoint)
         if estimate is not None and now >= estimate.ejected_until:
             estimate.probes += 1
 
     def record_response(self, endpoint: ids.EndpointId, *, now: float) -> None:
-        """Note a whole answer that is no failure of the endpoint."""
+        """Record a complete response that is no failure of the endpoint."""
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
@@ -142,13 +148,11 @@
         run_s: float,
         now: float,
     ) -> None:
-        """Learn from a whole answer without an error status."""
+        """Record a complete response without an error status."""
         self.record_response(endpoint, now=now)
         cfg = self._cfg
-        fleet_s = self._mean_run_s.get(customer, run_s)
-        self._mean_run_s[customer] = fleet_s + cfg.fleet_gain * (
-            run_s - fleet_s
-        )
+        mean_s = self._mean_run_s.get(customer, run_s)
+        self._mean_run_s[customer] = mean_s + cfg.fleet_gain * (run_s - mean_s)
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
@@ -161,7 +165,7 @@
             self.ranks[endpoint] = estimate.rank(cfg)
 
     def record_job_success(self, request_id: ids.RequestId) -> None:
-        """Note that a task of a job succeeded, so that it can run."""
+        """Record that a task of a job succeeded, so that the job can run."""
         self._requests.record_success(request_id)
 
     def record_failure(
@@ -171,11 +175,11 @@
         request_id: ids.RequestId,
         now: float,
     ) -> None:
-        """Count a failed task; several in a row eject the endpoint.
+        """Record a failed task; consecutive failures eject the endpoint.
 
-        A request that failed at another endpoint before, and of which no task
-        succeeded, is to blame itself: a job that can never run must not eject
-        half of the zone.
+        The failure is not counted if the request failed at another endpoint
+        before and none of its tasks has succeeded. Otherwise a job that can
+        never run would eject half of the zone.
         """
         estimate = self._estimates.get(endpoint)
         if estimate is None:
@@ -197,7 +201,7 @@
         request_id: ids.RequestId,
         now: float,
     ) -> None:
-        """Set aside an endpoint that took no connection or answered 503."""
+        """Eject an endpoint that refused a connection or responded 503."""
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
@@ -208,20 +212,23 @@
         self._eject(endpoint, estimate, now=now)
 
     def record_inconclusive(self, endpoint: ids.EndpointId) -> None:
-        """Note that a started task ended without a sign of health."""
+        """Record the end of a task that says nothing about the endpoint."""
         estimate = self._ejected.get(endpoint)
         if estimate is not None and estimate.probes:
             estimate.probes -= 1
 
     def mean_run_s(self, customer: ids.CustomerId) -> float:
-        """Return the fleet's mean run time of the customer's tasks, or 0."""
+        """Return the mean run time of the customer's tasks, in seconds.
+
+        The mean is taken over all endpoints; it is 0 without observations.
+        """
         return self._mean_run_s.get(customer, 0)
 
     def straggler_after_s(self, customer: ids.CustomerId) -> float:
         """Return the run time, in seconds, that makes a task a straggler."""
-        usual_s = self.mean_run_s(customer)
+        mean_run_s = self.mean_run_s(customer)
         return max(
-            self._cfg.min_straggler_s, self._cfg.straggler_factor * usual_s
+            self._cfg.min_straggler_s, self._cfg.straggler_factor * mean_run_s
         )
 
     def record_stragglers(
@@ -232,35 +239,39 @@
         since: float,
         now: float,
     ) -> None:
-        """Eject an endpoint that gave no answer since its stragglers began."""
+        """Eject an endpoint without successes since its stragglers started.
+
+        ``count`` is the number of stragglers that run there, and ``since``
+        the start of the newest.
+        """
         estimate = self._estimates.get(endpoint)
         if estimate is None or estimate.is_ejected:
             return
-        silent = estimate.last_success < since
-        if silent and count >= self._cfg.stragglers_to_eject:
+        unresponsive = estimate.last_success < since
+        if unresponsive and count >= self._cfg.stragglers_to_eject:
             self._count_failure(endpoint, estimate, now=now)
             self._eject(endpoint, estimate, now=now)
 
     def decay_unused(self, *, now: float) -> None:
-        """Move estimates without recent observations towards the mean.
+        """Decay estimates without recent observations towards the mean.
 
-        Called about once a second; otherwise an endpoint that was slow once
-        would never get the work that could show that it recovered.
+        Without this, an endpoint that was slow once would never get the tasks
+        that could show its recovery. An estimate decays at most once a second.
         """
         half_life_s = self._cfg.half_life_s
         for endpoint, estimate in self._estimates.items():
             idle_s = now - estimate.last_update
             if idle_s >= 1 and self.ranks.get(endpoint):
-                kept = math.pow(2, -min(idle_s, half_life_s) / half_life_s)
+                decay = math.pow(2, -min(idle_s, half_life_s) / half_life_s)
                 estimate.relative_run_time = (
-                    1 + (estimate.relative_run_time - 1) * kept
+                    1 + (estimate.relative_run_time - 1) * decay
                 )
-                estimate.failure_rate *= kept
+                estimate.failure_rate *= decay
                 estimate.last_update = now
                 self.ranks[endpoint] = estimate.rank(self._cfg)
 
     def state(self, *, now: float) -> dict[str, object]:
-        """Return the state dump."""
+        """Return the estimates for the state dump."""
         return {
             endpoint: {
                 'ejected_for_s': max(0, estimate.ejected_until - now)
@@ -277,7 +288,10 @@
     def _relative_run_time(
         self, customer: ids.CustomerId, run_s: float
     ) -> float:
-        """Return a run time relative to the customer's, and learn from it."""
+        """Return a run time relative to the customer's geometric mean.
+
+        The run time is added to this mean.
+        """
         run_s = max(run_s, MIN_RUN_S)
         typical_s = self._geometric_mean_run_s.get(customer, run_s)
         relative = run_s / typical_s
@@ -308,8 +322,8 @@
     ) -> None:
         zone = estimate.zone
         ejected = sum(other.zone == zone for other in self._ejected.values())
-        allowed = self._cfg.max_ejected_fraction * self._zone_sizes[zone]
-        if ejected + 1 > allowed:
+        max_ejected = self._cfg.max_ejected_fraction * self._zone_sizes[zone]
+        if ejected + 1 > max_ejected:
             return
         if now - estimate.readmitted_at > self._cfg.ejection_reset_s:
             estimate.ejections = 0
@@ -317,7 +331,9 @@
         self._ejected[endpoint] = estimate
         self.ranks.pop(endpoint, None)
         estimate.renew_ejection(cfg=self._cfg, rng=self._rng, now=now)
-        _log.warning('endpoint ejected', extra={'endpoint': endpoint})
+        _log.warning(
+            'Endpoint ejected after failures.', extra={'endpoint': endpoint}
+        )
 
     def _readmit(
         self,
@@ -326,12 +342,15 @@
         *,
         now: float,
     ) -> None:
-        """Return the endpoint to service if its ejection has passed."""
+        """Return the endpoint to service if its ejection has ended."""
         if now < estimate.ejected_until:
             return
         estimate.is_ejected = False
         estimate.readmitted_at = now
         estimate.probes = 0
         self._ejected.pop(endpoint, None)
-        _log.info('endpoint returned', extra={'endpoint': endpoint})
+        _log.info(
+            'Endpoint returned to service after a successful probe.',
+            extra={'endpoint': endpoint},
+        )
         self.ranks[endpoint] = estimate.rank(self._cfg)
--- a/sardineproxy/process/health_estimates.py
+++ b/sardineproxy/process/health_estimates.py
@@ -1,4 +1,4 @@
-"""What is known of one endpoint, and of requests that fail everywhere."""
+"""Health estimate of an endpoint, and tracking of requests that fail."""
 
 import collections
 import dataclasses
@@ -7,94 +7,99 @@
 
 from sardineproxy import ids
 
-#: Ranks that put another zone's endpoints after all of the own zone's.
+#: Base rank of endpoints in other zones; puts them after all endpoints of the
+#: own zone.
 OTHER_ZONE_RANK = 10_000
 
-#: Scores within this ratio of each other count as equal, so that noise in the
-#: estimates does not send all tasks to one endpoint.
+#: Ratio between the scores of adjacent ranks. Scores within it count as equal,
+#: so that noise in the estimates does not send all tasks to one endpoint.
 SCORE_STEP = 1.1
 
-#: Requests for which failures and successes are remembered.
+#: Number of requests whose failures and successes are tracked.
 MAX_TRACKED_REQUESTS = 1024
 
 _RANKS_PER_LOG_UNIT = 1 / math.log(SCORE_STEP)
 
-#: Stands for "some task of the request succeeded".
+#: Stored in place of an endpoint once a task of the request succeeded.
 _SUCCEEDED = ids.EndpointId('')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Bounds of ejection and learning."""
+    """Parameters of ejection and of the estimates."""
 
-    #: Largest part of a zone's endpoints that may be ejected at once.
+    #: Largest fraction of a zone's endpoints that may be ejected at once.
     max_ejected_fraction: float = 0.5
 
-    #: Failures in a row that eject an endpoint.
+    #: Consecutive failures that eject an endpoint.
     failures_to_eject: int = 3
 
-    #: Mean of the first ejection, in seconds; each further one doubles it.
+    #: Mean length of the first ejection, in seconds. It doubles with every
+    #: further ejection.
     first_ejection_s: float = 1
 
-    #: Longest mean of an ejection, in seconds.
+    #: Longest mean length of an ejection, in seconds.
     max_ejection_s: float = 60
 
-    #: Part of an ejection that is random, either way.
+    #: Jitter of the length of an ejection, as a fraction of its mean.
     jitter: float = 0.25
 
-    #: Time on probation after which a task that may not be sent again may be
-    #: the probe, in seconds. A refused probe fails such a task for good, so
-    #: that a harmless one is awaited while other endpoints are in service.
+    #: Time on probation in seconds after which a task that may not be retried
+    #: may be used as a probe. A failed probe fails such a task for good, so
+    #: an idempotent task is preferred while other endpoints are in service.
     unsafe_probe_after_s: float = 10
 
-    #: Time in service after which ejections start short again, in seconds.
+    #: Time in service after which the length of ejections is reset to the
+    #: first one, in seconds.
     ejection_reset_s: float = 120
 
-    #: Part of a new observation in a learned failure rate.
+    #: Weight of a new observation in the failure rate (moving average).
     failure_gain: float = 0.1
 
-    #: Least part of a new observation in a learned speed. Run times of equal
-    #: tasks spread over a factor of 20, so at 0.1 the noise of an estimate
-    #: was as large as the differences between endpoints.
+    #: Smallest weight of a new observation in the relative run time. Run
+    #: times of equal tasks spread over a factor of 20, so that at 0.1 the
+    #: noise was as large as the differences between endpoints.
     speed_gain: float = 0.02
 
-    #: Part of a new observation in the fleet's run time of a workload.
+    #: Weight of a new observation in a customer's mean run time.
     fleet_gain: float = 0.02
 
-    #: Time after which an unused endpoint's estimate is half forgotten.
+    #: Half-life of the estimate of an unused endpoint, in seconds.
     half_life_s: float = 30
 
-    #: Weight of the failure rate in the score: 1 doubles it at 100 %.
+    #: Weight of the failure rate in the score: with a weight of 1, a failure
+    #: rate of 100 % doubles the score.
     failure_weight: float = 4
 
-    #: A task is a straggler after this multiple of its expected run time...
+    #: Multiple of the customer's mean run time after which a task is a
+    #: straggler.
     straggler_factor: float = 4
 
-    #: ...but not before this time, in seconds.
+    #: Shortest run time of a straggler, in seconds.
     min_straggler_s: float = 2
 
-    #: Stragglers, with no success since they started, that eject an endpoint.
+    #: Stragglers that eject an endpoint without successes since they started.
     stragglers_to_eject: int = 2
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Estimate:
-    """What is known of one endpoint."""
+    """Estimated speed, failure rate and ejection state of one endpoint."""
 
     zone: ids.ZoneId
 
-    #: Run time relative to the fleet, as a geometric mean.
+    #: Geometric mean of the run times relative to the fleet's.
     relative_run_time: float = 1
 
-    #: Successes that the slowness was learned from.
+    #: Number of successes in the relative run time.
     observations: int = 0
     failure_rate: float = 0
     failures_in_row: int = 0
 
-    #: Rank of the mean run time in the endpoint's zone.
+    #: Rank of an endpoint of this zone that is as fast as the fleet.
     base_rank: int = 0
 
-    #: Ejections in a row.
+    #: Ejection periods since the last reset.
     ejections: int = 0
     is_ejected: bool = False
     ejected_until: float = 0
@@ -104,9 +109,10 @@
     last_update: float = 0
 
     def update_relative_run_time(self, relative: float, cfg: Config) -> None:
-        """Move the slowness towards a task's; the first ones count most.
+        """Add a task's relative run time to the mean.
 
-        The mean is geometric, so that one long task does not outweigh many.
+        The first tasks have a larger weight. The mean is geometric, so that
+        one long task does not outweigh many.
         """
         self.observations += 1
         gain = max(cfg.speed_gain, 1 / (self.observations + 1))
@@ -115,15 +121,15 @@
         ) * math.pow(relative, gain)
 
     def is_on_probation(self, now: float) -> bool:
-        """Tell whether the ejection has passed and no probe is running."""
+        """Return whether the ejection has ended and no probe is running."""
         return not self.probes and now >= self.ejected_until
 
     def renew_ejection(
         self, *, cfg: Config, rng: random.Random, now: float
     ) -> None:
-        """Start the next, longer period of an ejection.
+        """Start the next, longer ejection period if the current one is over.
 
-        Tasks that began before the ejection do not prolong it.
+        Tasks that started before the ejection therefore do not extend it.
         """
         if now < self.ejected_until:
             return
@@ -138,7 +144,7 @@
         )
 
     def rank(self, cfg: Config) -> int:
-        """Return the logarithm of the score in steps of ``SCORE_STEP``."""
+        """Return the score on a logarithmic scale; lower ranks are better."""
         score = self.relative_run_time * (
             1 + cfg.failure_weight * self.failure_rate
         )
@@ -148,26 +154,29 @@
 
 
 class RequestFailures:
-    """Where recent requests failed first, and whether they can succeed."""
+    """The first endpoint at which each recent request failed, if any.
+
+    Distinguishes requests that fail everywhere from endpoints that fail.
+    """
 
     def __init__(self) -> None:
-        """Start without requests."""
+        """Create a record without requests."""
         self._first_failed: collections.OrderedDict[
             ids.RequestId, ids.EndpointId
         ] = collections.OrderedDict()
 
     def record_success(self, request_id: ids.RequestId) -> None:
-        """Note that one of the request's tasks succeeded."""
+        """Record that one of the request's tasks succeeded."""
         self._first_failed[request_id] = _SUCCEEDED
         self._drop_oldest()
 
     def is_request_at_fault(
         self, request_id: ids.RequestId, endpoint: ids.EndpointId
     ) -> bool:
-        """Tell whether the request, not the endpoint, explains a failure."""
-        first = self._first_failed.setdefault(request_id, endpoint)
+        """Record a failure; return whether it is the request's own fault."""
+        first_endpoint = self._first_failed.setdefault(request_id, endpoint)
         self._drop_oldest()
-        return first not in {endpoint, _SUCCEEDED}
+        return first_endpoint not in {endpoint, _SUCCEEDED}
 
     def _drop_oldest(self) -> None:
         if len(self._first_failed) > MAX_TRACKED_REQUESTS:
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -1,7 +1,7 @@
-"""Start waiting tasks on free slots.
+"""Matching of waiting tasks to free slots.
 
-Between events every waiting task is one that no free slot fits. A released
-slot therefore needs a search for one start, not for all that are possible.
+Between events no free slot is usable by any waiting task. After the release
+of a slot it is therefore enough to search for a single task to start.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class SlotSource(Protocol):
-    """What matching needs of the slot table."""
+    """The part of the slot table's interface that the matcher uses."""
 
     def free_endpoints(
         self, *, customer: ids.CustomerId, now: float
@@ -28,26 +28,26 @@
         customer: ids.CustomerId,
         now: float,
     ) -> slots.Ticket | None:
-        """Take a free slot of the endpoint, or return None."""
+        """Acquire a free slot of the endpoint, or return None."""
 
     def release(self, *, ticket: slots.Ticket, now: float) -> None:
-        """Give the slot back."""
+        """Release the slot."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Placement:
-    """A started task and its slot."""
+    """A started task and the slot that it uses."""
 
     entry: flows.QueueEntry
     ticket: slots.Ticket
     vm: platform.Vm
 
-    #: Monotonic seconds at which the slot was taken.
+    #: Monotonic time at which the slot was acquired, in seconds.
     started: float
 
 
 class Matcher:
-    """Takes tasks from the queue and slots from the table."""
+    """Starts queued tasks on free slots, in the order of the fair queue."""
 
     def __init__(
         self,
@@ -58,27 +58,28 @@
         zone: ids.ZoneId,
         health: health.Health,
     ) -> None:
-        """Start with no running tasks."""
+        """Create a matcher without running tasks."""
         self._queue = queue
         self._slots = slot_table
         self._health = health
 
-        #: Choice of the endpoint and what outcomes teach about it.
+        #: Chooses endpoints and records task outcomes in their health.
         self.router = routing.Router(rng=rng, zone=zone, health=health)
 
-        #: Started tasks by number; only the matcher changes it.
+        #: Started tasks by number. Read-only for other modules.
         self.running: dict[int, Placement] = {}
 
-        #: Flows that could use no free slot while others could.
+        #: Flows that could use no free slot when a later flow could. They
+        #: are out of the queue's rotation until the next full search.
         self.blocked: dict[ids.CustomerId, flows.Flow] = {}
 
     def place_new(
         self, entry: flows.QueueEntry, *, now: float
     ) -> Placement | None:
-        """Start a new task at once if a free slot fits it.
+        """Start a new task at once if it can use a free slot.
 
-        The waiting tasks of its customer fit no free slot, nor do those of
-        other customers; a customer without waiting tasks may be luckier.
+        No waiting task can use one, so the new task overtakes nobody. If its
+        customer has waiting tasks, it has to wait behind them.
         """
         flow = entry.flow
         if flow.singles or flow.jobs:
@@ -86,7 +87,7 @@
         return self._place(entry, now)
 
     def release(self, placement: Placement, *, now: float) -> None:
-        """Give a slot back and start the next task on it."""
+        """Release a task's slot and start the next task."""
         self.running.pop(placement.entry.number)
         self._slots.release(ticket=placement.ticket, now=now)
         if not self._queue.waiting:
@@ -99,63 +100,66 @@
         if started is None and self.blocked:
             self._unblock_all()
             started = self._match_one(now)
-        # A limit of its own held the customer back, maybe from other slots
-        # than the one that was released.
+        # The customer was blocked by a limit of its own, which may have kept
+        # it from slots other than the released one.
         if was_blocked and started is not flow and flow.is_backlogged:
             if self._start_next(flow, now):
                 self._queue.schedule(flow)
 
     def match_all(self, *, now: float) -> None:
-        """Start all tasks that fit a free slot."""
+        """Start all waiting tasks that can use a free slot."""
         self._unblock_all()
-        misfits = []
+        skipped_flows = []
         flow = self._queue.pop_flow()
         while flow is not None:
             if self._start_next(flow, now):
                 self._queue.schedule(flow)
             else:
-                misfits.append(flow)
+                skipped_flows.append(flow)
             flow = self._queue.pop_flow()
-        for misfit in misfits:
-            self._queue.schedule(misfit)
+        for skipped in skipped_flows:
+            self._queue.schedule(skipped)
 
     def report_stragglers(self, *, now: float) -> None:
-        """Tell the health estimates which tasks run for too long."""
-        starts: dict[ids.EndpointId, list[float]] = {}
+        """Report tasks that run for too long to the health estimates."""
+        starts_by_endpoint: dict[ids.EndpointId, list[float]] = {}
         for placement in self.running.values():
             limit_s = self._health.straggler_after_s(
                 placement.entry.task.customer
             )
             if now - placement.started > limit_s:
-                started = starts.setdefault(placement.ticket.endpoint, [])
-                started.append(placement.started)
-        for endpoint, started in starts.items():
+                starts = starts_by_endpoint.setdefault(
+                    placement.ticket.endpoint, []
+                )
+                starts.append(placement.started)
+        for endpoint, starts in starts_by_endpoint.items():
             self._health.record_stragglers(
-                endpoint, count=len(started), since=max(started), now=now
+                endpoint, count=len(starts), since=max(starts), now=now
             )
 
     def _match_one(self, now: float) -> flows.Flow | None:
-        """Start the first task that fits; return its flow.
+        """Start the first task that can use a free slot; return its flow.
 
-        Flows that come before it fit no free slot because of limits of their
-        own; they are held, so that the next release does not try them all.
+        Flows before it can use no free slot because of limits of their own.
+        They are marked as blocked, so that the next release does not try
+        them all again.
         """
-        misfits = []
+        skipped_flows = []
         flow = self._queue.pop_flow()
         while flow is not None and not self._start_next(flow, now):
-            misfits.append(flow)
+            skipped_flows.append(flow)
             flow = self._queue.pop_flow()
-        for misfit in misfits:
+        for skipped in skipped_flows:
             if flow is None:
-                self._queue.schedule(misfit)
+                self._queue.schedule(skipped)
             else:
-                self.blocked[misfit.customer] = misfit
+                self.blocked[skipped.customer] = skipped
         if flow is not None:
             self._queue.schedule(flow)
         return flow
 
     def _start_next(self, flow: flows.Flow, now: float) -> bool:
-        """Start the flow's next task if a free slot fits one."""
+        """Start the flow's next task that can use a free slot, if any."""
         for entry in self._candidates(flow):
             placement = self._place(entry, now)
             if placement is not None:
@@ -165,18 +169,21 @@
         return False
 
     def _candidates(self, flow: flows.Flow) -> tuple[flows.QueueEntry, ...]:
-        """Return the tasks to try, without those that nobody waits for."""
+        """Return the tasks to try; remove abandoned ones from the queue.
+
+        A task is abandoned when the coroutine that submitted it was cancelled.
+        """
         entries = self._queue.candidates(flow)
-        abandoned = [each for each in entries if _is_abandoned(each)]
+        abandoned = [entry for entry in entries if _is_abandoned(entry)]
         while abandoned:
-            for entry in abandoned:
-                self._queue.remove(entry)
+            for abandoned_entry in abandoned:
+                self._queue.remove(abandoned_entry)
             entries = self._queue.candidates(flow)
-            abandoned = [each for each in entries if _is_abandoned(each)]
+            abandoned = [entry for entry in entries if _is_abandoned(entry)]
         return entries
 
     def _place(self, entry: flows.QueueEntry, now: float) -> Placement | None:
-        """Take the best free slot for a task and start it."""
+        """Start the task on the best free slot, or return None."""
         customer = entry.task.customer
         free = self._slots.free_endpoints(customer=customer, now=now)
         while free:
@@ -188,7 +195,9 @@
             )
             if ticket is not None:
                 return self._start(entry, ticket, now)
-            free = tuple(other for other in free if other != endpoint)
+            free = tuple(
+                candidate for candidate in free if candidate != endpoint
+            )
         return None
 
     def _start(
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint for a task, and what its outcome teaches."""
+"""Choice of an endpoint for each task, and recording of task outcomes."""
 
 import random
 
@@ -7,11 +7,11 @@
 from sardineproxy.process import health, platform
 from sardineproxy.request import flows, work
 
-#: A task that its deadline cut off counts against the endpoint only after
-#: this multiple of the customer's usual run time.
+#: A task that was cut off by its deadline counts as a failure of the endpoint
+#: only if it ran for this multiple of the customer's mean run time.
 DEADLINE_FAILURE_FACTOR = 2
 
-#: Above the ranks of all endpoints that may get work.
+#: Rank of endpoints that are not in service; larger than any real rank.
 _NO_RANK = 1_000_000
 
 _CLIENT_ERROR = 400
@@ -21,19 +21,19 @@
 
 
 class Router:
-    """Ranks the live endpoints of the newest list."""
+    """Chooses among the live endpoints of the newest VM list."""
 
     def __init__(
         self, *, rng: random.Random, zone: ids.ZoneId, health: health.Health
     ) -> None:
-        """Start without endpoints."""
+        """Create a router without endpoints."""
         self._rng = rng
         self._zone = zone
         self._health = health
         self._vms: dict[ids.EndpointId, platform.Vm] = {}
 
     def set_listing(self, vm_list: platform.VmList) -> None:
-        """Offer live endpoints only from now on."""
+        """Use the live endpoints of a newer VM list."""
         self._vms = {
             ids.EndpointId(vm.name): vm
             for vm in vm_list.vms
@@ -46,7 +46,7 @@
         )
 
     def listed_vm(self, endpoint: ids.EndpointId) -> platform.Vm:
-        """Return the list's entry of a live endpoint."""
+        """Return the VM list's entry for a live endpoint."""
         return self._vms[endpoint]
 
     def choose_endpoint(
@@ -56,11 +56,13 @@
         *,
         now: float,
     ) -> ids.EndpointId | None:
-        """Return the endpoint with the shortest expected run time.
+        """Return the endpoint to use, or None if no free one is suitable.
 
-        The own zone goes first; ties are broken at random. A probe of an
-        endpoint on probation goes first with a task that may be retried, and
-        last, or not at all, with any other.
+        The endpoint with the shortest expected run time is chosen. Endpoints
+        of the own zone come before others, and ties are broken at random.
+
+        An idempotent single task is sent to an endpoint on probation first,
+        as a probe. Other tasks probe only if no other endpoint is suitable.
         """
         if entry.exclude or entry.unreachable:
             free = self._remove_excluded(
@@ -71,14 +73,14 @@
             return self._rng.choice(probes)
         rank_of = self._health.ranks.get
         ranks = [rank_of(endpoint, _NO_RANK) for endpoint in free]
-        least = min(ranks, default=_NO_RANK)
-        if least == _NO_RANK:
+        best_rank = min(ranks, default=_NO_RANK)
+        if best_rank == _NO_RANK:
             probes = self._health.probes_for_any_task(probes, now=now)
             return self._rng.choice(probes) if probes else None
-        if ranks.count(least) == 1:
-            return free[ranks.index(least)]
+        if ranks.count(best_rank) == 1:
+            return free[ranks.index(best_rank)]
         ties = [
-            endpoint for endpoint, rank in zip(free, ranks) if rank == least
+            endpoint for endpoint, rank in zip(free, ranks) if rank == best_rank
         ]
         return ties[int(self._rng.random() * len(ties))]
 
@@ -91,7 +93,10 @@
         run_s: float,
         now: float,
     ) -> None:
-        """Tell the health estimates how a task ended; None if cancelled."""
+        """Record a task's outcome in the health estimates of its endpoint.
+
+        ``outcome`` is None if the attempt was cancelled.
+        """
         match outcome:
             case work.Response(status=status):
                 self._record_response(task, endpoint, status, run_s, now)
@@ -139,22 +144,26 @@
     def _is_deadline_too_short(
         self, task: work.Task, run_s: float, now: float
     ) -> bool:
-        """Tell whether the caller's short deadline explains the loss."""
+        """Return whether a short deadline, not the endpoint, is to blame."""
         if now < task.deadline:
             return False
-        usual_s = self._health.mean_run_s(task.customer)
-        return run_s < DEADLINE_FAILURE_FACTOR * usual_s
+        mean_run_s = self._health.mean_run_s(task.customer)
+        return run_s < DEADLINE_FAILURE_FACTOR * mean_run_s
 
     def _remove_excluded(
         self,
         free: tuple[ids.EndpointId, ...],
         exclude: frozenset[ids.EndpointId],
     ) -> tuple[ids.EndpointId, ...]:
-        """Drop the endpoints that a task avoids, unless that is all."""
+        """Return ``free`` without excluded endpoints.
+
+        If all listed endpoints are excluded, the exclusion is ignored.
+        """
         if len(exclude) >= len(self._vms) and exclude.issuperset(self._vms):
             return free
         return tuple(endpoint for endpoint in free if endpoint not in exclude)
 
 
 def _may_probe(task: work.Task) -> bool:
+    """Return whether a failed probe does the task no harm."""
     return task.idempotent and task.kind is work.TaskKind.SINGLE
