--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -253,7 +253,7 @@
         kind=work.TaskKind.SINGLE,
         fingerprint=bytes.fromhex(key.mac),
         size=ANSWER_BYTES,
-        tasks=1,
+        task_count=1,
         started_at=1,
         reply_future=reply_future,
         sequence=key.sequence,
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -185,7 +185,7 @@
                     'waiting': flow.waiting,
                     'running': flow.running,
                     'weight': flow.weight,
-                    'run_s': round(flow.run_s, 4),
+                    'run_s': round(flow.run_time_s, 4),
                 }
                 for flow in self._queue.flows.values()
             },
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -290,7 +290,7 @@
     def waiting_for(self, route: ids.RouteId) -> int:
         """Return how many jobs of a route have not begun."""
         return (
-            self.active_jobs.waiting_for(route)
+            self.active_jobs.count_unstarted(route)
             + self.job_service.pending().get(route, 0)
             + self.leaders.pending_jobs(route)
         )
@@ -455,7 +455,7 @@
     ) -> None:
         self.active_jobs.notify_leader_lost(shard, source)
         self.job_service.broadcast(
-            open_tasks.LeaderLost(shard=shard, source=source)
+            open_tasks.LeaderLost(shard=shard, former_leader=source)
         )
 
     def _new_job_manager(
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -252,7 +252,7 @@
         """Set the run number and the shard of a task from the progress."""
         task_progress = self._progress.failed.get(task.key)
         if task_progress is not None:
-            task.number = task_progress.next_run
+            task.next_run = task_progress.next_run
         task.shard = self._progress.moved.get(task.key, self._home_shard)
         task.was_moved = task.shard != self._home_shard
         task.resumed = self._resumed
@@ -320,7 +320,7 @@
         new_shard = ids.ShardId(declined.other or self._home_shard)
         for task in tasks:
             self._progress.moved[task.key] = new_shard
-            task.source = None
+            task.leader = None
             task.is_moving = True
         moved = _ShardChangeStored(tasks=tuple(tasks), shard=new_shard)
         self._put_progress().add_done_callback(
--- a/sardineproxy/request/active_jobs.py
+++ b/sardineproxy/request/active_jobs.py
@@ -53,9 +53,13 @@
         if entry is not None:
             entry.coordinator.post(message)
 
-    def notify_leader_lost(self, shard: ids.ShardId, source: link.Link) -> None:
+    def notify_leader_lost(
+        self, shard: ids.ShardId, former_leader: link.Link
+    ) -> None:
         """Tell all jobs that a cell's owner is lost."""
-        self._tell_all(open_tasks.LeaderLost(shard=shard, source=source))
+        self._tell_all(
+            open_tasks.LeaderLost(shard=shard, former_leader=former_leader)
+        )
 
     def notify_leader_found(self, shard: ids.ShardId) -> None:
         """Tell all jobs that a cell has an owner."""
@@ -65,7 +69,7 @@
         """Tell all jobs that this process stood still."""
         self._tell_all(coordinator.Stalled())
 
-    def waiting_for(self, route: ids.RouteId) -> int:
+    def count_unstarted(self, route: ids.RouteId) -> int:
         """Return how many jobs of a route are not known to have started."""
         return sum(
             entry.coordinator.route.route == route
--- a/sardineproxy/request/admission.py
+++ b/sardineproxy/request/admission.py
@@ -13,7 +13,7 @@
 MS_PER_SECOND = 1000
 
 #: Retry-After of refusals that end at a time nobody knows, in seconds.
-RETRY_S = 1
+RETRY_AFTER_S = 1
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -40,7 +40,7 @@
 class AdmittedSubmission:
     """A submission that has been taken."""
 
-    offer: Submission
+    submission: Submission
     contract: contracts.Contract
     document: documents.JobDocument
 
@@ -52,8 +52,8 @@
             work.Task(
                 request_id=request_id,
                 index=index,
-                customer=self.offer.customer,
-                kind=self.offer.kind,
+                customer=self.submission.customer,
+                kind=self.submission.kind,
                 idempotent=task.idempotent,
                 method=task.method,
                 path=task.path,
@@ -124,29 +124,31 @@
             return 0
         return contract.max_deadline_ms / MS_PER_SECOND
 
-    def refusal_of_all(self) -> problems.Problem | None:
+    def current_refusal(self) -> problems.Problem | None:
         """Return why nothing is taken at present, if so."""
         if self._draining:
             return _shutting_down()
         return None if self._ready else _not_ready()
 
     def admit(
-        self, *, offer: Submission, waiting: int, now: float
+        self, *, submission: Submission, waiting: int, now: float
     ) -> result.Result[AdmittedSubmission, problems.Problem]:
         """Parse and take a submission, or return why it is refused."""
-        refused = self.refusal_of_all()
+        refused = self.current_refusal()
         if refused is not None:
             return result.Err(refused)
-        contract = self._contracts.get(offer.customer)
+        contract = self._contracts.get(submission.customer)
         if contract is None:
             return result.Err(_no_contract())
-        if not offer.keyed and offer.kind is work.TaskKind.JOB:
+        if not submission.keyed and submission.kind is work.TaskKind.JOB:
             return result.Err(key_required())
-        parsed = documents.parse_submission(kind=offer.kind, body=offer.body)
+        parsed = documents.parse_submission(
+            kind=submission.kind, body=submission.body
+        )
         if isinstance(parsed, result.Err):
             return parsed
         admitted = AdmittedSubmission(
-            offer=offer, contract=contract, document=parsed.ok_value
+            submission=submission, contract=contract, document=parsed.ok_value
         )
         refused = check_bounds(admitted=admitted) or self._charge(
             contract=contract,
@@ -190,7 +192,7 @@
                     f'{waiting} tasks of the customer wait at this VM. '
                     'Submit again later, with a new key.'
                 ),
-                retry_after_s=RETRY_S,
+                retry_after_s=RETRY_AFTER_S,
             )
         wait_s = self._take(contract, tasks, now)
         if wait_s > 0:
@@ -228,7 +230,7 @@
 def check_bounds(*, admitted: AdmittedSubmission) -> problems.Problem | None:
     """Return why the contract never allows the submission, if so."""
     contract, document = admitted.contract, admitted.document
-    if not admitted.offer.keyed and not document.tasks[0].idempotent:
+    if not admitted.submission.keyed and not document.tasks[0].idempotent:
         return key_required()
     tasks = len(document.tasks)
     if tasks > contract.max_job_tasks:
@@ -286,7 +288,7 @@
             'This VM has too much in progress. '
             'Submit again later, with a new key.'
         ),
-        retry_after_s=RETRY_S,
+        retry_after_s=RETRY_AFTER_S,
     )
 
 
@@ -295,7 +297,7 @@
         code='shutting_down',
         status=503,
         detail='This VM is shutting down and takes no new work.',
-        retry_after_s=RETRY_S,
+        retry_after_s=RETRY_AFTER_S,
     )
 
 
@@ -304,7 +306,7 @@
         code='not_ready',
         status=503,
         detail='This VM has no configuration version yet.',
-        retry_after_s=RETRY_S,
+        retry_after_s=RETRY_AFTER_S,
     )
 
 
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -15,7 +15,7 @@
 LEADER_WAIT_S = 1.0
 
 #: Time that is kept for the way of the answer to the client, in seconds.
-ANSWER_S = 0.05
+ANSWER_MARGIN_S = 0.05
 
 #: When to come back after a refusal for want of an owner, in seconds.
 NO_LEADER_RETRY_S = 1.0
@@ -56,7 +56,7 @@
         self.arrived_at = arrived_at
         self._router = router
         self._clock = clock
-        self._deadline = deadline - ANSWER_S
+        self._deadline = deadline - ANSWER_MARGIN_S
         self._inbox: asyncio.Queue[Event] = asyncio.Queue()
         self._open = open_tasks.OpenTasks(
             job=job,
@@ -152,7 +152,7 @@
         if task is None or task.shard != end.shard:
             return None
         self._may_have_run = True
-        task.number = max(task.number, end.run + 1)
+        task.next_run = max(task.next_run, end.run + 1)
         match jobs.TaskResult(end.how):
             case jobs.TaskResult.DONE:
                 if self._open.close(task.key):
@@ -197,7 +197,7 @@
         self, declined: messages.Declined, tasks: list[open_tasks.OpenTask]
     ) -> jobs.Outcome:
         for task in tasks:
-            task.source = None
+            task.leader = None
         is_all = len(tasks) == len(self._open)
         if is_all and not self._has_begun:
             return jobs.NotRun(
@@ -214,7 +214,7 @@
                 extra={
                     'job': self.job.job_id,
                     'cell': lost.shard,
-                    'owner': lost.source.peer.vm,
+                    'owner': lost.former_leader.peer.vm,
                     'tasks': [task.index for task in stranded],
                     'longest_wait_s': LEADER_WAIT_S,
                 },
--- a/sardineproxy/request/executions.py
+++ b/sardineproxy/request/executions.py
@@ -99,13 +99,13 @@
         *,
         clock: clock.Clock,
         runner: Runner,
-        table: records.RecordStore,
+        record_store: records.RecordStore,
         metrics: metrics.Metrics,
     ) -> None:
         """Start with nothing in progress."""
         self._clock = clock
         self._runner = runner
-        self._table = table
+        self._record_store = record_store
         self._metrics = metrics
         self._records: dict[ids.RequestId, records.Record] = {}
 
@@ -128,30 +128,32 @@
         now = self._clock.now()
         record = records.Record(
             request_id=request_id,
-            customer=admitted.offer.customer,
-            kind=admitted.offer.kind,
+            customer=admitted.submission.customer,
+            kind=admitted.submission.kind,
             fingerprint=fingerprint,
-            size=len(admitted.offer.body),
-            tasks=len(admitted.document.tasks),
+            size=len(admitted.submission.body),
+            task_count=len(admitted.document.tasks),
             started_at=now,
             reply_future=asyncio.get_running_loop().create_future(),
             sequence=sequence,
         )
         if sequence is not None:
-            self._table.open(record=record)
+            self._record_store.open(record=record)
         self._records[request_id] = record
         self.running_bytes += record.size
-        self._unstarted[record.customer] += record.tasks
+        self._unstarted[record.customer] += record.task_count
         execution = Execution(
             record=record,
             tasks=admitted.tasks(request_id=request_id, now=now),
             runner=self._runner,
             unstarted=self._unstarted,
         )
-        self.keep(self._run(record, execution))
+        self.run_detached(self._run(record, execution))
         return record
 
-    def keep(self, coroutine: Coroutine[Any, Any, _Kept]) -> Awaitable[_Kept]:
+    def run_detached(
+        self, coroutine: Coroutine[Any, Any, _Kept]
+    ) -> Awaitable[_Kept]:
         """Run to the end even if whoever waits for the result goes away."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._in_progress.add(task)
@@ -195,7 +197,7 @@
         record.reply_future.set_result(reply)
         self._records.pop(record.request_id)
         self.running_bytes -= record.size
-        self._table.close(record=record)
+        self._record_store.close(record=record)
         self._metrics.observe(
             'submission_seconds',
             record.ended_at - record.started_at,
@@ -208,7 +210,7 @@
         'id': record.request_id,
         'customer': record.customer,
         'kind': record.kind.value,
-        'tasks': record.tasks,
+        'tasks': record.task_count,
         'ended_tasks': record.ended_tasks,
         'cancelled': record.cancelled,
         'age_s': round(now - record.started_at, 3),
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -25,13 +25,13 @@
 MIN_REBUILD_SIZE = 64
 
 #: Tasks with excluded endpoints that one search looks at.
-MAX_RETURNED_CANDIDATES = 4
+MAX_RESTRICTED_CANDIDATES = 4
 
 
 #: Run times that a customer may claim after its queue was empty, for each
 #: running task. Without it, bursts of a customer below its share wait although
 #: its average would allow them.
-CREDIT_PER_RUNNING = 0.25
+IDLE_CREDIT_PER_RUNNING = 0.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -42,7 +42,7 @@
     interactive_burst: int = 8
 
     #: Estimated run time of a customer without observations, in seconds.
-    default_run_s: float = 0.2
+    default_run_time_s: float = 0.2
 
 
 class _Order:
@@ -59,19 +59,19 @@
             self._heap = [
                 ranked
                 for ranked in self._heap
-                if ranked[1] == ranked[2].version
+                if ranked[1] == ranked[2].heap_version
             ]
             heapq.heapify(self._heap)
         self._last_version += 1
-        flow.version = self._last_version
-        heapq.heappush(self._heap, (flow.tag, flow.version, flow))
+        flow.heap_version = self._last_version
+        heapq.heappush(self._heap, (flow.start_tag, flow.heap_version, flow))
 
     def pop(self) -> flows.Flow | None:
         """Take the flow with the least tag out."""
         while self._heap:
             _, version, flow = heapq.heappop(self._heap)
-            if version == flow.version and flow.is_backlogged:
-                flow.version = 0
+            if version == flow.heap_version and flow.is_backlogged:
+                flow.heap_version = 0
                 return flow
         return None
 
@@ -166,13 +166,15 @@
         entry.lane = lane
         self._mark_waiting(entry)
         if not was_backlogged:
-            flow.tag = max(flow.tag, self._virtual_s - _credit_s(flow))
+            flow.start_tag = max(
+                flow.start_tag, self._virtual_s - _credit_s(flow)
+            )
             self.schedule(flow)
 
     def pause(self, entry: flows.QueueEntry) -> None:
         """Keep a task waiting outside the order until ``wait`` is called."""
         self._leave_lane(entry)
-        entry.flow.resting += 1
+        entry.flow.paused += 1
         self._mark_waiting(entry)
 
     def pop_flow(self) -> flows.Flow | None:
@@ -188,28 +190,33 @@
         """Return the tasks of the flow that may start next, best first."""
         lane = self._next_lane(flow)
         plain = (next(iter(lane.values())),) if lane else ()
-        if not flow.returned:
+        if not flow.restricted:
             return plain
-        returned = flow.returned.values()
-        return (*itertools.islice(returned, MAX_RETURNED_CANDIDATES), *plain)
+        restricted = flow.restricted.values()
+        return (
+            *itertools.islice(restricted, MAX_RESTRICTED_CANDIDATES),
+            *plain,
+        )
 
     def start(self, entry: flows.QueueEntry) -> None:
         """Take a task out of the order and charge its estimated run time."""
         flow = entry.flow
         if entry.state is flows.EntryState.WAITING:
             if entry.lane is flow.singles and flow.jobs:
-                flow.burst += 1
+                flow.singles_in_row += 1
             elif entry.lane is flow.jobs:
-                flow.burst = 0
+                flow.singles_in_row = 0
             self._leave_lane(entry)
             self.waiting -= 1
         elif not flow.is_backlogged:
-            flow.tag = max(flow.tag, self._virtual_s - _credit_s(flow))
+            flow.start_tag = max(
+                flow.start_tag, self._virtual_s - _credit_s(flow)
+            )
         entry.state = flows.EntryState.STARTED
-        entry.charged_s = flow.run_s
+        entry.charged_s = flow.run_time_s
         flow.running += 1
-        self._virtual_s = max(self._virtual_s, flow.tag)
-        flow.tag += entry.charged_s / flow.weight
+        self._virtual_s = max(self._virtual_s, flow.start_tag)
+        flow.start_tag += entry.charged_s / flow.weight
 
     def undo_start(self, entry: flows.QueueEntry) -> None:
         """Undo the start of a task of which nothing ran."""
@@ -221,7 +228,7 @@
         flow = entry.flow
         flow.finished += 1
         gain = max(ESTIMATE_GAIN, 1 / flow.finished)
-        flow.run_s += gain * (run_s - flow.run_s)
+        flow.run_time_s += gain * (run_s - flow.run_time_s)
         self._settle(entry, run_s)
         self.remove(entry)
 
@@ -269,7 +276,9 @@
     def _flow(self, customer: ids.CustomerId) -> flows.Flow:
         flow = self.flows.get(customer)
         if flow is None:
-            flow = flows.Flow(customer=customer, run_s=self._cfg.default_run_s)
+            flow = flows.Flow(
+                customer=customer, run_time_s=self._cfg.default_run_time_s
+            )
             flow.weight = self._weights.get(customer, 1)
             self.flows[customer] = flow
         return flow
@@ -277,7 +286,10 @@
     def _next_lane(self, flow: flows.Flow) -> flows.Lane:
         if not flow.jobs:
             return flow.singles
-        if not flow.singles or flow.burst >= self._cfg.interactive_burst:
+        if (
+            not flow.singles
+            or flow.singles_in_row >= self._cfg.interactive_burst
+        ):
             return flow.jobs
         return flow.singles
 
@@ -293,13 +305,13 @@
             entry.lane.pop(entry.number)
             entry.lane = None
         elif entry.state is flows.EntryState.WAITING:
-            entry.flow.resting -= 1
+            entry.flow.paused -= 1
 
     def _settle(self, entry: flows.QueueEntry, run_s: float) -> None:
         flow = entry.flow
         flow.running -= 1
-        flow.tag += (run_s - entry.charged_s) / flow.weight
-        if flow.version:
+        flow.start_tag += (run_s - entry.charged_s) / flow.weight
+        if flow.heap_version:
             self.schedule(flow)
 
 
@@ -309,13 +321,13 @@
 
 def _credit_s(flow: flows.Flow) -> float:
     """Return the virtual time that a flow keeps when it falls idle."""
-    tasks = 1 + flow.running * CREDIT_PER_RUNNING
-    return tasks * flow.run_s / flow.weight
+    tasks = 1 + flow.running * IDLE_CREDIT_PER_RUNNING
+    return tasks * flow.run_time_s / flow.weight
 
 
 def _lane_of(entry: flows.QueueEntry) -> flows.Lane:
     if entry.exclude or entry.unreachable:
-        return entry.flow.returned
+        return entry.flow.restricted
     if entry.task.kind is work.TaskKind.SINGLE:
         return entry.flow.singles
     return entry.flow.jobs
--- a/sardineproxy/request/flows.py
+++ b/sardineproxy/request/flows.py
@@ -31,40 +31,40 @@
     customer: ids.CustomerId
 
     #: Estimated run time of one task, in seconds.
-    run_s: float
+    run_time_s: float
     weight: float = 1
 
     #: Virtual seconds at which the next task starts.
-    tag: float = 0
+    start_tag: float = 0
 
     #: Single requests started in a row while job tasks waited.
-    burst: int = 0
+    singles_in_row: int = 0
     running: int = 0
     finished: int = 0
 
     #: Waiting tasks that are in none of the lanes.
-    resting: int = 0
+    paused: int = 0
 
     #: Tasks that some endpoints must not run; they go first.
-    returned: 'Lane' = dataclasses.field(
+    restricted: 'Lane' = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     singles: 'Lane' = dataclasses.field(default_factory=collections.OrderedDict)
     jobs: 'Lane' = dataclasses.field(default_factory=collections.OrderedDict)
 
     #: Number of the flow's place in the order, 0 if it has none.
-    version: int = 0
+    heap_version: int = 0
 
     @property
     def waiting(self) -> int:
         """Return the number of waiting tasks."""
-        lanes = len(self.singles) + len(self.jobs) + len(self.returned)
-        return lanes + self.resting
+        lanes = len(self.singles) + len(self.jobs) + len(self.restricted)
+        return lanes + self.paused
 
     @property
     def is_backlogged(self) -> bool:
         """Tell whether a task could start now."""
-        return bool(self.singles or self.jobs or self.returned)
+        return bool(self.singles or self.jobs or self.restricted)
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
--- a/sardineproxy/request/key_requests.py
+++ b/sardineproxy/request/key_requests.py
@@ -14,7 +14,7 @@
 MAX_PAYLOAD_BYTES = documents.MAX_BODY_BYTES - 4096
 
 #: Statuses that an answer to a caller may have.
-STATUSES = range(200, 600)
+REPLY_STATUSES = range(200, 600)
 
 #: Most members of an array in a payload.
 MAX_MEMBERS = 64
@@ -47,22 +47,22 @@
     wait: bool = False
 
 
-_QUESTION = pydantic.TypeAdapter(KeyRequest)
-_QUESTION_FIELDS = ('operation', 'customer', 'key', 'kind', 'body', 'wait')
+_REQUEST = pydantic.TypeAdapter(KeyRequest)
+_REQUEST_FIELDS = ('operation', 'customer', 'key', 'kind', 'body', 'wait')
 _REPLY = pydantic.TypeAdapter(documents.Reply)
 _REPLY_FIELDS = ('status', 'headers', 'body', 'verdict')
 
 
-def encode_request(question: KeyRequest) -> bytes:
+def encode_request(request: KeyRequest) -> bytes:
     """Return a question's payload."""
     packed: bytes = msgpack.packb(
         [
-            question.operation.value,
-            question.customer,
-            question.key,
-            question.kind.value,
-            question.body,
-            question.wait,
+            request.operation.value,
+            request.customer,
+            request.key,
+            request.kind.value,
+            request.body,
+            request.wait,
         ]
     )
     return packed
@@ -71,7 +71,7 @@
 def decode_request(payload: bytes) -> KeyRequest | None:
     """Return the question, or None if the payload is none."""
     try:
-        return _QUESTION.validate_python(_unpack(payload, _QUESTION_FIELDS))
+        return _REQUEST.validate_python(_unpack(payload, _REQUEST_FIELDS))
     except ValueError:
         return None
 
@@ -91,7 +91,7 @@
         reply = _REPLY.validate_python(_unpack(payload, _REPLY_FIELDS))
     except ValueError:
         return None
-    return reply if reply.status in STATUSES else None
+    return reply if reply.status in REPLY_STATUSES else None
 
 
 def _unpack(payload: bytes, fields: tuple[str, ...]) -> dict[str, object]:
@@ -121,11 +121,11 @@
         self._forwarder = forwarder
         self._metrics = metrics
 
-    async def ask(
-        self, *, question: KeyRequest, key: keys.Key, wait_s: float
+    async def send(
+        self, *, request: KeyRequest, key: keys.Key, wait_s: float
     ) -> documents.Reply:
         """Return the reply of the key's minter within ``wait_s`` seconds."""
-        payload = encode_request(question)
+        payload = encode_request(request)
         if len(payload) > MAX_PAYLOAD_BYTES:
             return documents.render_problem(keys.too_large_to_forward())
         reply = await self._forwarder.forward(
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -21,7 +21,7 @@
 MAX_KEY_CHARACTERS = 256
 
 #: Seconds after which to ask again for a minter that was not reached.
-RETRY_S = 1
+RETRY_AFTER_S = 1
 
 MS_PER_SECOND = 1000
 
@@ -184,7 +184,7 @@
         code='minter_unreachable',
         status=503,
         detail='The process that minted the key cannot be reached now.',
-        retry_after_s=RETRY_S,
+        retry_after_s=RETRY_AFTER_S,
         final=False,
     )
 
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -31,7 +31,7 @@
     """The link to a cell's owner is closed, or it gave the cell up."""
 
     shard: ids.ShardId
-    source: link.Link
+    former_leader: link.Link
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -50,7 +50,7 @@
     shard: ids.ShardId
 
     #: Number of its next run.
-    number: int = 1
+    next_run: int = 1
 
     #: Runs that failed by the task's own fault.
     failures: int = 0
@@ -62,7 +62,7 @@
     is_moving: bool = False
 
     #: Owner that has the task, None while it has none.
-    source: link.Link | None = None
+    leader: link.Link | None = None
 
     #: True if an owner that was lost may have ordered it.
     resumed: bool = False
@@ -134,7 +134,7 @@
 
     def has_unassigned(self) -> bool:
         """Tell whether a task has no owner."""
-        return any(task.source is None for task in self._open.values())
+        return any(task.leader is None for task in self._open.values())
 
     def send(
         self, tasks: Sequence[OpenTask], *, firm: bool, begun: bool
@@ -149,7 +149,7 @@
         step = self.job.steps[first.step]
         source = self._router.leader(first.shard)
         for stranded in tasks:
-            stranded.source = None
+            stranded.leader = None
         if source is None:
             return
         resumed = any(task.resumed for task in tasks)
@@ -162,7 +162,7 @@
                 service=self.route.service,
                 priority=self.route.priority,
                 payload=self.job.payload,
-                tasks=tuple((task.index, task.number) for task in tasks),
+                tasks=tuple((task.index, task.next_run) for task in tasks),
                 millicores=step.resources.millicores,
                 memory_mb=step.resources.memory_mb,
                 gpus=step.resources.gpus,
@@ -182,7 +182,7 @@
         )
         if sent:
             for submitted in tasks:
-                submitted.source = source
+                submitted.leader = source
 
     def move(
         self, tasks: Sequence[OpenTask], shard: ids.ShardId, *, begun: bool
@@ -199,10 +199,10 @@
         stranded = [
             task
             for task in self._open.values()
-            if task.shard == lost.shard and task.source is lost.source
+            if task.shard == lost.shard and task.leader is lost.former_leader
         ]
         for waiting in stranded:
-            waiting.source = None
+            waiting.leader = None
             waiting.resumed = True
         return stranded
 
@@ -210,7 +210,7 @@
         """Ask a cell's new owner for the tasks that the former one had."""
         by_step: dict[int, list[OpenTask]] = {}
         for task in self._open.values():
-            if task.shard == shard and not task.source and not task.is_moving:
+            if task.shard == shard and not task.leader and not task.is_moving:
                 by_step.setdefault(task.step, []).append(task)
         for tasks in by_step.values():
             self.send(tasks, firm=True, begun=begun)
@@ -218,9 +218,9 @@
     def withdraw(self) -> None:
         """Tell the owners that nothing more is wanted."""
         places = {
-            (task.shard, task.source)
+            (task.shard, task.leader)
             for task in self._open.values()
-            if task.source is not None
+            if task.leader is not None
         }
         for shard, source in places:
             if source is not None:
@@ -231,7 +231,7 @@
         """Tell whether an owner has tasks other than these."""
         these = {task.key for task in tasks}
         return any(
-            task.source is not None
+            task.leader is not None
             for key, task in self._open.items()
             if key not in these
         )
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -17,7 +17,7 @@
 from sardineproxy.request import documents, keys, work
 
 #: Seconds between two searches for records and notes past their time.
-SWEEP_S = 1
+SWEEP_INTERVAL_S = 1
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -35,7 +35,7 @@
     size: int
 
     #: Number of tasks, and how many of them have ended.
-    tasks: int
+    task_count: int
     ended_tasks: int = 0
 
     #: Monotonic seconds.
@@ -61,7 +61,7 @@
     fingerprint: bytes | None
 
     #: Monotonic seconds.
-    noted_at: float
+    created_at: float
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -86,7 +86,7 @@
     NEW = 'new'
 
 
-class _Shelf:
+class _CustomerRecords:
     """What is kept for one customer, oldest first."""
 
     def __init__(self, totals: _Totals) -> None:
@@ -126,7 +126,7 @@
                 break
             self.pop()
         while self.notes:
-            if next(iter(self.notes.values())).noted_at > notes_until:
+            if next(iter(self.notes.values())).created_at > notes_until:
                 break
             self.pop_note()
 
@@ -148,13 +148,13 @@
         max_answer_bytes: int,
     ) -> None:
         """Start empty; times in seconds."""
-        self._ring = key_issuer
+        self._key_issuer = key_issuer
         self._key_ttl_s = key_ttl_s
         self._record_ttl_s = record_ttl_s
         self._max_records = max_records
         self._max_answer_bytes = max_answer_bytes
         self._running: dict[int, Record] = {}
-        self._shelves: dict[ids.CustomerId, _Shelf] = {}
+        self._by_customer: dict[ids.CustomerId, _CustomerRecords] = {}
         self._totals = _Totals()
         self._sweep_at = float('-inf')
 
@@ -162,10 +162,10 @@
         self, *, key: keys.Key, customer: ids.CustomerId, now: float
     ) -> Record | Tombstone | UnrecordedKey:
         """Return what is known of a key that ``customer`` presents."""
-        if not self._ring.is_genuine(key=key, customer=customer):
+        if not self._key_issuer.is_genuine(key=key, customer=customer):
             return UnrecordedKey.UNKNOWN
         self._sweep(now)
-        shelf = self._shelf(customer)
+        shelf = self._customer_records(customer)
         held = (
             self._running.get(key.sequence)
             or shelf.ended.get(key.sequence)
@@ -193,7 +193,7 @@
         if record.sequence is None:
             return
         self._running.pop(record.sequence)
-        self._shelf(record.customer).put(record.sequence, record)
+        self._customer_records(record.customer).put(record.sequence, record)
         self._make_room(record.ended_at)
 
     def add_tombstone(
@@ -206,8 +206,10 @@
         now: float,
     ) -> Tombstone:
         """Remember that a key without a record will never start work."""
-        note = Tombstone(problem=problem, fingerprint=fingerprint, noted_at=now)
-        self._shelf(customer).put_note(key.sequence, note)
+        note = Tombstone(
+            problem=problem, fingerprint=fingerprint, created_at=now
+        )
+        self._customer_records(customer).put_note(key.sequence, note)
         self._make_room(now)
         return note
 
@@ -220,19 +222,19 @@
                 'answer_bytes': shelf.answer_bytes,
                 'void_up_to': shelf.void_up_to,
             }
-            for customer, shelf in sorted(self._shelves.items())
+            for customer, shelf in sorted(self._by_customer.items())
         }
 
-    def _shelf(self, customer: ids.CustomerId) -> _Shelf:
-        shelf = self._shelves.get(customer)
+    def _customer_records(self, customer: ids.CustomerId) -> _CustomerRecords:
+        shelf = self._by_customer.get(customer)
         if shelf is None:
-            shelf = _Shelf(self._totals)
-            self._shelves[customer] = shelf
+            shelf = _CustomerRecords(self._totals)
+            self._by_customer[customer] = shelf
         return shelf
 
     def _make_room(self, now: float) -> None:
         totals = self._totals
-        shelves = self._shelves.values()
+        shelves = self._by_customer.values()
         while totals.ended and self._exceeds_count():
             _replace_oldest(max(shelves, key=_count_of_ended), now)
         while totals.answer_bytes > self._max_answer_bytes:
@@ -247,15 +249,15 @@
     def _sweep(self, now: float) -> None:
         if now < self._sweep_at:
             return
-        self._sweep_at = now + SWEEP_S
-        for shelf in self._shelves.values():
+        self._sweep_at = now + SWEEP_INTERVAL_S
+        for shelf in self._by_customer.values():
             shelf.sweep(
                 records_until=now - self._record_ttl_s,
                 notes_until=now - self._key_ttl_s,
             )
 
 
-def _replace_oldest(shelf: _Shelf, now: float) -> None:
+def _replace_oldest(shelf: _CustomerRecords, now: float) -> None:
     sequence, record = shelf.pop()
     shelf.put_note(
         sequence,
@@ -264,18 +266,18 @@
                 record.reply_future.result().verdict
             ),
             fingerprint=record.fingerprint,
-            noted_at=now,
+            created_at=now,
         ),
     )
 
 
-def _count_of_ended(shelf: _Shelf) -> int:
+def _count_of_ended(shelf: _CustomerRecords) -> int:
     return len(shelf.ended)
 
 
-def _count_of_notes(shelf: _Shelf) -> int:
+def _count_of_notes(shelf: _CustomerRecords) -> int:
     return len(shelf.notes)
 
 
-def _answer_bytes(shelf: _Shelf) -> int:
+def _answer_bytes(shelf: _CustomerRecords) -> int:
     return shelf.answer_bytes
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -87,7 +87,7 @@
             secret=secret,
             ttl_s=cfg.key_ttl_s,
         )
-        self._table = records.RecordStore(
+        self._record_store = records.RecordStore(
             key_issuer=self._keys,
             key_ttl_s=cfg.key_ttl_s,
             record_ttl_s=cfg.record_ttl_s,
@@ -96,9 +96,12 @@
         )
         self._admission = admission.Admission()
         self._executions = executions.Executions(
-            clock=clock, runner=runner, table=self._table, metrics=metrics
+            clock=clock,
+            runner=runner,
+            record_store=self._record_store,
+            metrics=metrics,
         )
-        self._minters = key_requests.IssuerClient(
+        self._issuer_client = key_requests.IssuerClient(
             clock=clock, forwarder=forwarder, metrics=metrics
         )
 
@@ -128,7 +131,7 @@
         self, *, customer: ids.CustomerId, body: bytes
     ) -> documents.Reply:
         """Answer with new keys of the customer."""
-        refused = self._admission.refusal_of_all()
+        refused = self._admission.current_refusal()
         if refused is not None:
             return documents.render_problem(refused)
         count = documents.parse_key_count(body)
@@ -159,7 +162,7 @@
                 customer=customer, kind=kind, body=body
             )
         else:
-            question = key_requests.KeyRequest(
+            request = key_requests.KeyRequest(
                 operation=_Operation.SUBMIT,
                 customer=customer,
                 key=key_text,
@@ -167,7 +170,7 @@
                 body=body,
                 wait=wait,
             )
-            reply = await self.ask(question)
+            reply = await self.answer_key_request(request)
         self._metrics.count(
             'submissions_total',
             kind=kind.value,
@@ -179,7 +182,7 @@
         self, *, customer: ids.CustomerId, key_text: str
     ) -> documents.Reply:
         """Answer with the state of a request, or its answer if it has ended."""
-        return await self.ask(
+        return await self.answer_key_request(
             key_requests.KeyRequest(
                 operation=_Operation.STATUS, customer=customer, key=key_text
             )
@@ -189,39 +192,41 @@
         self, *, customer: ids.CustomerId, key_text: str
     ) -> documents.Reply:
         """Keep what has not started from starting, and answer the status."""
-        return await self.ask(
+        return await self.answer_key_request(
             key_requests.KeyRequest(
                 operation=_Operation.CANCEL, customer=customer, key=key_text
             )
         )
 
-    async def ask(self, question: key_requests.KeyRequest) -> documents.Reply:
+    async def answer_key_request(
+        self, request: key_requests.KeyRequest
+    ) -> documents.Reply:
         """Answer a question about a key, here or at the key's minter."""
-        key = keys.parse(question.key)
+        key = keys.parse(request.key)
         if key is None:
             return documents.render_problem(keys.malformed())
         if self._keys.is_own(key=key):
-            return await self._answer(question, key)
+            return await self._answer(request, key)
         if key.vm == self._vm:
             return _not_minter(key, self._vm)
         wait_s = float(FORWARD_SLACK_S)
-        if question.wait:
+        if request.wait:
             wait_s += self._admission.longest_deadline_s(
-                customer=question.customer
+                customer=request.customer
             )
-        return await self._executions.keep(
-            self._minters.ask(question=question, key=key, wait_s=wait_s)
+        return await self._executions.run_detached(
+            self._issuer_client.send(request=request, key=key, wait_s=wait_s)
         )
 
     async def handle(self, payload: bytes) -> bytes:
         """Return the reply to a payload that another process forwarded."""
-        question = key_requests.decode_request(payload)
-        key = keys.parse(question.key) if question else None
-        if question is None or key is None:
+        request = key_requests.decode_request(payload)
+        key = keys.parse(request.key) if request else None
+        if request is None or key is None:
             _log.warning('malformed forward')
             reply = documents.render_problem(keys.malformed_forward())
         elif self._keys.is_own(key=key):
-            reply = await self._answer(question, key)
+            reply = await self._answer(request, key)
         else:
             reply = _not_minter(key, self._vm)
         packed = key_requests.encode_reply(reply)
@@ -241,9 +246,9 @@
         key = keys.parse(key_text) if key_text else None
         if key is not None:
             now = self._clock.now()
-            held = self._table.find(key=key, customer=customer, now=now)
+            held = self._record_store.find(key=key, customer=customer, now=now)
             if held is records.UnrecordedKey.NEW:
-                self._table.add_tombstone(
+                self._record_store.add_tombstone(
                     key=key,
                     customer=customer,
                     fingerprint=None,
@@ -260,7 +265,7 @@
             'vm': self._vm,
             'incarnation': self._incarnation,
             'submissions': self._executions.state(now=now),
-            'held': self._table.sizes(),
+            'held': self._record_store.sizes(),
             'admission': self._admission.state(),
         }
 
@@ -281,31 +286,33 @@
         return await asyncio.shield(record.reply_future)
 
     async def _answer(
-        self, question: key_requests.KeyRequest, key: keys.Key
+        self, request: key_requests.KeyRequest, key: keys.Key
     ) -> documents.Reply:
         """Answer a question about a key of this incarnation."""
         now = self._clock.now()
-        held = self._table.find(key=key, customer=question.customer, now=now)
+        held = self._record_store.find(
+            key=key, customer=request.customer, now=now
+        )
         match held:
             case records.UnrecordedKey.UNKNOWN:
                 return documents.render_problem(keys.unknown())
             case records.UnrecordedKey.VOID:
                 return documents.render_problem(keys.expired())
-        if question.operation is _Operation.SUBMIT:
-            return await self._answer_submit(question, key, held)
-        if question.operation is _Operation.CANCEL:
-            held = self._cancel(question, key, held)
+        if request.operation is _Operation.SUBMIT:
+            return await self._answer_submit(request, key, held)
+        if request.operation is _Operation.CANCEL:
+            held = self._cancel(request, key, held)
         return _status_reply(held)
 
     def _cancel(
-        self, question: key_requests.KeyRequest, key: keys.Key, held: _Held
+        self, request: key_requests.KeyRequest, key: keys.Key, held: _Held
     ) -> _Held:
         if isinstance(held, records.Record):
             self._executions.cancel(record=held)
         if held is records.UnrecordedKey.NEW:
-            return self._table.add_tombstone(
+            return self._record_store.add_tombstone(
                 key=key,
-                customer=question.customer,
+                customer=request.customer,
                 fingerprint=None,
                 problem=executions.cancelled(),
                 now=self._clock.now(),
@@ -314,38 +321,38 @@
 
     async def _answer_submit(
         self,
-        question: key_requests.KeyRequest,
+        request: key_requests.KeyRequest,
         key: keys.Key,
         held: _Held,
     ) -> documents.Reply:
-        fingerprint = _fingerprint(question)
+        fingerprint = _fingerprint(request)
         if isinstance(held, records.UnrecordedKey):
-            held = self._open(question, key, fingerprint)
+            held = self._open(request, key, fingerprint)
         if held.fingerprint not in {None, fingerprint}:
             return documents.render_problem(keys.reused())
-        if question.wait and isinstance(held, records.Record):
+        if request.wait and isinstance(held, records.Record):
             return await asyncio.shield(held.reply_future)
         return _status_reply(held)
 
     def _open(
         self,
-        question: key_requests.KeyRequest,
+        request: key_requests.KeyRequest,
         key: keys.Key,
         fingerprint: bytes,
     ) -> records.Record | records.Tombstone:
         """Start a new key's work, or note that it never starts."""
         admitted = self._admit(
             admission.Submission(
-                customer=question.customer,
-                kind=question.kind,
+                customer=request.customer,
+                kind=request.kind,
                 keyed=True,
-                body=question.body,
+                body=request.body,
             )
         )
         if isinstance(admitted, result.Err):
-            return self._table.add_tombstone(
+            return self._record_store.add_tombstone(
                 key=key,
-                customer=question.customer,
+                customer=request.customer,
                 fingerprint=fingerprint,
                 problem=admitted.err_value,
                 now=self._clock.now(),
@@ -358,14 +365,14 @@
         )
 
     def _admit(
-        self, offer: admission.Submission
+        self, submission: admission.Submission
     ) -> result.Result[admission.AdmittedSubmission, problems.Problem]:
-        size = self._executions.running_bytes + len(offer.body)
-        if self._table.is_full() or size > self._max_running_bytes:
+        size = self._executions.running_bytes + len(submission.body)
+        if self._record_store.is_full() or size > self._max_running_bytes:
             return result.Err(admission.overloaded())
         return self._admission.admit(
-            offer=offer,
-            waiting=self._executions.waiting(customer=offer.customer),
+            submission=submission,
+            waiting=self._executions.waiting(customer=submission.customer),
             now=self._clock.now(),
         )
 
@@ -377,9 +384,9 @@
     return documents.render_problem(keys.issuer_unreachable())
 
 
-def _fingerprint(question: key_requests.KeyRequest) -> bytes:
-    kind = question.kind.value.encode()
-    return hashlib.sha256(kind + b'\n' + question.body).digest()
+def _fingerprint(request: key_requests.KeyRequest) -> bytes:
+    kind = request.kind.value.encode()
+    return hashlib.sha256(kind + b'\n' + request.body).digest()
 
 
 def _status_reply(held: _Held) -> documents.Reply:
@@ -395,7 +402,7 @@
             'id': held.request_id,
             'state': 'running',
             'cancelled': held.cancelled,
-            'tasks': held.tasks,
+            'tasks': held.task_count,
             'ended_tasks': held.ended_tasks,
         },
     )
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -226,7 +226,7 @@
         self.link = Link(self)
         self.shard.link_lost(lost, self.cluster.rig.clock.now())
         self.manager.broadcast(
-            open_tasks.LeaderLost(shard=samples.SHARD, source=lost)
+            open_tasks.LeaderLost(shard=samples.SHARD, former_leader=lost)
         )
 
     def _dispatch(self, message: Any) -> None:
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -20,13 +20,15 @@
         self, tasks: int = 1, now: float = 0, waiting: int = 0, **job: Any
     ) -> Any:
         job['tasks'] = [fakes.TASK for _ in range(tasks)]
-        offer = admission.Submission(
+        submission = admission.Submission(
             customer=fakes.WARM,
             kind=work.TaskKind.JOB,
             keyed=True,
             body=json.dumps(job).encode(),
         )
-        return self.admission.admit(offer=offer, waiting=waiting, now=now)
+        return self.admission.admit(
+            submission=submission, waiting=waiting, now=now
+        )
 
     def code(self, **arguments: Any) -> str | None:
         admitted = self.admit(**arguments)
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -87,7 +87,7 @@
 
     async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.post(open_tasks.LeaderLost(shard=HOME, source=lost))
+        self.tested.post(open_tasks.LeaderLost(shard=HOME, former_leader=lost))
         await asyncio.sleep(0.001)
 
 
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.queue = fair_queue.FairQueue()
         self.waiting: dict[int, flows.QueueEntry] = {}
-        self.resting: dict[int, flows.QueueEntry] = {}
+        self.paused: dict[int, flows.QueueEntry] = {}
         self.running: list[flows.QueueEntry] = []
 
     def wait(self, pick: int) -> None:
@@ -58,9 +58,7 @@
 
     def cancel(self, pick: int) -> None:
         for entry in self.queue.cancel(ids.RequestId(f'{pick}')):
-            home = (
-                self.waiting if entry.number in self.waiting else self.resting
-            )
+            home = self.waiting if entry.number in self.waiting else self.paused
             home.pop(entry.number)
 
     def finish(self, pick: int) -> None:
@@ -73,13 +71,13 @@
             entry = self.running.pop(pick % len(self.running))
             self.queue.undo_start(entry)
             self.queue.pause(entry)
-            self.resting[entry.number] = entry
+            self.paused[entry.number] = entry
 
     def wake(self, pick: int) -> None:
-        for entry in self.resting.values():
+        for entry in self.paused.values():
             self.queue.enqueue(entry, first=True)
-        self.waiting.update(self.resting)
-        self.resting.clear()
+        self.waiting.update(self.paused)
+        self.paused.clear()
 
 
 ACTIONS = ('wait', 'start', 'cancel', 'finish', 'give_back', 'wake')
@@ -103,7 +101,7 @@
         for action, pick in steps:
             getattr(model, action)(pick)
             self.assertEqual(
-                len(model.waiting) + len(model.resting), model.queue.waiting
+                len(model.waiting) + len(model.paused), model.queue.waiting
             )
         model.wake(0)
         while model.waiting:
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -12,26 +12,26 @@
 RIVAL = ids.CustomerId('rival')
 
 
-def make_ring(
+def make_key_issuer(
     secret: bytes = b'one', incarnation: str = 'a1'
 ) -> keys.KeyIssuer:
     names = {'vm': ids.VmId('vm1'), 'incarnation': incarnation}
     return keys.KeyIssuer(secret=secret, ttl_s=900, **names)
 
 
-class KeyRingTest(testtools.TestCase):
+class KeyIssuerTest(testtools.TestCase):
     """Guards against keys that another customer or process could use."""
 
     def test_only_the_customer_and_the_minter_recognize_a_key(self) -> None:
-        ring = make_ring()
+        ring = make_key_issuer()
         key = keys.parse(ring.issue(customer=WARM, now=5))
         assert key is not None
         self.assertEqual(905, key.expires_at)
         for judge, customer, expected in (
             (ring, WARM, True),
             (ring, RIVAL, False),
-            (make_ring(secret=b'two'), WARM, False),
-            (make_ring(incarnation='a2'), WARM, False),
+            (make_key_issuer(secret=b'two'), WARM, False),
+            (make_key_issuer(incarnation='a2'), WARM, False),
         ):
             genuine = judge.is_genuine(key=key, customer=customer)
             self.assertEqual(expected, genuine)
@@ -41,7 +41,7 @@
     def test_changed_key_is_not_genuine(
         self, data: strategies.DataObject
     ) -> None:
-        ring = make_ring()
+        ring = make_key_issuer()
         text = ring.issue(customer=WARM, now=5)
         place = data.draw(strategies.integers(0, len(text) - 1))
         symbol = data.draw(strategies.sampled_from('0123456789abcdef.-sp'))
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -16,13 +16,13 @@
 TTL_S = 900
 
 
-class TableCase(testtools.TestCase):
+class RecordStoreCase(testtools.TestCase):
     """A table with a ring of its own."""
 
     def make(self, **bounds: Any) -> None:
-        self.key_issuer = test_keys.make_ring()
+        self.key_issuer = test_keys.make_key_issuer()
         bounds = {'max_records': 10, 'max_answer_bytes': 1000, **bounds}
-        self.table = records.RecordStore(
+        self.record_store = records.RecordStore(
             key_issuer=self.key_issuer,
             key_ttl_s=TTL_S,
             record_ttl_s=TTL_S,
@@ -43,12 +43,12 @@
             kind=work.TaskKind.SINGLE,
             fingerprint=b'f',
             size=1,
-            tasks=1,
+            task_count=1,
             started_at=now,
             reply_future=asyncio.Future(loop=self.loop),
             sequence=key.sequence,
         )
-        self.table.open(record=record)
+        self.record_store.open(record=record)
         return record
 
     def end(
@@ -60,7 +60,7 @@
                 status=200, headers=(), body=bytes(size), verdict=RAN
             )
         )
-        self.table.close(record=record)
+        self.record_store.close(record=record)
 
     def add_tombstone(
         self, key: keys.Key, customer: Any = WARM, now: float = 0
@@ -70,10 +70,12 @@
             'problem': keys.malformed(),
             'now': now,
         }
-        self.table.add_tombstone(key=key, customer=customer, **add_tombstone)
+        self.record_store.add_tombstone(
+            key=key, customer=customer, **add_tombstone
+        )
 
     def find(self, key: keys.Key, customer: Any = WARM, now: float = 0) -> Any:
-        return self.table.find(key=key, customer=customer, now=now)
+        return self.record_store.find(key=key, customer=customer, now=now)
 
     def setUp(self) -> None:
         super().setUp()
@@ -81,7 +83,7 @@
         self.addCleanup(self.loop.close)
 
 
-class RetentionTest(TableCase):
+class RetentionTest(RecordStoreCase):
     """What is dropped early still never starts again."""
 
     def test_dropped_answer_leaves_its_verdict(self) -> None:
@@ -127,7 +129,7 @@
             if found is records.UnrecordedKey.NEW:
                 self.assertThat(used, matchers.Not(matchers.Contains(key)))
                 used.add(key)
-                if self.table.is_full() or rng.randrange(10) < 3:
+                if self.record_store.is_full() or rng.randrange(10) < 3:
                     self.add_tombstone(key, now=now)
                 else:
                     running.append(self.open(key, now=now))
@@ -142,4 +144,4 @@
         self.end(self.open(key), now=50)
         self.assertIsInstance(self.find(key, now=949), records.Record)
         self.assertIs(self.find(key, now=951), records.UnrecordedKey.VOID)
-        self.assertEqual(0, self.table.sizes()[WARM]['answer_bytes'])
+        self.assertEqual(0, self.record_store.sizes()[WARM]['answer_bytes'])
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -66,7 +66,7 @@
         return 0
 
 
-class Mesh:
+class FakeForwarder:
     """Delivers forwards to the processes of one test."""
 
     def __init__(self) -> None:
@@ -100,7 +100,7 @@
 
 
 def make_submissions(
-    runner: Runner, mesh: Mesh, vm: str = 'vm1', **cfg: Any
+    runner: Runner, mesh: FakeForwarder, vm: str = 'vm1', **cfg: Any
 ) -> submissions.Submissions:
     process = submissions.Submissions(
         clock=mesh.time,
@@ -161,7 +161,7 @@
     async def _run_scenario(self) -> None:
         self.listener: Any = None
         self.runner = Runner()
-        self.mesh = Mesh()
+        self.mesh = FakeForwarder()
         self.process = make_submissions(self.runner, self.mesh)
         self.other = make_submissions(Runner(), self.mesh, vm='vm2')
         self.time = self.mesh.time
@@ -315,10 +315,10 @@
         self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
 
     async def test_malformed_forward(self) -> None:
-        question = key_requests.KeyRequest(
+        request = key_requests.KeyRequest(
             operation=key_requests.Operation.CANCEL, customer=WARM, key=self.key
         )
-        whole = key_requests.encode_request(question)
+        whole = key_requests.encode_request(request)
         for size, _ in enumerate(whole):
             for payload in (whole[:size], whole + bytes(size + 1)):
                 reply = await self.process.handle(payload)
