--- a/sardineproxy/process/membership/__init__.py
+++ b/sardineproxy/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""What entry VMs know of each other, through the store and through links."""
+"""Membership of entry VMs: registry, shard leaders, and peer links."""
--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -1,4 +1,4 @@
-"""Which entry VM owns each cell, as the owners themselves say."""
+"""Tracks which entry VM leads each shard, from the heartbeats of the VMs."""
 
 import dataclasses
 from typing import Mapping
@@ -13,112 +13,117 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeadershipChange:
-    """What a new choice of owners changed."""
+    """Differences between two successive choices of leaders."""
 
-    #: Cells of this VM that another VM owns under a higher right.
+    #: Shards of this VM for which another VM holds a higher fencing token.
     lost: dict[ids.ShardId, ids.VmId]
 
-    #: Cells that have a new owner.
+    #: Shards whose leader has changed.
     with_new_leader: list[ids.ShardId]
 
 
 class Leaders:
-    """Newest rights that VMs in reach have told, and the highest of each."""
+    """Fencing tokens reported by connected VMs, and the leaders they imply."""
 
     def __init__(self, *, me: ids.VmId) -> None:
-        """Start without owners."""
+        """Create an instance without leaders."""
         self._me = me
-        self._offers: dict[ids.VmId, dict[ids.ShardId, fences.Right]] = {}
-        #: Owner of each cell.
+        self._tokens: dict[ids.VmId, dict[ids.ShardId, fences.Right]] = {}
+        #: Leader of each shard.
         self.by_shard: dict[ids.ShardId, ids.VmId] = {}
 
-        #: How much room each cell has.
+        #: Free capacity of each shard.
         self.rooms = rooms.Rooms()
 
-        #: Which owners know the stored jobs of their cells.
+        #: Leaders that have loaded the stored jobs of their shards.
         self.loaded_shards = loaded_shards.LoadedShards()
 
-        #: Stored jobs that have not begun, by VM that owns their cells.
+        #: Counts of stored jobs that have not started, by reporting leader.
         self._pending: dict[ids.VmId, tuple[messages.Pending, ...]] = {}
 
     def update(self, vm: ids.VmId, beat: messages.Beat, now: float) -> bool:
-        """Note what a VM owns; tell whether that has changed."""
-        rights: dict[ids.ShardId, fences.Right] = {}
+        """Apply a VM's heartbeat.
+
+        Returns whether its shards or their fencing tokens have changed.
+        """
+        tokens: dict[ids.ShardId, fences.Right] = {}
         for shard, epoch, rank, free, _ in beat.shards:
-            rights[shard] = fences.Right(epoch=epoch, rank=rank)
+            tokens[shard] = fences.Right(epoch=epoch, rank=rank)
             self.rooms.note(shard, free, now)
         self.loaded_shards.update(
-            vm, (offer[0] for offer in beat.shards if offer[-1]), now
+            vm, (status[0] for status in beat.shards if status[-1]), now
         )
         self._pending[vm] = beat.pending
-        changed = self._offers.get(vm) != rights
-        self._offers[vm] = rights
+        changed = self._tokens.get(vm) != tokens
+        self._tokens[vm] = tokens
         return changed
 
     def remove(self, vm: ids.VmId, shard: ids.ShardId | None = None) -> None:
-        """Forget what a VM owns, or that it owns one cell."""
+        """Remove a VM as leader of one shard, or of all its shards if None."""
         if shard is None:
-            self._offers.pop(vm, None)
+            self._tokens.pop(vm, None)
             self._pending.pop(vm, None)
             self.loaded_shards.update(vm, (), 0)
         else:
-            self._offers.get(vm, {}).pop(shard, None)
+            self._tokens.get(vm, {}).pop(shard, None)
 
     def pending_jobs(self, route: ids.RouteId) -> int:
-        """Return how many stored jobs of a route wait at other VMs."""
+        """Return how many stored jobs of a route are pending at other VMs."""
         return sum(
             count
-            for of_vm in self._pending.values()
-            for waiting, count in of_vm
-            if waiting == route
+            for vm_counts in self._pending.values()
+            for pending_route, count in vm_counts
+            if pending_route == route
         )
 
     def choose(
         self, own: Mapping[ids.ShardId, fences.Right]
     ) -> LeadershipChange:
-        """Use the owner with the highest right for each cell.
+        """Set the holder of the highest fencing token as leader of each shard.
 
-        ``own`` are the rights of this VM.
+        ``own`` are the tokens that this VM holds.
         """
-        best = self._highest_offers()
+        highest = self._highest_tokens()
         lost: dict[ids.ShardId, ids.VmId] = {}
-        for shard, right in own.items():
-            offered = best.get(shard)
-            if offered is not None and offered[0] > right:
-                lost[shard] = offered[1]
+        for shard, token in own.items():
+            remote = highest.get(shard)
+            if remote is not None and remote[0] > token:
+                lost[shard] = remote[1]
             else:
-                best[shard] = (right, self._me)
+                highest[shard] = (token, self._me)
         former = self.by_shard
-        self.by_shard = {owned: chosen[1] for owned, chosen in best.items()}
-        for gone in set(former).difference(best):
-            self.rooms.forget(gone)
-        found = [
-            owned
-            for owned, leader in self.by_shard.items()
-            if former.get(owned) != leader
+        self.by_shard = {
+            led_shard: holder[1] for led_shard, holder in highest.items()
+        }
+        for removed_shard in set(former).difference(highest):
+            self.rooms.forget(removed_shard)
+        with_new_leader = [
+            led_shard
+            for led_shard, leader in self.by_shard.items()
+            if former.get(led_shard) != leader
         ]
-        for changed in found:
-            _log_leader(changed, *best[changed])
-        return LeadershipChange(lost=lost, with_new_leader=found)
+        for changed_shard in with_new_leader:
+            _log_leader(changed_shard, *highest[changed_shard])
+        return LeadershipChange(lost=lost, with_new_leader=with_new_leader)
 
-    def _highest_offers(
+    def _highest_tokens(
         self,
     ) -> dict[ids.ShardId, tuple[fences.Right, ids.VmId]]:
-        best: dict[ids.ShardId, tuple[fences.Right, ids.VmId]] = {}
-        for vm, rights in self._offers.items():
-            for shard, right in rights.items():
-                if shard not in best or right > best[shard][0]:
-                    best[shard] = (right, vm)
-        return best
+        highest: dict[ids.ShardId, tuple[fences.Right, ids.VmId]] = {}
+        for vm, tokens in self._tokens.items():
+            for shard, token in tokens.items():
+                if shard not in highest or token > highest[shard][0]:
+                    highest[shard] = (token, vm)
+        return highest
 
 
-def _log_leader(shard: ids.ShardId, right: fences.Right, vm: ids.VmId) -> None:
+def _log_leader(shard: ids.ShardId, token: fences.Right, vm: ids.VmId) -> None:
     _LOG.info(
-        'Owner of cell.',
+        'Shard leader changed.',
         extra={
             'cell': shard,
             'owner': vm,
-            'epoch': right.epoch,
-            'rank': right.rank,
+            'epoch': token.epoch,
+            'rank': token.rank,
         },
     )
--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -1,4 +1,4 @@
-"""Opens, accepts and closes the links to other entry VMs."""
+"""Opens, accepts and closes links to other entry VMs."""
 
 import asyncio
 import dataclasses
@@ -16,58 +16,59 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HeartbeatTiming:
-    """Signs of life on a link, in seconds."""
+    """Heartbeat interval and timeout of a link, in seconds."""
 
-    #: Time without sending after which a beat is sent.
+    #: Time without sending after which a heartbeat is sent.
     interval_s: float
 
-    #: Silence after which the link is closed: three lost beats.
+    #: Time without receiving after which the link is closed: three missed
+    #: heartbeats.
     timeout_s: float
 
 
-#: Between a VM and the owner of its zone's cell. A client sends a job again
-#: no sooner than 1.3 s after a failure, and what ran for a silent VM must
+#: Between a VM and the leader of its home shard. A client retries a job no
+#: sooner than 1.3 s after a failure, and the runs of an unresponsive VM must
 #: have ended by then.
 HOME_LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.1, timeout_s=0.4)
 
-#: Between a VM and the owners of other cells. Each beat lost costs tasks that
-#: were sent to another zone, and the time in which a zone that has lost all
-#: its VMs does no work.
+#: Between a VM and the leaders of other shards. A longer timeout delays the
+#: retry of tasks that were sent to another zone, and prolongs the idle time
+#: of a zone that has lost all its VMs.
 LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.2, timeout_s=0.7)
 
-#: Between VMs that own nothing.
+#: Between VMs that lead no shard.
 FOLLOWER_HEARTBEAT = HeartbeatTiming(interval_s=0.3, timeout_s=1.1)
 
-#: Longest wait for a connection, in seconds.
+#: Timeout for opening a connection, in seconds.
 CONNECT_TIMEOUT_S = 0.3
 
-#: Shortest and longest wait before a link is opened again, in seconds.
+#: Minimum and maximum delay before a link is reopened, in seconds.
 BACK_OFF_MIN_S = 0.05
 BACK_OFF_MAX_S = 0.4
 
-#: Age at which a link that is not needed is closed, in seconds. The other
-#: end may have learned of a new owner a moment earlier.
+#: Age at which an unneeded link is closed, in seconds. The peer may need it
+#: already, if it has learned of a new leader earlier than this VM.
 UNUSED_LINK_AGE_S = 5.0
 
 _LOG = logs.get_logger('link')
 
 
 class LinkEvents(Protocol):
-    """Hears of links."""
+    """Callbacks for events on links."""
 
     def opened(self, opened: link.Link) -> None:
-        """Use a new link."""
+        """Handle a link that was opened."""
 
     def closed(self, closed: link.Link) -> None:
-        """Forget a link."""
+        """Handle a link that was closed."""
 
     def received(self, source: link.Link, message: messages.Message) -> None:
-        """Act on a message."""
+        """Handle a message."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Target:
-    """An address to keep a link to."""
+    """Dial state of a peer address."""
 
     retry_at: float = 0
     failures: int = 0
@@ -76,7 +77,7 @@
 
 
 class Links:  # noqa: WPS214
-    """All open links of a process."""
+    """All peer links of a process."""
 
     def __init__(
         self,
@@ -89,7 +90,7 @@
         connect: link.Connect = asyncio.open_connection,
         listen: Listen = asyncio.start_server,
     ) -> None:
-        """Start without links."""
+        """Create an instance without links; ``start`` opens the listener."""
         self._clock = clock
         self._rng = rng
         self._me = me
@@ -102,7 +103,7 @@
         self._tasks = background.Tasks()
         self._needed: Collection[ids.VmId] | None = None
 
-        #: Rhythm of each open link, and since when.
+        #: Heartbeat timing of each open link, and the time it was set.
         self._timings: dict[link.Link, tuple[HeartbeatTiming, float]] = {}
         self.open_links: dict[ids.VmId, list[link.Link]] = {}
 
@@ -121,9 +122,10 @@
     def set_targets(
         self, dial_delays_s: Mapping[deployment.Address, float]
     ) -> None:
-        """Keep links to these addresses from now on.
+        """Set the peer addresses to maintain links to.
 
-        A new address is called after its wait, so that of two VMs one calls.
+        A new address is dialed after its delay in seconds. Different delays
+        at two VMs ensure that usually only one of them dials.
         """
         now = self._clock.now()
         self._targets = {
@@ -132,23 +134,23 @@
         }
 
     def get(self, vm: ids.VmId) -> link.Link | None:
-        """Return an open link to a VM."""
+        """Return an open link to a VM, or None."""
         for candidate in self.open_links.get(vm, ()):
             if not candidate.is_closing():
                 return candidate
         return None
 
     def tick(self, now: float, beat: messages.Beat) -> None:
-        """Close silent links, send beats, open missing links."""
+        """Close timed-out and unneeded links, send heartbeats, dial peers."""
         for candidate in self._all_links():
             heartbeat_timing = self._heartbeat_timing(candidate.peer)
-            silent_since = max(
+            last_activity_at = max(
                 candidate.heard_at,
                 self._timing_since(candidate, heartbeat_timing, now),
             )
-            if now - silent_since >= heartbeat_timing.timeout_s:
+            if now - last_activity_at >= heartbeat_timing.timeout_s:
                 _LOG.warning(
-                    'Link silent, closed.',
+                    'Link closed: heartbeat timeout.',
                     extra={
                         'vm': candidate.peer.vm,
                         'silent_s': round(now - candidate.heard_at, 3),
@@ -167,44 +169,48 @@
                 self._tasks.spawn(self._dial(address, target))
 
     def broadcast(self, message: messages.Message) -> None:
-        """Send a message on one link to each VM."""
+        """Send a message to every connected VM, on one link each."""
         for vm in list(self.open_links):
             open_link = self.get(vm)
             if open_link is not None:
                 open_link.send(message)
 
     def abort_all(self) -> None:
-        """Close all links at once."""
+        """Abort all links without waiting for pending data."""
         for candidate in self._all_links():
             candidate.abort()
             self._remove(candidate)
 
     def set_needed(self, vms: Collection[ids.VmId]) -> None:
-        """Close links to other VMs after a while."""
+        """Set the VMs to keep links to; other links expire by age."""
         self._needed = vms
 
     def set_peer_vm(self, address: deployment.Address, vm: ids.VmId) -> None:
-        """Note which VM listens at an address."""
+        """Record which VM listens at an address."""
         target = self._targets.get(address)
         if target is not None:
             target.vm = vm
 
     def _all_links(self) -> list[link.Link]:
-        return [each for of_vm in self.open_links.values() for each in of_vm]
+        return [
+            open_link
+            for vm_links in self.open_links.values()
+            for open_link in vm_links
+        ]
 
     def _timing_since(
         self, of: link.Link, heartbeat_timing: HeartbeatTiming, now: float
     ) -> float:
-        """Return since when a link has its present rhythm.
+        """Return the time at which a link's heartbeat timing last changed.
 
-        The other end learns of a new owner a little later, and sends beats
-        more slowly until then.
+        The peer may learn of a new leader later than this VM, and sends
+        heartbeats at the slower interval until then.
         """
-        known = self._timings.get(of)
-        if known is None or known[0] is not heartbeat_timing:
-            known = (heartbeat_timing, now)
-            self._timings[of] = known
-        return known[1]
+        timing_entry = self._timings.get(of)
+        if timing_entry is None or timing_entry[0] is not heartbeat_timing:
+            timing_entry = (heartbeat_timing, now)
+            self._timings[of] = timing_entry
+        return timing_entry[1]
 
     def _is_unneeded(self, candidate: link.Link, now: float) -> bool:
         return (
@@ -239,7 +245,7 @@
         except (OSError, TimeoutError) as exc:
             if not target.failures:
                 _LOG.info(
-                    'No link.',
+                    'Connecting to a peer failed.',
                     extra={'address': str(address), 'cause': repr(exc)},
                 )
             self._back_off(target)
@@ -251,10 +257,10 @@
         self._back_off(target)
 
     def _back_off(self, target: _Target) -> None:
-        longest = min(
+        max_delay_s = min(
             BACK_OFF_MIN_S * 2 ** min(target.failures, 8), BACK_OFF_MAX_S
         )
-        target.retry_at = self._clock.now() + longest * self._rng.uniform(
+        target.retry_at = self._clock.now() + max_delay_s * self._rng.uniform(
             0.5, 1
         )
         target.failures += 1
@@ -263,11 +269,14 @@
     async def _run(
         self, opened: link.Link, target: _Target | None = None
     ) -> None:
-        """Run a link to its end."""
+        """Perform the handshake, then read from the link until it closes."""
         try:
             greeting = await opened.handshake(self._me)
             if isinstance(greeting, result.Err):
-                _LOG.info('Link refused.', extra={'cause': greeting.err_value})
+                _LOG.info(
+                    'Link handshake failed.',
+                    extra={'cause': greeting.err_value},
+                )
                 return
             if target is not None:
                 target.vm = greeting.ok_value.vm
@@ -282,12 +291,14 @@
 
     def _add(self, opened: link.Link) -> None:
         peer = opened.peer
-        for old in list(self.open_links.get(peer.vm, ())):
-            if old.peer.incarnation != peer.incarnation:
-                old.abort()
-                self._remove(old)
+        for existing in list(self.open_links.get(peer.vm, ())):
+            if existing.peer.incarnation != peer.incarnation:
+                existing.abort()
+                self._remove(existing)
         self.open_links.setdefault(peer.vm, []).append(opened)
-        _LOG.info('Link open.', extra={'vm': peer.vm, 'dialed': opened.dialed})
+        _LOG.info(
+            'Link opened.', extra={'vm': peer.vm, 'dialed': opened.dialed}
+        )
         self._events.opened(opened)
 
     async def _read(self, opened: link.Link) -> None:
@@ -298,7 +309,7 @@
             if isinstance(received, result.Err):
                 if not link.is_regular_end(received.err_value):
                     _LOG.info(
-                        'Link broken.',
+                        'Link failed.',
                         extra={
                             'vm': opened.peer.vm,
                             'cause': received.err_value,
--- a/sardineproxy/process/membership/loaded_shards.py
+++ b/sardineproxy/process/membership/loaded_shards.py
@@ -1,4 +1,4 @@
-"""Which VMs keep the stored jobs of the cells that they own."""
+"""Tracks which leaders have loaded the stored jobs of their shards."""
 
 import dataclasses
 from typing import Iterable
@@ -8,37 +8,40 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LoadedShard:
-    """A VM knows all stored jobs of a cell, and has asked for their tasks."""
+    """A shard whose leader has loaded all stored jobs.
+
+    The leader has also requested the tasks of these jobs.
+    """
 
     vm: ids.VmId
 
-    #: Local time since when it says so, in seconds.
+    #: Local time at which the VM first reported it, in seconds.
     since: float
 
 
 class LoadedShards:
-    """Newest words of owners about the stored jobs of their cells."""
+    """Latest reports of leaders on the stored jobs of their shards."""
 
     def __init__(self) -> None:
-        """Start without words."""
+        """Create an instance without reports."""
         self._by_shard: dict[ids.ShardId, LoadedShard] = {}
 
     def update(
         self, vm: ids.VmId, shards: Iterable[ids.ShardId], now: float
     ) -> None:
-        """Note of which cells a VM knows all stored jobs."""
-        kept = set(shards)
-        for shard, known in list(self._by_shard.items()):
-            if known.vm == vm and shard not in kept:
+        """Replace the set of shards whose stored jobs a VM has loaded."""
+        reported = set(shards)
+        for shard, entry in list(self._by_shard.items()):
+            if entry.vm == vm and shard not in reported:
                 self._by_shard.pop(shard)
-        for shard in kept:
-            known_here = self._by_shard.get(shard)
-            if known_here is None or known_here.vm != vm:
+        for shard in reported:
+            existing = self._by_shard.get(shard)
+            if existing is None or existing.vm != vm:
                 self._by_shard[shard] = LoadedShard(vm=vm, since=now)
 
     def get(
         self, shard: ids.ShardId, leader: ids.VmId | None
     ) -> LoadedShard | None:
-        """Return what a cell's owner has said, None if nothing."""
-        known = self._by_shard.get(shard)
-        return known if known is not None and known.vm == leader else None
+        """Return the report of a shard's leader, None if it sent none."""
+        entry = self._by_shard.get(shard)
+        return entry if entry is not None and entry.vm == leader else None
--- a/sardineproxy/process/membership/registry.py
+++ b/sardineproxy/process/membership/registry.py
@@ -1,4 +1,4 @@
-"""The table in which entry VMs register themselves and claim cells."""
+"""Registry table: members (entry VMs) and their claims on shards."""
 
 import dataclasses
 import json
@@ -7,7 +7,7 @@
 from sardineproxy import deployment, ids, logs
 from sardineproxy.process import store
 
-#: Table of this system in the platform's store.
+#: Table of this project in the platform's store.
 TABLE = 'sardineproxy'
 
 _MEMBER = f'{TABLE}/member/'
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """An entry VM and its present process."""
+    """An entry VM and its current process."""
 
     vm: ids.VmId
     incarnation: ids.Incarnation
@@ -27,54 +27,56 @@
     #: Listener for links from other entry VMs.
     address: deployment.Address
 
-    #: Processor share, in cores.
+    #: CPU share, in cores.
     cores: float
 
 
-#: An entry VM and one of its processes.
+#: Identifies one process of an entry VM.
 ProcessId = tuple[ids.VmId, ids.Incarnation]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Claim:
-    """Who owns a cell."""
+    """Leadership claim on a shard."""
 
     cell: ids.ShardId
 
-    #: Rises with each change of the row, so that a fence made from it does.
+    #: Increases with every change of the row, and so do the fencing tokens
+    #: that are derived from it.
     epoch: int
     owner: ProcessId
 
-    #: Who may take the cell over while the store cannot be written, in
-    #: order. The position is part of the fence.
+    #: Successors, in order: the processes that may take over the shard while
+    #: the store is unavailable for writes. The position is the rank in the
+    #: fencing token.
     heirs: tuple[ProcessId, ...]
 
-    #: Revision of the row, 0 if there is none yet.
+    #: Revision of the row, 0 if the row does not exist yet.
     revision: int
 
 
 class Registry:
-    """Members and claims as of the newest rows that this process knows."""
+    """Members and claims, decoded from the newest rows received."""
 
     def __init__(self) -> None:
-        """Start without members and claims."""
+        """Create an empty registry."""
         self._rows: dict[str, store.Row] = {}
         self.members: dict[ids.VmId, Member] = {}
         self.claims: dict[ids.ShardId, Claim] = {}
 
     def apply(self, rows: Iterable[store.Row]) -> bool:
-        """Take rows that are newer; tell whether one was."""
+        """Apply rows by revision; return whether any row was newer."""
         changed = False
         for row in rows:
-            known = self._rows.get(row.key)
-            if known is None or row.revision > known.revision:
+            current = self._rows.get(row.key)
+            if current is None or row.revision > current.revision:
                 self._rows[row.key] = row
                 self._decode(row)
                 changed = True
         return changed
 
     def rows(self) -> tuple[store.Row, ...]:
-        """Return all rows, to tell them to a peer."""
+        """Return all rows that were not deleted, to send them to a peer."""
         return tuple(row for row in self._rows.values() if row.body is not None)
 
     def _decode(self, row: store.Row) -> None:
@@ -85,7 +87,8 @@
                 self._decode_claim(row)
         except (ValueError, KeyError, TypeError) as exc:
             _LOG.error(
-                'Row not understood.', extra={'key': row.key, 'cause': str(exc)}
+                'Malformed registry row ignored.',
+                extra={'key': row.key, 'cause': str(exc)},
             )
 
     def _decode_member(self, row: store.Row) -> None:
@@ -139,12 +142,12 @@
 
 
 def shard_key(shard: ids.ShardId) -> str:
-    """Return the key of a cell's row."""
+    """Return the key of a shard's claim row."""
     return f'{_SHARD}{shard}'
 
 
 def claim_write(claim: Claim) -> store.Write:
-    """Return the write of a claim."""
+    """Return the write that stores a claim."""
     document = {
         'epoch': claim.epoch,
         'owner': claim.owner,
--- a/sardineproxy/process/membership/table_follower.py
+++ b/sardineproxy/process/membership/table_follower.py
@@ -1,4 +1,4 @@
-"""Follows a table of the store through its feed of changes."""
+"""Mirrors a table of the store by polling its change feed."""
 
 import asyncio
 import dataclasses
@@ -10,8 +10,8 @@
 from sardineproxy import clock, logs
 from sardineproxy.process import metrics, store
 
-#: Shortest and longest pause after a failed call, in seconds. The store's
-#: rates are shared by all entry VMs, so that pauses must grow.
+#: Minimum and maximum back-off after a failed call, in seconds. All entry VMs
+#: share the store's rate limits, so the back-off is exponential.
 BACK_OFF_MIN_S = 0.1
 BACK_OFF_MAX_S = 1.0
 
@@ -20,17 +20,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PollTiming:
-    """How often a table is asked for, in seconds."""
+    """Polling intervals of a table, in seconds."""
 
-    #: Longest wait of the store for a change.
+    #: Long-poll timeout: how long the store may wait for a change.
     wait_s: float
 
-    #: Pause after each answer, for tables that change all the time.
+    #: Pause after every response, for tables that change constantly.
     pause_s: float
 
 
 class TableFollower:
-    """Keeps a copy of a table up to date."""
+    """Maintains an up-to-date copy of a table."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         metrics: metrics.Metrics,
         on_rows: Callable[[tuple[store.Row, ...]], None],
     ) -> None:
-        """Call ``on_rows`` with each batch of changed rows."""
+        """Create a follower that passes changed rows to ``on_rows``."""
         self._table = table
         self._store = source
         self._timing = timing
@@ -56,9 +56,11 @@
         self._failures = 0
         self._outage_since: float | None = None
 
-        #: Time of the newest answer, and since when no call has failed; None
-        #: before the first answer and during a failure.
+        #: Time of the last successful call, None before the first.
         self.answered_at: float | None = None
+
+        #: Start of the current period without failed calls, None before the
+        #: first successful call and during an outage.
         self.healthy_since: float | None = None
         self._poll_requested = asyncio.Event()
 
@@ -69,11 +71,11 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Tell whether the table was read at least once."""
+        """Return whether the table was read at least once."""
         return self._revision is not None
 
     def poll_now(self) -> None:
-        """End the present pause."""
+        """Cut the current pause short."""
         self._poll_requested.set()
 
     async def run(self) -> None:
@@ -91,7 +93,8 @@
         self._metrics.count('store_calls_total', table=self._table)
         if self._revision is None:
             return await self._fetch_all()
-        # After a failure an answer is wanted at once: it shows the store back.
+        # After a failure, do not long-poll: an immediate response shows that
+        # the store is available again.
         answer = await self._store.changes(
             self._table,
             after=self._revision,
@@ -100,13 +103,14 @@
         if isinstance(answer, result.Err):
             if answer.err_value.kind is store.ErrorKind.HISTORY_LOST:
                 _LOG.info(
-                    'History lost, reading all.', extra={'table': self._table}
+                    'Change history lost, reading the whole table.',
+                    extra={'table': self._table},
                 )
                 return await self._fetch_all()
         return answer
 
     async def _fetch_all(self) -> result.Result[store.Rows, store.StoreError]:
-        """Read the whole table; what is missing from it was removed."""
+        """Read the whole table; report absent rows as removed."""
         answer = await self._store.read(self._table)
         if isinstance(answer, result.Err):
             return answer
@@ -136,7 +140,7 @@
     def _record_outcome(
         self, answer: result.Result[store.Rows, store.StoreError]
     ) -> None:
-        """Log when the store is lost and when it is back."""
+        """Update the health state; log start and end of an outage."""
         now = self._clock.now()
         if isinstance(answer, result.Ok):
             self._failures = 0
@@ -145,7 +149,7 @@
                 self.healthy_since = now
             if self._outage_since is not None:
                 _LOG.info(
-                    'Store regained.',
+                    'Store available again.',
                     extra={
                         'table': self._table,
                         'away_s': round(now - self._outage_since, 3),
@@ -158,7 +162,7 @@
         if self._outage_since is None:
             self._outage_since = now
             _LOG.warning(
-                'Store lost.',
+                'Store unavailable.',
                 extra={
                     'table': self._table,
                     'cause': answer.err_value.detail,
@@ -170,13 +174,13 @@
     ) -> None:
         pause_s = self._timing().pause_s
         if isinstance(answer, result.Err):
-            longest = min(
+            max_pause_s = min(
                 BACK_OFF_MIN_S * 2 ** min(self._failures, 8), BACK_OFF_MAX_S
             )
-            pause_s = longest * self._rng.uniform(0.5, 1)
+            pause_s = max_pause_s * self._rng.uniform(0.5, 1)
         if not pause_s:
             return
-        # A poke that came while the store was asked ends this pause as well.
+        # A request made during the preceding call ends this pause as well.
         try:
             async with asyncio.timeout(pause_s):
                 await self._poll_requested.wait()
--- a/sardineproxy/process/membership/worker_list.py
+++ b/sardineproxy/process/membership/worker_list.py
@@ -1,4 +1,4 @@
-"""The workers that the platform lists, and for how long they count."""
+"""List of workers from the platform's store, with delayed removal."""
 
 from typing import Callable
 
@@ -9,9 +9,10 @@
 from sardineproxy.process.shards import workers
 from sardineproxy.process.membership import table_follower
 
-#: Time for which a worker stays listed here after its entry is gone, and for
-#: which the store must have answered before its list counts as complete, in
-#: seconds. Entries that lapsed in an outage are back within 2 s of its end.
+#: Time for which a worker stays listed after its entry was removed, and for
+#: which the store must have been healthy before its list counts as complete,
+#: in seconds. Entries that expired during an outage return within 2 s of its
+#: end.
 REMOVAL_DELAY_S = 2.5
 
 DecodeWorker = Callable[[store.Row], result.Result[workers.Worker, str]]
@@ -20,7 +21,7 @@
 
 
 class WorkerList:
-    """Newest entry of each worker."""
+    """Latest valid entry of every worker."""
 
     def __init__(
         self,
@@ -28,14 +29,14 @@
         worker_id: Callable[[store.Row], ids.WorkerId],
         decode: DecodeWorker,
     ) -> None:
-        """Start without workers."""
+        """Create an empty list."""
         self._worker_id = worker_id
         self._decode = decode
         self._workers: dict[ids.WorkerId, workers.Worker] = {}
         self._removed_at: dict[ids.WorkerId, float] = {}
 
     def update(self, rows: tuple[store.Row, ...], now: float) -> None:
-        """Use changed rows."""
+        """Apply changed rows."""
         for row in rows:
             worker_id = self._worker_id(row)
             if row.body is None:
@@ -49,10 +50,10 @@
                 self._workers[worker_id] = decoded.ok_value
 
     def drop_removed(self, healthy_since: float | None, now: float) -> None:
-        """Forget workers whose entries have been gone for long.
+        """Remove workers whose entries were removed ``REMOVAL_DELAY_S`` ago.
 
-        Entries may lapse while the store is away; ``sound_since`` tells since
-        when it has answered, None if it does not.
+        Entries may expire while the store is unavailable, so the delay counts
+        from ``healthy_since`` at the earliest; None means an ongoing outage.
         """
         if healthy_since is None:
             return
@@ -62,7 +63,7 @@
                 self._workers.pop(worker_id, None)
 
     def of_shard(self, shard: ids.ShardId) -> list[workers.Worker]:
-        """Return the workers of a cell."""
+        """Return the workers of a shard."""
         return [
             worker for worker in self._workers.values() if worker.zone == shard
         ]
@@ -70,14 +71,14 @@
     def _mark_malformed(
         self, worker_id: ids.WorkerId, cause: str, now: float
     ) -> None:
-        """Count a worker with a malformed entry as gone."""
+        """Treat a worker with a malformed entry as removed."""
         if worker_id in self._workers:
-            _LOG.error('Entry not understood.', extra={'cause': cause})
+            _LOG.error('Malformed worker entry.', extra={'cause': cause})
         self._removed_at.setdefault(worker_id, now)
 
 
 def is_complete(source: table_follower.TableFollower, now: float) -> bool:
-    """Tell whether no worker can be missing from the list."""
+    """Return whether the list is certain to contain every worker."""
     if source.answered_at is None or source.healthy_since is None:
         return False
     return (
--- a/tests/process/membership/test_leaders.py
+++ b/tests/process/membership/test_leaders.py
@@ -1,4 +1,4 @@
-"""Who owns each cell, as the owners say."""
+"""Choice of shard leaders from the heartbeats of VMs."""
 
 import testtools
 
@@ -13,52 +13,52 @@
 SECOND = ids.VmId('second')
 
 
-def beat(*rights: tuple[ids.ShardId, int, int, int]) -> messages.Beat:
-    """Return the words of a VM that owns cells."""
+def make_beat(*shards: tuple[ids.ShardId, int, int, int]) -> messages.Beat:
+    """Return the heartbeat of a VM that leads shards."""
     return messages.Beat(
-        version=1, shards=tuple((*right, True) for right in rights), pending=()
+        version=1, shards=tuple((*shard, True) for shard in shards), pending=()
     )
 
 
 def make_leaders(**epochs: int) -> leaders.Leaders:
-    """Return owners after each VM has told its epoch of the cell."""
+    """Return leaders after every VM has reported its epoch of the shard."""
     tested = leaders.Leaders(me=ME)
     for vm, epoch in epochs.items():
-        tested.update(ids.VmId(vm), beat((SHARD, epoch, 0, 5)), 0)
+        tested.update(ids.VmId(vm), make_beat((SHARD, epoch, 0, 5)), 0)
     return tested
 
 
 class TestChoice(testtools.TestCase):
-    def test_highest_right_wins(self) -> None:
-        """Guards against tasks sent to a former owner."""
+    def test_highest_token_wins(self) -> None:
+        """Guards against tasks being sent to a former leader."""
         tested = make_leaders(first=3, second=2)
         tested.choose({})
         self.assertEqual({SHARD: FIRST}, tested.by_shard)
 
     def test_rank_decides_within_an_epoch(self) -> None:
-        """Guards against two heirs that are both believed."""
+        """Guards against two successors that both count as leader."""
         tested = leaders.Leaders(me=ME)
-        tested.update(FIRST, beat((SHARD, 3, 1, 0)), 0)
-        tested.update(SECOND, beat((SHARD, 3, 2, 0)), 0)
+        tested.update(FIRST, make_beat((SHARD, 3, 1, 0)), 0)
+        tested.update(SECOND, make_beat((SHARD, 3, 2, 0)), 0)
         tested.choose({})
         self.assertEqual({SHARD: SECOND}, tested.by_shard)
 
-    def test_own_lower_right_is_lost(self) -> None:
-        """Guards against two VMs that both order a worker."""
+    def test_shard_with_a_lower_own_token_is_lost(self) -> None:
+        """Guards against two VMs that both send orders to a worker."""
         change = make_leaders(first=3).choose(
             {SHARD: fences.Right(epoch=2, rank=0)}
         )
         self.assertEqual({SHARD: FIRST}, change.lost)
 
-    def test_own_higher_right_stays(self) -> None:
-        """Guards against a cell that is given up to its former owner."""
+    def test_shard_with_a_higher_own_token_stays(self) -> None:
+        """Guards against giving up a shard to its former leader."""
         tested = make_leaders(first=3)
         change = tested.choose({SHARD: fences.Right(epoch=4, rank=0)})
         self.assertEqual({}, change.lost)
         self.assertEqual({SHARD: ME}, tested.by_shard)
 
-    def test_only_changes_are_told(self) -> None:
-        """Guards against jobs that are sent again for no reason."""
+    def test_only_changed_leaders_are_returned(self) -> None:
+        """Guards against jobs being resent although no leader changed."""
         tested = make_leaders(first=3)
         self.assertEqual([SHARD], tested.choose({}).with_new_leader)
         self.assertEqual([], tested.choose({}).with_new_leader)
@@ -66,7 +66,7 @@
     def test_shard_without_a_leader_is_forgotten_with_its_free_capacity(
         self,
     ) -> None:
-        """Guards against tasks sent to a VM that is gone."""
+        """Guards against tasks being sent to a VM that has left."""
         tested = make_leaders(first=3)
         tested.choose({})
         tested.remove(FIRST)
@@ -75,10 +75,10 @@
         self.assertEqual({}, tested.rooms.free(0))
 
     def test_one_shard_can_be_disowned(self) -> None:
-        """Guards against all cells of a VM lost with one of them."""
+        """Guards against removing all shards of a VM along with one."""
         other = ids.ShardId('zone-b')
         tested = leaders.Leaders(me=ME)
-        tested.update(FIRST, beat((SHARD, 1, 0, 0), (other, 1, 0, 0)), 0)
+        tested.update(FIRST, make_beat((SHARD, 1, 0, 0), (other, 1, 0, 0)), 0)
         tested.remove(FIRST, SHARD)
         tested.choose({})
         self.assertEqual({other: FIRST}, tested.by_shard)
--- a/tests/process/membership/test_links.py
+++ b/tests/process/membership/test_links.py
@@ -1,4 +1,4 @@
-"""Silence and heartbeats on links."""
+"""Heartbeats and heartbeat timeouts on links."""
 
 import random
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class FakeLink:
-    """A link on which a test decides what was heard and sent."""
+    """A link whose send and receive times are set by the test."""
 
     def __init__(self, now: float) -> None:
         self.peer = messages.Greeting(
@@ -40,7 +40,7 @@
 
 
 class Rig:
-    """Links of one VM, with one link open since 1000 s."""
+    """Links of one VM, with one link open since time 1000 s."""
 
     def __init__(self) -> None:
         self.heartbeat_timing = links.FOLLOWER_HEARTBEAT
@@ -60,43 +60,47 @@
         self.closed_links.append(closed)
 
     def opened(self, opened: Any) -> None:
-        """Take no notice."""
+        """Ignore the event."""
 
     def received(self, source: Any, message: Any) -> None:
-        """Take no notice."""
+        """Ignore the message."""
 
     def tick(self, at: float) -> bool:
-        """Let time pass; tell whether the link is still open."""
+        """Tick at time ``at``; return whether the link is still open."""
         self.tested.tick(1000 + at, BEAT)
         return not self.link.is_aborted
 
 
 class TestTick(testtools.TestCase):
-    def test_silent_link_is_closed_and_told(self) -> None:
-        """Guards against an owner that is believed after it was lost."""
+    def test_link_without_heartbeats_is_closed_and_reported(self) -> None:
+        """Guards against a VM that still counts as leader after it failed."""
         rig = Rig()
         self.assertTrue(rig.tick(1))
         self.assertFalse(rig.tick(1.2))
         self.assertEqual([rig.link], rig.closed_links)
         self.assertIsNone(rig.tested.get(ids.VmId('b')))
 
-    def test_heard_link_stays(self) -> None:
-        """Guards against links that are closed for no reason."""
+    def test_link_with_traffic_stays_open(self) -> None:
+        """Guards against closing links that still receive messages."""
         rig = Rig()
         for tenth in range(50):
             rig.link.heard_at = 1000 + tenth / 10
             self.assertTrue(rig.tick(tenth / 10))
 
-    def test_beats_are_sent_where_nothing_else_is(self) -> None:
-        """Guards against a peer that takes this VM for lost."""
+    def test_heartbeats_are_sent_on_idle_links(self) -> None:
+        """Guards against a peer that closes an idle link by timeout."""
         rig = Rig()
         rig.tick(0.2)
         self.assertEqual([], rig.link.sent)
         rig.tick(0.31)
         self.assertEqual([BEAT], rig.link.sent)
 
-    def test_faster_rhythm_counts_from_its_beginning(self) -> None:
-        """Guards against a link closed before the other end beats faster."""
+    def test_shorter_timeout_counts_from_the_change_of_timing(self) -> None:
+        """Guards against a timeout before the peer shortens its interval.
+
+        The peer learns of a new leader later and sends heartbeats at the
+        longer interval until then.
+        """
         rig = Rig()
         self.assertTrue(rig.tick(0.1))
         rig.heartbeat_timing = links.HOME_LEADER_HEARTBEAT
--- a/tests/process/membership/test_registry.py
+++ b/tests/process/membership/test_registry.py
@@ -1,4 +1,4 @@
-"""Members and claims from rows that come in any order."""
+"""Decoding of members and claims from rows in arbitrary order."""
 
 import json
 
@@ -22,8 +22,8 @@
 
 
 class TestRegistry(testtools.TestCase):
-    def test_what_is_written_is_read(self) -> None:
-        """Guards against rows that their own writer cannot read."""
+    def test_written_member_can_be_read(self) -> None:
+        """Guards against an encoder and a decoder that do not match."""
         member = registry.Member(
             vm=ids.VmId('a'),
             incarnation=ids.Incarnation('1'),
@@ -38,23 +38,25 @@
 
     @hypothesis.given(strategies.permutations(range(1, 6)))
     @examples.settings()
-    def test_newest_row_stays_in_any_order(self, order: list[int]) -> None:
-        """Guards against an old claim that a peer tells late."""
+    def test_newest_row_wins_in_any_order(self, order: list[int]) -> None:
+        """Guards against an outdated claim that a peer sends late."""
         tested = registry.Registry()
         for revision in order:
             tested.apply((claim_row(revision, epoch=revision * 10),))
         self.assertEqual(50, tested.claims[SHARD].epoch)
 
-    def test_malformed_row_is_passed_over(self) -> None:
-        """Guards against a process that stops over another's row."""
+    def test_malformed_row_is_ignored(self) -> None:
+        """Guards against a crash on a malformed row of another process."""
         tested = registry.Registry()
         tested.apply((claim_row(1, 1),))
-        bad = store.Row(key=registry.shard_key(SHARD), revision=2, body=b'{')
-        tested.apply((bad,))
+        malformed = store.Row(
+            key=registry.shard_key(SHARD), revision=2, body=b'{'
+        )
+        tested.apply((malformed,))
         self.assertEqual(1, tested.claims[SHARD].epoch)
 
-    def test_removed_member_is_forgotten(self) -> None:
-        """Guards against links to VMs that were removed."""
+    def test_removed_member_is_deleted(self) -> None:
+        """Guards against links to VMs whose rows were removed."""
         tested = registry.Registry()
         row = store.Row(
             key='sardineproxy/member/a',
--- a/tests/process/membership/test_table_follower.py
+++ b/tests/process/membership/test_table_follower.py
@@ -1,4 +1,4 @@
-"""A copy of a table while the store misbehaves."""
+"""The copy of a table during changes and failures of the store."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class Rig:
-    """A follower of one table of a store in memory."""
+    """A follower of one table of an in-memory store."""
 
     def __init__(self) -> None:
         self.store = samples.MemoryStore()
@@ -43,7 +43,7 @@
 
 class TestFollower(testtools.TestCase):
     def test_changes_arrive_within_a_pause(self) -> None:
-        """Guards against a copy that stays as it was read first."""
+        """Guards against a copy that is not updated after the first read."""
 
         async def scenario(rig: Rig) -> None:
             rig.store.rows.put('t/a', b'1')
@@ -56,8 +56,12 @@
 
         with_rig(scenario)
 
-    def test_rows_removed_in_lost_history_are_noticed(self) -> None:
-        """Guards against workers that stay listed for good."""
+    def test_rows_removed_in_lost_history_are_reported(self) -> None:
+        """Guards against workers that stay listed forever.
+
+        After the loss of the change history, the follower must infer
+        removals from a full read.
+        """
 
         async def scenario(rig: Rig) -> None:
             rig.store.rows.put('t/a', b'1')
@@ -71,18 +75,20 @@
 
         with_rig(scenario)
 
-    def test_outage_is_known_and_backed_off_from(self) -> None:
-        """Guards against calls without end to a store that is down."""
+    def test_outage_is_detected_with_back_off(self) -> None:
+        """Guards against a high call rate to a store that is down."""
 
         async def scenario(rig: Rig) -> None:
             await asyncio.sleep(1)
             self.assertIsNotNone(rig.follower.healthy_since)
             rig.store.is_down = True
             await asyncio.sleep(1)
-            before = rig.store.calls
+            calls_before = rig.store.calls
             await asyncio.sleep(30)
             self.assertIsNone(rig.follower.healthy_since)
-            self.assertThat(rig.store.calls - before, matchers.LessThan(70))
+            self.assertThat(
+                rig.store.calls - calls_before, matchers.LessThan(70)
+            )
             rig.store.is_down = False
             rig.store.rows.put('t/a', b'1')
             await asyncio.sleep(2)
@@ -90,8 +96,8 @@
 
         with_rig(scenario)
 
-    def test_poke_ends_a_pause(self) -> None:
-        """Guards against a new owner that waits for its list of workers."""
+    def test_poll_now_ends_a_pause(self) -> None:
+        """Guards against a new leader that waits for its list of workers."""
 
         async def scenario(rig: Rig) -> None:
             await asyncio.sleep(0.1)
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers while entries lapse and return."""
+"""The list of workers while entries expire and return."""
 
 import json
 import random
@@ -29,8 +29,8 @@
 
 
 class TestWorkerList(testtools.TestCase):
-    def test_entry_that_is_gone_counts_for_a_while(self) -> None:
-        """Guards against workers lost to a beat that came late."""
+    def test_removed_entry_stays_listed_for_the_removal_delay(self) -> None:
+        """Guards against dropping workers whose heartbeat is late."""
         tested = make_list()
         tested.update((row(samples.entry()),), 10)
         tested.update((row(None),), 20)
@@ -39,8 +39,8 @@
         tested.drop_removed(healthy_since=0, now=23)
         self.assertEqual([], tested.of_shard(SHARD))
 
-    def test_entry_that_lapsed_in_an_outage_has_time_to_come_back(self) -> None:
-        """Guards against workers given up as the store returns."""
+    def test_entry_that_expired_in_an_outage_may_return(self) -> None:
+        """Guards against dropping workers as soon as an outage ends."""
         tested = make_list()
         tested.update((row(samples.entry()),), 10)
         tested.update((row(None),), 20)
@@ -51,18 +51,16 @@
         tested.drop_removed(healthy_since=40, now=60)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
 
-    def test_malformed_entry_counts_as_gone(self) -> None:
-        """Guards against orders by an entry that another writer left."""
+    def test_malformed_entry_counts_as_removed(self) -> None:
+        """Guards against orders based on an entry that is malformed now."""
         tested = make_list()
         tested.update((row(samples.entry()),), 10)
         tested.update((row({'state': 'ready'}),), 20)
         tested.drop_removed(healthy_since=0, now=30)
         self.assertEqual([], tested.of_shard(SHARD))
 
-    def test_list_is_complete_once_the_store_has_answered_for_long(
-        self,
-    ) -> None:
-        """Guards against a new owner that misses a worker with runs."""
+    def test_list_is_complete_once_the_store_has_been_healthy(self) -> None:
+        """Guards against a new leader that misses a worker with runs."""
 
         async def main() -> table_follower.TableFollower:
             return table_follower.TableFollower(
