--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -1,4 +1,4 @@
-"""Processes that own a cell in turn, a store, and workers, under faults."""
+"""Simulated shard whose leaders succeed each other, with a faulty store."""
 
 import asyncio
 import random
@@ -39,7 +39,7 @@
 
 
 def make_job(number: int, *counts: int) -> Any:
-    """Return a job with one step after another of ``counts`` tasks."""
+    """Return a job of consecutive steps with ``counts`` tasks."""
     steps = tuple(
         jobs.Step(
             count=count,
@@ -63,7 +63,10 @@
 
 
 class FaultyStore:
-    """A store whose calls take time, and whose answers get lost."""
+    """A store with latency that randomly fails calls and loses answers.
+
+    A write whose answer is lost may take effect up to 4 s later.
+    """
 
     def __init__(self, rng: random.Random, fault_share: float) -> None:
         self.rows = row_store.RowStore()
@@ -72,9 +75,9 @@
         self.is_unavailable = False
         self.calls = 0
 
-        #: Rows whose writing is refused begin so, none if empty.
+        #: Writes of rows with this key prefix are refused; empty for none.
         self.refused_prefix = ''
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed: set[asyncio.Task[None]] = set()
 
     async def read(self, name: str, *, part: str = '') -> Any:
         if not await self._is_reachable():
@@ -114,17 +117,17 @@
         )
 
     def _apply_later(self, changes: Any) -> None:
-        async def later() -> None:
+        async def apply() -> None:
             await asyncio.sleep(self.rng.uniform(0.1, 4))
             self.rows.transact(**changes)
 
-        task = asyncio.create_task(later())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.create_task(apply())
+        self._delayed.add(task)
+        task.add_done_callback(self._delayed.discard)
 
 
 class Link:
-    """Messages from a process to itself, until it crashes."""
+    """Loopback link of a process, which drops messages after a crash."""
 
     def __init__(self, process: 'Process') -> None:
         self.process = process
@@ -143,7 +146,7 @@
 
 
 class Process:
-    """An owner of the cell with its keeper."""
+    """A leader of the shard with its job manager."""
 
     def __init__(self, cluster: 'Cluster', epoch: int) -> None:
         self.cluster = cluster
@@ -182,10 +185,8 @@
 
     def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
-        shards_kept = [samples.SHARD] if self.manager.is_loaded else []
-        self._loaded_shards.update(
-            vm, shards_kept, self.cluster.rig.clock.now()
-        )
+        loaded = [samples.SHARD] if self.manager.is_loaded else []
+        self._loaded_shards.update(vm, loaded, self.cluster.rig.clock.now())
         return self._loaded_shards.get(samples.SHARD, vm)
 
     def keeper_of(self, job: ids.JobId) -> Any:
@@ -214,14 +215,14 @@
             self._dispatch(message)
 
     async def crash(self) -> None:
-        """End without a word."""
+        """Stop without closing links or releasing the shard."""
         self.is_up = False
         self.cluster.rig.superseded_shards.append(self.shard)
         await self.manager.close()
         await self.shard.close()
 
     def relink(self) -> None:
-        """Lose the link between keeper and cell, and open a new one."""
+        """Replace the link between job manager and shard."""
         lost = self.link
         self.link = Link(self)
         self.shard.link_lost(lost, self.cluster.rig.clock.now())
@@ -243,7 +244,7 @@
 
 
 class Cluster:
-    """What several processes in turn see."""
+    """Store, workers and the current leader of one shard."""
 
     def __init__(
         self,
@@ -276,13 +277,13 @@
         return wire.draw_fate(self.rng, self.fault_share)
 
     def take_over(self) -> Process:
-        """Give the cell to a new process; the former one goes on."""
+        """Make a new process the leader; the former one keeps running."""
         self.epoch += 1
         self.leader = Process(self, self.epoch)
         return self.leader
 
     async def replace(self) -> Process:
-        """Let the owner crash, and give the cell to a new process."""
+        """Crash the leader and make a new process the leader."""
         await self.leader.crash()
         return self.take_over()
 
@@ -293,7 +294,7 @@
         self.rig.list_workers(self.leader.shard, list(self.rig.models.values()))
 
     async def wait_for_end(self, job: ids.JobId, limit_s: float = 30) -> str:
-        """Wait for the end of a job; return its last state."""
+        """Wait up to ``limit_s`` seconds for a final state; return the last."""
         until = self.rig.clock.now() + limit_s
         answer = job_manager.JobReply.UNAVAILABLE
         while self.rig.clock.now() < until:
@@ -304,11 +305,11 @@
         return answer.value
 
     def violations(self) -> list[str]:
-        found = self.rig.records()
+        run_records = self.rig.records()
         return [
             *self.rig.complaints(),
-            *run_checks.find_repeats(found),
-            *run_checks.find_excess(found, MAX_ATTEMPTS),
+            *run_checks.find_repeats(run_records),
+            *run_checks.find_excess(run_records, MAX_ATTEMPTS),
         ]
 
 
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -1,4 +1,4 @@
-"""Stored jobs at the owner of their cell, and at the next one."""
+"""Tests of stored jobs at the leader of their shard, and after a takeover."""
 
 import asyncio
 from typing import Any, Callable, Coroutine
@@ -27,7 +27,7 @@
 
 class TestJobs(testtools.TestCase):
     def test_accepted_job_is_stored_and_completes(self) -> None:
-        """Guards against an answer for a job that nobody keeps."""
+        """Guards against a job that is acknowledged before it is stored."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 3)
@@ -46,7 +46,7 @@
         with_cluster(scenario)
 
     def test_many_jobs_at_once_are_all_accepted(self) -> None:
-        """Guards against commits that the store refuses for their size."""
+        """Guards against commits that exceed the store's limit of entries."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             answers = await asyncio.gather(
@@ -60,7 +60,7 @@
         with_cluster(scenario)
 
     def test_same_id_remains_one_job(self) -> None:
-        """Guards against a second run for a request that came twice."""
+        """Guards against a second run when a client repeats a request."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
@@ -77,7 +77,7 @@
         with_cluster(scenario)
 
     def test_step_waits_for_earlier_ones(self) -> None:
-        """Guards against tasks whose input does not exist yet."""
+        """Guards against tasks that start before the step they depend on."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 2, 3, 1)
@@ -99,7 +99,7 @@
         with_cluster(scenario)
 
     def test_task_that_fails_too_often_fails_the_job(self) -> None:
-        """Guards against attempts beyond the route's limit."""
+        """Guards against more attempts than the route allows."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
@@ -112,7 +112,7 @@
         with_cluster(scenario, failing_percent=100)
 
     def test_cancelled_job_stops_and_starts_no_more(self) -> None:
-        """Guards against work for a job that was called off."""
+        """Guards against runs that go on or start after a cancellation."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 30)
@@ -129,8 +129,8 @@
 
         with_cluster(scenario)
 
-    def test_job_is_refused_while_the_store_is_away(self) -> None:
-        """Guards against a refused job that runs later."""
+    def test_job_is_refused_while_the_store_is_unavailable(self) -> None:
+        """Guards against a job that runs although it was refused."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
@@ -145,8 +145,11 @@
 
         with_cluster(scenario)
 
-    def test_ends_are_acknowledged_once_they_are_stored(self) -> None:
-        """Guards against done tasks that a new owner does not know."""
+    def test_results_are_acknowledged_once_they_are_stored(self) -> None:
+        """Guards against acknowledged results that a crash would lose.
+
+        A worker discards a result once it is acknowledged.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
@@ -168,8 +171,8 @@
 
         with_cluster(scenario)
 
-    def test_states_are_removed_when_nobody_asks_any_more(self) -> None:
-        """Guards against a table that grows without end."""
+    def test_states_are_removed_after_their_retention(self) -> None:
+        """Guards against a table that grows without bound."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
@@ -186,7 +189,7 @@
 
 class TestTakeover(testtools.TestCase):
     def test_next_leader_continues_the_running_tasks(self) -> None:
-        """Guards against accepted jobs that end with their process."""
+        """Guards against accepted jobs that are lost with their process."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 6)
@@ -202,7 +205,7 @@
         with_cluster(scenario)
 
     def test_ended_job_is_known_to_the_next_leader(self) -> None:
-        """Guards against states that are lost with a process."""
+        """Guards against final states that are lost with a process."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
@@ -216,7 +219,7 @@
         with_cluster(scenario)
 
     def test_former_leader_stores_nothing_more(self) -> None:
-        """Guards against two owners that both accept jobs of a cell."""
+        """Guards against two leaders that both accept jobs of a shard."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             former = cluster.leader
@@ -232,12 +235,16 @@
         with_cluster(scenario)
 
     def test_done_task_is_not_repeated_after_a_crash(self) -> None:
-        """Guards against a second original of what an owner saw done."""
+        """Guards against a second run of a task that has completed.
+
+        The result was received and listed by the former leader, but could
+        not be stored before the crash.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
             await cluster.leader.manager.accept(stored)
-            # The ends are known to the owner and listed, but not stored.
+            # The leader has the results and lists them, but cannot store them.
             cluster.store.is_unavailable = True
             await asyncio.sleep(1.2)
             await cluster.replace()
@@ -252,7 +259,11 @@
         with_cluster(scenario)
 
     def test_progress_stays_until_the_end_of_the_job_is_stored(self) -> None:
-        """Guards against done tasks of a job that is stored as running."""
+        """Guards against a second run of the tasks of a completed job.
+
+        The progress row must outlive the commit of the final state, else
+        the next leader finds an unfinished job without progress.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
@@ -268,12 +279,12 @@
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
 
-        # Each row goes into a commit of its own, as in a commit that is full.
+        # One row per commit, as when the previous commit was full.
         self.patch(job_table, 'MAX_ROWS', 1)
         with_cluster(scenario)
 
     def test_failures_count_across_leaders(self) -> None:
-        """Guards against attempts beyond the limit after a crash."""
+        """Guards against failure counts that are lost in a takeover."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 2)
@@ -288,8 +299,8 @@
 
         with_cluster(scenario, failing_percent=100)
 
-    def test_lost_link_to_the_keeper_does_not_stop_its_runs(self) -> None:
-        """Guards against work thrown away for a reset connection."""
+    def test_lost_link_to_the_job_manager_does_not_stop_its_runs(self) -> None:
+        """Guards against runs that are cancelled because of a lost link."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -1,8 +1,8 @@
-"""Stored jobs under random faults of owners, workers and the store.
+"""Property tests of stored jobs under faults of leaders, workers and store.
 
-What workers ran is compared with the promises: every accepted job ends, no
-task runs twice at a time or again after a good end, none is tried too often,
-and no worker goes over its capacity.
+The runs recorded by the workers are checked against the guarantees: every
+accepted job ends, no task runs twice at a time or again after a success, no
+task exceeds its attempts, and no worker exceeds its capacity.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 
 JOBS = 30
 
-#: Longest time until all accepted jobs have ended once the faults are over.
+#: Limit in seconds for all accepted jobs to end after the last fault.
 FINISH_S = 60
 
 _FAULTS = (
-    'crash of the owner',
-    'silent takeover',
+    'crash of the leader',
+    'takeover without crash',
     'relink',
     'crash of a worker',
     'restart of workers',
@@ -43,7 +43,7 @@
 
 
 class FaultScenario:
-    """Six seconds of jobs and faults."""
+    """Submits jobs and injects faults for six seconds."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self.cluster = cluster
@@ -53,13 +53,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def at(self, time_s: float, kind: str) -> None:
-        """Let something happen later."""
+        """Schedule a fault."""
         asyncio.get_running_loop().call_later(
             time_s, lambda: self._spawn(self._inject(kind))
         )
 
     def submit(self, number: int) -> None:
-        """Hand a job in, once more after an answer that says nothing."""
+        """Submit a job, and once more if the reply is UNKNOWN."""
         self._spawn(self._submit(number))
 
     def _spawn(self, work: object) -> None:
@@ -87,9 +87,9 @@
         cluster = self.cluster
         model = cluster.rng.choice(list(cluster.rig.models.values()))
         match kind:
-            case 'crash of the owner':
+            case 'crash of the leader':
                 await cluster.replace()
-            case 'silent takeover':
+            case 'takeover without crash':
                 cluster.take_over()
             case 'relink':
                 cluster.leader.relink()
@@ -112,12 +112,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """What became of a play's jobs."""
+    """Results of one scenario."""
 
     violations: list[str]
     states: dict[ids.JobId, str]
 
-    #: Jobs of which a task was started.
+    #: Jobs with at least one started task.
     ran: set[str]
     refused: set[ids.JobId]
     cancelled: set[ids.JobId]
@@ -126,7 +126,7 @@
 async def run_scenario(
     seed: int, fault_share: float, events: list[tuple[float, str]]
 ) -> Report:
-    """Play, end all faults, and wait for the ends of accepted jobs."""
+    """Run a scenario, end all faults, and wait until all jobs have ended."""
     cluster = clusters.Cluster(
         seed, fault_share=fault_share, failing_percent=10
     )
@@ -163,10 +163,10 @@
         _events,
     )
     @examples.settings(30)
-    def test_promises_of_stored_jobs_hold_under_faults(
+    def test_guarantees_of_stored_jobs_hold_under_faults(
         self, seed: int, fault_share: float, events: list[tuple[float, str]]
     ) -> None:
-        """Guards what must hold whatever is lost, late or replaced."""
+        """Guards against any fault sequence that breaks a guarantee."""
         report = virtual_time.run(
             lambda: run_scenario(seed, fault_share, events)
         )
@@ -178,7 +178,7 @@
                 self.assertIn(job, report.cancelled)
 
     def test_all_jobs_complete_without_faults(self) -> None:
-        """Guards against a model in which nothing happens."""
+        """Guards against a model in which no job is executed."""
 
         report = virtual_time.run(lambda: run_scenario(1, 0, []))
         self.assertEqual(JOBS, len(report.states))
