--- a/sardineproxy/process/__init__.py
+++ b/sardineproxy/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as the process."""
+"""Components that exist for the lifetime of the process."""
--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -1,4 +1,4 @@
-"""Slots that other entry VMs lent to this one."""
+"""Slots that are borrowed from other entry VMs."""
 
 import dataclasses
 from typing import Iterable
@@ -6,13 +6,14 @@
 from sardineproxy import ids
 from sardineproxy.connection import frames
 
-#: Time for which recalled slots that come free are gathered, in seconds.
+#: Longest time for which recalled slots are collected before they are
+#: returned together, in seconds.
 RECALL_BATCH_S = 0.25
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Loan:
-    """Slots of one endpoint, lent by one VM for one customer."""
+    """Slots of one endpoint that one VM has lent for one customer."""
 
     lender: ids.VmId
     customer: ids.CustomerId
@@ -20,7 +21,7 @@
     count: int = 0
     used: int = 0
 
-    #: When a slot was last granted or came free.
+    #: Time at which a slot was last granted or released.
     idle_at: float = 0
 
     #: True if the lender wants the slots back.
@@ -31,10 +32,13 @@
 
 
 class BorrowedSlots:
-    """Loans from other VMs, their leases and their use."""
+    """Loans from other VMs, with their leases and slots in use.
+
+    A lender's slots may be used while its lease lasts.
+    """
 
     def __init__(self) -> None:
-        """Start without loans."""
+        """Create a table without loans."""
         self._loans: dict[ids.CustomerId, dict[_Key, Loan]] = {}
         self._idle: dict[ids.CustomerId, dict[_Key, Loan]] = {}
         self._leases: dict[ids.VmId, float] = {}
@@ -42,7 +46,7 @@
     def add(
         self, *, lender: ids.VmId, lots: Iterable[frames.Lot], now: float
     ) -> None:
-        """Take granted slots; they are usable while the lease lasts."""
+        """Add slots that the lender granted."""
         for customer, endpoint, count in lots:
             key = (lender, endpoint)
             loan = self._loans.setdefault(customer, {}).setdefault(
@@ -55,7 +59,7 @@
             self._index(loan)
 
     def extend_lease(self, lender: ids.VmId, until: float) -> None:
-        """Let the lender's loans be used until then, if that is later."""
+        """Extend the lease of the lender's slots; it is never shortened."""
         self._leases[lender] = max(until, self._leases.get(lender, until))
 
     def free_endpoints(
@@ -73,7 +77,7 @@
     def acquire(
         self, endpoint: ids.EndpointId, customer: ids.CustomerId, now: float
     ) -> Loan | None:
-        """Use an idle slot, or return None."""
+        """Acquire an idle slot and return its loan, or return None."""
         for loan in self._idle.get(customer, {}).values():
             if loan.endpoint != endpoint:
                 continue
@@ -84,65 +88,69 @@
         return None
 
     def release(self, loan: Loan, now: float) -> None:
-        """End the use of a slot; its loan may be dropped already."""
+        """Release a slot, also if its loan was dropped in the meantime."""
         loan.used -= 1
         loan.idle_at = now
-        kept = self._loans.get(loan.customer, {})
-        if kept.get((loan.lender, loan.endpoint)) is loan:
+        customer_loans = self._loans.get(loan.customer, {})
+        if customer_loans.get((loan.lender, loan.endpoint)) is loan:
             self._index(loan)
 
     def recall(
         self, lender: ids.VmId, endpoints: Iterable[ids.EndpointId]
     ) -> None:
-        """Start no more tasks on these slots."""
-        wanted = set(endpoints)
+        """Mark the lender's slots at ``endpoints`` as recalled.
+
+        No more tasks start on recalled slots.
+        """
+        recalled = set(endpoints)
         for loan in self._all():
-            if loan.lender == lender and loan.endpoint in wanted:
+            if loan.lender == lender and loan.endpoint in recalled:
                 loan.recalled = True
                 self._index(loan)
 
     def pop_idle(
         self, now: float, idle_s: float, *, lender: ids.VmId | None = None
     ) -> dict[ids.VmId, tuple[frames.Lot, ...]]:
-        """Remove idle slots that are due and return them for each lender.
+        """Remove slots to be returned, and return them by lender.
 
-        A lender's slots are due together once one of them was idle for
-        ``idle_s``, or for a moment if it is recalled; those that were just
-        in use stay.
+        A lender's idle slots are returned together once one of its loans was
+        idle for ``idle_s``, or for ``RECALL_BATCH_S`` if it is recalled. Loans
+        that were in use within the last half of ``idle_s`` are kept unless
+        they are recalled.
         """
-        waits = (idle_s, min(idle_s, RECALL_BATCH_S))
-        due = {
+        min_idle_s = (idle_s, min(idle_s, RECALL_BATCH_S))
+        due_lenders = {
             loan.lender
             for loan in self._all()
             if loan.count > loan.used
             and lender in {None, loan.lender}
-            and now - loan.idle_at >= waits[loan.recalled]
+            and now - loan.idle_at >= min_idle_s[loan.recalled]
         }
         lots: dict[ids.VmId, tuple[frames.Lot, ...]] = {}
         for loan in self._all():
-            spare = loan.count - loan.used
-            rested = loan.recalled or now - loan.idle_at >= idle_s / 2
-            if loan.lender in due and spare > 0 and rested:
+            idle = loan.count - loan.used
+            returnable = loan.recalled or now - loan.idle_at >= idle_s / 2
+            if loan.lender in due_lenders and idle > 0 and returnable:
                 lots[loan.lender] = (
                     *lots.get(loan.lender, ()),
-                    (loan.customer, loan.endpoint, spare),
+                    (loan.customer, loan.endpoint, idle),
                 )
-                self._shrink(loan, spare)
+                self._shrink(loan, idle)
         return lots
 
     def drop_lender(self, lender: ids.VmId) -> None:
-        """Forget the lender's loans; tasks on them run to their end."""
+        """Remove the lender's loans; tasks on them continue to run."""
         self._leases.pop(lender, None)
         for loan in self._all():
             if loan.lender == lender:
                 self._shrink(loan, loan.count)
 
     def has_loans_from(self, lender: ids.VmId) -> bool:
-        """Tell whether slots of the lender are borrowed."""
+        """Return whether slots of the lender are borrowed."""
         return any(loan.lender == lender for loan in self._all())
 
     def idle_slots(self, lender: ids.VmId) -> int:
-        """Return how many of the lender's slots are not in use."""
+        """Return the number of the lender's slots that are not in use."""
         return sum(
             loan.count - loan.used
             for loan in self._all()
@@ -158,8 +166,8 @@
             loan for loans in self._loans.values() for loan in loans.values()
         ]
 
-    def _shrink(self, loan: Loan, by: int) -> None:
-        loan.count -= by
+    def _shrink(self, loan: Loan, count: int) -> None:
+        loan.count -= count
         if not loan.count:
             self._loans[loan.customer].pop((loan.lender, loan.endpoint))
             if not self._loans[loan.customer]:
@@ -167,6 +175,7 @@
         self._index(loan)
 
     def _index(self, loan: Loan) -> None:
+        """Add the loan to the index of idle loans, or remove it."""
         key = (loan.lender, loan.endpoint)
         idle = self._idle.setdefault(loan.customer, {})
         if loan.count > loan.used and not loan.recalled:
--- a/sardineproxy/process/demand.py
+++ b/sardineproxy/process/demand.py
@@ -1,4 +1,4 @@
-"""Work that waits for slots, as the lenders of slots need to know it."""
+"""Demand for slots at one entry VM, as used for slot loans."""
 
 import dataclasses
 
@@ -17,6 +17,6 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Demand:
-    """All waiting work of one entry VM."""
+    """Waiting and running tasks of all customers at one entry VM."""
 
     customers: tuple[CustomerDemand, ...]
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -239,7 +239,7 @@
         since: float,
         now: float,
     ) -> None:
-        """Eject an endpoint without successes since its stragglers started.
+        """Eject an endpoint that sent no response since stragglers started.
 
         ``count`` is the number of stragglers that run there, and ``since``
         the start of the newest.
--- a/sardineproxy/process/loans.py
+++ b/sardineproxy/process/loans.py
@@ -1,4 +1,11 @@
-"""Both sides of slot loans between this entry VM and its peers."""
+"""Slot loans between this entry VM and its peers.
+
+An entry VM with a backlog requests slots from peers with free ones. The lender
+grants slots as loans, each of which is for one customer. The borrower may start
+tasks on them while it receives frames from the lender (the lease), and returns
+them when they are idle. The lender can recall slots of certain endpoints, which
+the borrower then returns as soon as they are free, or reclaim all idle slots.
+"""
 
 import math
 from typing import Callable, Collection
@@ -9,12 +16,12 @@
 
 
 class Loans:
-    """Both sides of the loans of this process."""
+    """The loans of this process, as borrower and as lender."""
 
     def __init__(
         self, *, cfg: borrowing.Config, table: slots.SlotTable
     ) -> None:
-        """Start without loans."""
+        """Create an instance without loans."""
         self._table = table
         self._backlog = borrowing.BacklogReport()
         self._borrowing = borrowing.SlotBorrower(
@@ -25,7 +32,7 @@
         )
 
     def report(self, demand: demand.Demand, now: float) -> None:
-        """Keep a report of the waiting work."""
+        """Update the local backlog, which limits lending and borrowing."""
         self._backlog.report(demand, now)
 
     def request_slots(
@@ -33,7 +40,7 @@
         lenders: Callable[[], Collection[borrowing.LenderPeer]],
         now: float,
     ) -> borrowing.OutgoingFrames:
-        """Return requests for the waiting work."""
+        """Return requests to lenders for slots for the waiting tasks."""
         return self._borrowing.request_slots(lenders, now)
 
     def tick(
@@ -41,7 +48,7 @@
         lenders: Callable[[], Collection[borrowing.LenderPeer]],
         now: float,
     ) -> borrowing.OutgoingFrames:
-        """Return all messages that are due."""
+        """Process timeouts; return all grants, recalls, requests, returns."""
         return [
             *self._lending.tick(now),
             *self._borrowing.request_slots(lenders, now),
@@ -51,7 +58,7 @@
     def handle_frame(
         self, vm: ids.VmId, frame: frames.Frame, now: float
     ) -> borrowing.OutgoingFrames:
-        """Act on a peer's frame about loans and return the replies."""
+        """Process a peer's frame about loans and return the replies."""
         match frame:
             case frames.SlotRequest():
                 return self._handle_request(vm, frame, now)
@@ -63,16 +70,16 @@
         return []
 
     def renew_lease(self, vm: ids.VmId, now: float) -> None:
-        """Note that the peer is alive."""
+        """Extend the lease of slots borrowed from a peer that sent a frame."""
         self._borrowing.renew_lease(vm, now)
 
     def handle_disconnect(self, vm: ids.VmId, now: float) -> None:
-        """Note that the stream to the peer is closed."""
+        """Process the end of the stream to a peer."""
         self._lending.handle_disconnect(vm, now)
         self._borrowing.handle_disconnect(vm)
 
     def return_all_idle(self) -> borrowing.OutgoingFrames:
-        """Return what is idle of the borrowed slots to its lenders."""
+        """Return all idle borrowed slots to their lenders."""
         return self._borrowing.return_all_idle(None, math.inf)
 
     def state(self) -> dict[str, object]:
@@ -85,7 +92,7 @@
     def _handle_request(
         self, vm: ids.VmId, request: frames.SlotRequest, now: float
     ) -> borrowing.OutgoingFrames:
-        """Return the peer's idle slots first, then grant what it wants."""
+        """Return idle slots of the peer, then grant the slots it requests."""
         self._table.borrowed.recall(vm, request.recall)
         replies: borrowing.OutgoingFrames = []
         if request.reclaim or request.recall:
--- a/sardineproxy/process/rendezvous.py
+++ b/sardineproxy/process/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing, and the division of whole numbers by weight."""
+"""Weighted rendezvous hashing, and division of integers by weight."""
 
 import hashlib
 import math
@@ -13,8 +13,8 @@
 def score(key: str, node: str, weight: float = 1) -> float:
     """Return the node's score for ``key``; the highest score wins.
 
-    With these scores each node wins a share of the keys that is proportional
-    to its weight, and a change of one node moves only that node's keys.
+    Every node wins a share of the keys that is proportional to its weight. A
+    key moves only to or from a node that is added, removed or reweighted.
     """
     digest = hashlib.blake2b(
         f'{key}\n{node}'.encode(), digest_size=_DIGEST_BYTES
@@ -24,7 +24,7 @@
 
 
 def rank(key: str, nodes: Iterable[Node]) -> list[Node]:
-    """Return the nodes, best first."""
+    """Return the nodes by descending score."""
     return sorted(
         nodes, key=lambda node: (score(key, node), node), reverse=True
     )
@@ -42,24 +42,24 @@
 def divide(
     total: int, weights: Mapping[Node, int], key: str
 ) -> dict[Node, int]:
-    """Divide ``total`` by weight so that the parts add up to it exactly.
+    """Divide ``total`` by weight so that the shares add up to it exactly.
 
-    Largest remainders are rounded up first; rendezvous order breaks ties.
-    Without any weight every part is 0.
+    Uses the largest remainder method; rendezvous order breaks ties. If all
+    weights are 0, all shares are 0.
     """
-    whole = sum(weights.values())
-    if not whole:
+    weight_sum = sum(weights.values())
+    if not weight_sum:
         return dict.fromkeys(weights, 0)
-    parts = {node: total * weights[node] // whole for node in weights}
-    left = total - sum(parts.values())
+    shares = {node: total * weights[node] // weight_sum for node in weights}
+    remainder = total - sum(shares.values())
     order = sorted(
         (node for node in weights if weights[node]),
         key=lambda node: (
-            -(total * weights[node] % whole),
+            -(total * weights[node] % weight_sum),
             -score(key, node),
             node,
         ),
     )
-    for node in order[:left]:
-        parts[node] += 1
-    return parts
+    for node in order[:remainder]:
+        shares[node] += 1
+    return shares
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -1,4 +1,7 @@
-"""Slots of endpoints that this process may use, and who uses them."""
+"""Accounting of the endpoint slots that this process may use.
+
+A slot is the capacity of an endpoint to run one task.
+"""
 
 import dataclasses
 import math
@@ -20,33 +23,35 @@
 
 
 class LimitDivision(Protocol):
-    """Divides a customer's holding limit among VMs."""
+    """Divides a customer's concurrency limit among the entry VMs."""
 
     def limit_share(self, customer: ids.CustomerId, limit: int) -> int:
-        """Return this VM's part of the limit."""
+        """Return this VM's share of the limit."""
 
 
 class SlotTable:
     """Counts the slots that are owned, lent, borrowed and in use.
 
-    A task on an own slot and a slot that is lent count against this VM's
-    part of the customer's holding limit; a task on a borrowed slot counts
-    against the lender's part.
+    A task on an own slot counts against this VM's share of the customer's
+    concurrency limit, and so does a lent slot. A task on a borrowed slot
+    counts against the lender's share.
     """
 
     def __init__(self) -> None:
-        """Start without slots, and without holding limits."""
+        """Create a table without slots and without concurrency limits."""
         self._owned: dict[ids.EndpointId, int] = {}
 
         #: Own slots of each endpoint that are in use or lent.
         self._used_by_endpoint: dict[ids.EndpointId, int] = {}
         self._free: dict[ids.EndpointId, int] = {}
+
+        #: Cache of the keys of ``_free``; None if outdated.
         self._free_endpoints: tuple[ids.EndpointId, ...] | None = ()
 
-        #: How many own slots are free.
+        #: Number of own slots that are free.
         self.free_slots = 0
 
-        #: Own slots that each customer uses or that are lent for it.
+        #: Own slots that are in use by a customer or lent for it.
         self._used_by_customer: dict[ids.CustomerId, int] = {}
         self._limits: dict[ids.CustomerId, int] | None = None
         self._divisions: tuple[LimitDivision, ...] = ()
@@ -58,43 +63,49 @@
         #: Emits when slots may have become free other than by a release.
         self.changed: subject.Subject[None] = subject.Subject()
 
-        #: Own free slots that are kept for borrowers.
+        #: Number of own free slots that are reserved for borrowers.
         self.reserved = 0
         self.borrowed = borrowed_slots.BorrowedSlots()
 
     @property
     def owned(self) -> Mapping[ids.EndpointId, int]:
-        """Return the owned slots of each endpoint."""
+        """Return the number of owned slots by endpoint."""
         return self._owned
 
     def set_owned(self, owned: Mapping[ids.EndpointId, int]) -> None:
         """Replace the owned slots; tickets in use stay valid."""
-        touched = (*self._owned, *owned)
+        affected_endpoints = (*self._owned, *owned)
         self._owned = dict(owned)
-        for endpoint in touched:
-            self._refresh(endpoint)
+        for endpoint in affected_endpoints:
+            self._update_free(endpoint)
         self.changed.on_next(None)
 
     def set_concurrency_limits(
         self, limits: Mapping[ids.CustomerId, int]
     ) -> None:
-        """Replace the customers' whole holding limits.
+        """Replace the customers' concurrency limits, undivided.
 
-        A customer that is not named may hold nothing. Before the first call
-        there are no limits.
+        Customers that are not in ``limits`` may use no slots. Before the first
+        call, all customers are unlimited.
         """
         self._limits = dict(limits)
         self._limit_shares.clear()
         self.changed.on_next(None)
 
     def set_limit_divisions(self, divisions: Iterable[LimitDivision]) -> None:
-        """Hold each customer to its smallest part; the limit if none."""
+        """Limit each customer to its smallest share in the divisions.
+
+        Without divisions, the whole limit applies.
+        """
         self._divisions = tuple(divisions)
         self._limit_shares.clear()
         self.changed.on_next(None)
 
     def set_valid_until(self, until: float) -> None:
-        """Start nothing from then on, because ownership may have passed."""
+        """Set when slots become unusable unless this is called again.
+
+        After this time another VM may own the slots.
+        """
         self._valid_until = until
 
     def free_endpoints(
@@ -103,15 +114,15 @@
         """Return endpoints with a free slot that ``customer`` may use."""
         if now >= self._valid_until:
             return ()
-        lent_to_us = self.borrowed.free_endpoints(customer, now)
+        borrowed = self.borrowed.free_endpoints(customer, now)
         if not self._can_use_own(customer):
-            return lent_to_us
+            return borrowed
         if self._free_endpoints is None:
             self._free_endpoints = tuple(self._free)
-        if not lent_to_us:
+        if not borrowed:
             return self._free_endpoints
         return self._free_endpoints + tuple(
-            endpoint for endpoint in lent_to_us if endpoint not in self._free
+            endpoint for endpoint in borrowed if endpoint not in self._free
         )
 
     def acquire(
@@ -121,9 +132,9 @@
         customer: ids.CustomerId,
         now: float,
     ) -> Ticket | None:
-        """Take a free slot of the endpoint, or return None.
+        """Acquire a free slot of the endpoint, or return None.
 
-        Borrowed slots are used first, so that own ones stay lendable.
+        Borrowed slots are used first, so that own slots can still be lent.
         """
         if now >= self._valid_until:
             return None
@@ -139,7 +150,7 @@
         )
 
     def release(self, *, ticket: Ticket, now: float) -> None:
-        """Give the slot back; a second release of a ticket is a no-op."""
+        """Release the slot; a second release of a ticket has no effect."""
         if ticket.number not in self._tickets:
             return
         loan = self._tickets.pop(ticket.number)
@@ -151,30 +162,33 @@
     def lend(
         self, customer: ids.CustomerId, count: int
     ) -> dict[ids.EndpointId, int]:
-        """Set up to ``count`` own free slots aside for a borrower."""
-        left = min(
+        """Lend up to ``count`` own free slots; return them by endpoint."""
+        remaining = min(
             count,
             self.limit_share(customer)
             - self._used_by_customer.get(customer, 0),
         )
         lots: dict[ids.EndpointId, int] = {}
         for endpoint, free in list(self._free.items()):
-            lot = int(min(left, free))
+            lot = int(min(remaining, free))
             if lot <= 0:
                 break
             lots[endpoint] = lot
-            left -= lot
+            remaining -= lot
             self._add_use(endpoint, customer, lot)
         return lots
 
     def end_loan(
         self, customer: ids.CustomerId, endpoint: ids.EndpointId, count: int
     ) -> None:
-        """End a loan; the caller makes ``changed`` emit."""
+        """Return lent slots to the own ones.
+
+        The caller has to emit ``changed`` afterwards.
+        """
         self._add_use(endpoint, customer, -count)
 
     def limit_share(self, customer: ids.CustomerId) -> float:
-        """Return this VM's part of the customer's holding limit."""
+        """Return this VM's share of the customer's concurrency limit."""
         limit_share = self._limit_shares.get(customer)
         if limit_share is None:
             limit_share = self._compute_limit_share(customer)
@@ -184,10 +198,13 @@
     def is_usage_within(
         self, owned: Mapping[ids.EndpointId, int], division: LimitDivision
     ) -> bool:
-        """Tell whether all use and loans are within what a view gives."""
+        """Return whether used and lent slots are within the given ownership.
+
+        Both the owned slots and the shares of the limits are checked.
+        """
         if any(
-            busy > owned.get(endpoint, 0)
-            for endpoint, busy in self._used_by_endpoint.items()
+            used > owned.get(endpoint, 0)
+            for endpoint, used in self._used_by_endpoint.items()
         ):
             return False
         limits = self._limits
@@ -197,7 +214,7 @@
         )
 
     def state(self, *, now: float) -> dict[str, object]:
-        """Return the counts for the state dump."""
+        """Return the slot counts for the state dump."""
         return {
             'owned': dict(self._owned),
             'busy': dict(self._used_by_endpoint),
@@ -231,28 +248,28 @@
         )
 
     def _add_use(
-        self, endpoint: ids.EndpointId, customer: ids.CustomerId, by: int
+        self, endpoint: ids.EndpointId, customer: ids.CustomerId, change: int
     ) -> None:
-        busy = self._used_by_endpoint.get(endpoint, 0) + by
-        used = self._used_by_customer.get(customer, 0) + by
-        self._used_by_endpoint[endpoint] = busy
-        self._used_by_customer[customer] = used
-        if not busy:
+        endpoint_use = self._used_by_endpoint.get(endpoint, 0) + change
+        customer_use = self._used_by_customer.get(customer, 0) + change
+        self._used_by_endpoint[endpoint] = endpoint_use
+        self._used_by_customer[customer] = customer_use
+        if not endpoint_use:
             self._used_by_endpoint.pop(endpoint)
-        if not used:
+        if not customer_use:
             self._used_by_customer.pop(customer)
-        self._refresh(endpoint)
+        self._update_free(endpoint)
 
-    def _refresh(self, endpoint: ids.EndpointId) -> None:
+    def _update_free(self, endpoint: ids.EndpointId) -> None:
         free = self._owned.get(endpoint, 0) - self._used_by_endpoint.get(
             endpoint, 0
         )
-        known = self._free.get(endpoint, 0)
+        previous = self._free.get(endpoint, 0)
         free = max(free, 0)
-        self.free_slots += free - known
+        self.free_slots += free - previous
         if free:
             self._free[endpoint] = free
         else:
             self._free.pop(endpoint, None)
-        if bool(free) != bool(known):
+        if bool(free) != bool(previous):
             self._free_endpoints = None
