--- a/sardineproxy/request/__init__.py
+++ b/sardineproxy/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Handling of submitted requests and jobs at the entry VM."""
--- a/sardineproxy/request/active_jobs.py
+++ b/sardineproxy/request/active_jobs.py
@@ -11,79 +11,89 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Entry:
+class _ActiveJob:
     coordinator: coordinator.Coordinator
     task: asyncio.Task[jobs.Outcome]
 
-    #: Requests that wait for the outcome.
-    waiting: int = 0
+    #: Number of requests that wait for the outcome.
+    waiters: int = 0
 
 
 class ActiveJobs:
-    """Runs one coordinator for each job, however often it is sent."""
+    """Runs one coordinator per job; repeated requests share it."""
 
     def __init__(self) -> None:
         """Start without jobs."""
-        self._entries: dict[ids.JobId, _Entry] = {}
+        self._jobs: dict[ids.JobId, _ActiveJob] = {}
 
     def __len__(self) -> int:
         """Return the number of jobs in progress."""
-        return len(self._entries)
-
-    async def run(self, new: coordinator.Coordinator) -> jobs.Outcome:
-        """Run a job, or join it if it is in progress."""
-        job = new.job.job_id
-        entry = self._entries.get(job)
-        if entry is None:
-            entry = _Entry(coordinator=new, task=asyncio.create_task(new.run()))
-            self._entries[job] = entry
-            entry.task.add_done_callback(lambda _: self._entries.pop(job))
-        entry.waiting += 1
+        return len(self._jobs)
+
+    async def run(
+        self, new_coordinator: coordinator.Coordinator
+    ) -> jobs.Outcome:
+        """Run a job and return its outcome; join it if it is in progress.
+
+        The job is withdrawn when its last waiting request is cancelled.
+        """
+        job_id = new_coordinator.job.job_id
+        active = self._jobs.get(job_id)
+        if active is None:
+            active = _ActiveJob(
+                coordinator=new_coordinator,
+                task=asyncio.create_task(new_coordinator.run()),
+            )
+            self._jobs[job_id] = active
+            active.task.add_done_callback(lambda _: self._jobs.pop(job_id))
+        active.waiters += 1
         try:
-            return await asyncio.shield(entry.task)
+            return await asyncio.shield(active.task)
         finally:
-            entry.waiting -= 1
-            if not entry.waiting and not entry.task.done():
-                _LOG.info('Client left, job withdrawn.', extra={'job': job})
-                entry.task.cancel()
+            active.waiters -= 1
+            if not active.waiters and not active.task.done():
+                _LOG.info(
+                    'Client disconnected, job withdrawn.', extra={'job': job_id}
+                )
+                active.task.cancel()
 
     def deliver(self, message: messages.Ended | messages.Declined) -> None:
-        """Hand a message to its job; one that is late is of no use."""
-        entry = self._entries.get(message.job)
-        if entry is not None:
-            entry.coordinator.post(message)
+        """Pass a message to its coordinator; drop it if the job has ended."""
+        active = self._jobs.get(message.job)
+        if active is not None:
+            active.coordinator.post(message)
 
     def notify_leader_lost(
         self, shard: ids.ShardId, former_leader: link.Link
     ) -> None:
-        """Tell all jobs that a cell's owner is lost."""
-        self._tell_all(
+        """Notify all coordinators that the leader of a shard is lost."""
+        self._broadcast(
             open_tasks.LeaderLost(shard=shard, former_leader=former_leader)
         )
 
     def notify_leader_found(self, shard: ids.ShardId) -> None:
-        """Tell all jobs that a cell has an owner."""
-        self._tell_all(open_tasks.LeaderFound(shard=shard))
+        """Notify all coordinators that a shard has a leader."""
+        self._broadcast(open_tasks.LeaderFound(shard=shard))
 
     def notify_stalled(self) -> None:
-        """Tell all jobs that this process stood still."""
-        self._tell_all(coordinator.Stalled())
+        """Notify all coordinators that this process was stalled."""
+        self._broadcast(coordinator.Stalled())
 
     def count_unstarted(self, route: ids.RouteId) -> int:
-        """Return how many jobs of a route are not known to have started."""
+        """Return the number of jobs of a route without a reported start."""
         return sum(
-            entry.coordinator.route.route == route
-            and not entry.coordinator.may_have_run
-            for entry in self._entries.values()
+            active.coordinator.route.route == route
+            and not active.coordinator.may_have_run
+            for active in self._jobs.values()
         )
 
     def state(self) -> dict[str, object]:
-        """Return the jobs for the state dump."""
+        """Return the route of each job, for the state dump."""
         return {
-            job: entry.coordinator.route.route
-            for job, entry in self._entries.items()
+            job_id: active.coordinator.route.route
+            for job_id, active in self._jobs.items()
         }
 
-    def _tell_all(self, event: coordinator.Event) -> None:
-        for entry in self._entries.values():
-            entry.coordinator.post(event)
+    def _broadcast(self, event: coordinator.Event) -> None:
+        for active in self._jobs.values():
+            active.coordinator.post(event)
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -1,6 +1,7 @@
-"""One job at the entry VM that accepted it, from arrival to answer.
+"""Coordination of one job at the entry VM that accepted it.
 
-The tasks run in cells, each under its owner.
+The coordinator submits the job's tasks to the leaders of shards and collects
+their results until the job is answered.
 """
 
 import asyncio
@@ -11,13 +12,13 @@
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.version import routes
 
-#: Longest wait for a new owner of a cell that lost its own, in seconds.
+#: Longest wait for a new leader of a shard that lost its leader, in seconds.
 LEADER_WAIT_S = 1.0
 
-#: Time that is kept for the way of the answer to the client, in seconds.
+#: Time reserved for returning the answer to the client, in seconds.
 ANSWER_MARGIN_S = 0.05
 
-#: When to come back after a refusal for want of an owner, in seconds.
+#: Retry delay reported to a client when no shard has a leader, in seconds.
 NO_LEADER_RETRY_S = 1.0
 
 _LOG = logs.get_logger('job')
@@ -25,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Stalled:
-    """This process stood still, so that others may have given it up."""
+    """This process was stalled, so its peers may have declared it failed."""
 
 
 Event = (
@@ -38,7 +39,7 @@
 
 
 class Coordinator:
-    """Sends a job's tasks to cells until all have ended."""
+    """Submits a job's tasks to shards until all of them have ended."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Prepare a job; times are local, in seconds."""
+        """Prepare a job; times are in seconds of the local clock."""
         self.job = job
         self.route = route
         self.arrived_at = arrived_at
@@ -67,21 +68,24 @@
                 arrived_at=arrived_at, deadline=self._deadline
             ),
         )
-        self._todo = set(range(len(job.steps)))
+        self._waiting_steps = set(range(len(job.steps)))
         self._done_steps: set[int] = set()
         self._may_have_run = False
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether a task may have started, as far as is known here."""
+        """Return whether a task has started or may have started."""
         return self._may_have_run
 
     def post(self, event: Event) -> None:
-        """Hand in an event."""
+        """Add an event to the queue that ``run`` processes."""
         self._inbox.put_nowait(event)
 
     async def run(self) -> jobs.Outcome:
-        """Return how the job ended; nothing of it runs on afterwards."""
+        """Run the job and return its outcome.
+
+        Tasks that are still open at the end are withdrawn from the leaders.
+        """
         default_shard = self._router.default_shard()
         if default_shard is None:
             return jobs.NotRun(
@@ -93,77 +97,79 @@
             self._open.withdraw()
 
     async def _run(self, default_shard: ids.ShardId) -> jobs.Outcome:
-        self._begin_steps(default_shard)
+        self._start_ready_steps(default_shard)
         while self._open:
-            left_s = self._deadline - self._clock.now()
+            remaining_s = self._deadline - self._clock.now()
             try:
-                async with asyncio.timeout(self._wait_s(left_s)):
+                async with asyncio.timeout(self._event_timeout_s(remaining_s)):
                     event = await self._inbox.get()
             except TimeoutError:
-                return jobs.GivenUp(detail=self._describe_wait())
-            outcome = self._take(event)
+                return jobs.GivenUp(detail=self._timeout_cause())
+            outcome = self._handle_event(event)
             if outcome is not None:
                 return outcome
-            self._begin_steps(default_shard)
+            self._start_ready_steps(default_shard)
         return jobs.Completed()
 
-    def _wait_s(self, left_s: float) -> float:
+    def _event_timeout_s(self, remaining_s: float) -> float:
         if self._open.has_unassigned():
-            return min(left_s, LEADER_WAIT_S)
-        return left_s
+            return min(remaining_s, LEADER_WAIT_S)
+        return remaining_s
 
-    def _describe_wait(self) -> str:
+    def _timeout_cause(self) -> str:
         if self._open.has_unassigned():
             return 'no owner of the cell in time'
         return 'deadline passed'
 
-    def _begin_steps(self, default_shard: ids.ShardId) -> None:
-        """Send the tasks of steps whose earlier steps are done."""
-        for number in sorted(self._todo):
-            step = self.job.steps[number]
+    def _start_ready_steps(self, default_shard: ids.ShardId) -> None:
+        """Submit the tasks of all steps whose prerequisites are done."""
+        for step_index in sorted(self._waiting_steps):
+            step = self.job.steps[step_index]
             if not self._done_steps.issuperset(step.after):
                 continue
-            self._todo.discard(number)
-            tasks = open_tasks.new_tasks(self.job, number, default_shard)
+            self._waiting_steps.discard(step_index)
+            tasks = open_tasks.new_tasks(self.job, step_index, default_shard)
             self._open.add(tasks)
             self._open.send(tasks, firm=False, begun=self._has_begun)
 
     @property
     def _has_begun(self) -> bool:
-        """Tell whether a task may have started that is not open any more."""
+        """Return whether a task may have started that is no longer open."""
         return self._may_have_run or bool(self._done_steps)
 
-    def _take(self, event: Event) -> jobs.Outcome | None:
+    def _handle_event(self, event: Event) -> jobs.Outcome | None:
+        """Process an event; return the outcome if it ends the job."""
         match event:
             case messages.Ended():
-                return self._take_end(event)
+                return self._handle_result(event)
             case messages.Declined():
-                return self._take_declined(event)
+                return self._handle_declined(event)
             case open_tasks.LeaderLost():
-                self._strand(event)
+                self._handle_leader_lost(event)
             case open_tasks.LeaderFound(shard=shard):
                 self._open.resume(shard, begun=self._has_begun)
             case Stalled():
                 return jobs.GivenUp(detail='process stood still')
         return None
 
-    def _take_end(self, end: messages.Ended) -> jobs.Outcome | None:
-        task = self._open.get((end.step, end.index))
-        if task is None or task.shard != end.shard:
+    def _handle_result(self, ended: messages.Ended) -> jobs.Outcome | None:
+        task = self._open.get((ended.step, ended.index))
+        if task is None or task.shard != ended.shard:
             return None
         self._may_have_run = True
-        task.next_run = max(task.next_run, end.run + 1)
-        match jobs.TaskResult(end.how):
+        task.next_run = max(task.next_run, ended.run + 1)
+        match jobs.TaskResult(ended.how):
             case jobs.TaskResult.DONE:
                 if self._open.close(task.key):
-                    self._done_steps.add(end.step)
+                    self._done_steps.add(ended.step)
                 return None
             case jobs.TaskResult.FAILED:
-                return self._take_failure(task)
+                return self._retry_or_fail(task)
             case jobs.TaskResult.LATE | jobs.TaskResult.REPLACED:
-                return jobs.GivenUp(detail=f'task {end.index}: {end.how}')
+                return jobs.GivenUp(detail=f'task {ended.index}: {ended.how}')
 
-    def _take_failure(self, task: open_tasks.OpenTask) -> jobs.Outcome | None:
+    def _retry_or_fail(self, task: open_tasks.OpenTask) -> jobs.Outcome | None:
+        """Submit a failed task again, or fail the job after too many runs."""
         task.failures += 1
         if task.failures >= self.route.max_attempts:
             return jobs.Failed(
@@ -173,49 +179,56 @@
         self._open.send([task], firm=True, begun=self._has_begun)
         return None
 
-    def _take_declined(
+    def _handle_declined(
         self, declined: messages.Declined
     ) -> jobs.Outcome | None:
+        """Move declined tasks once; otherwise end the job.
+
+        They move to the shard that the leader suggested. Tasks that had been
+        moved already return to the default shard if another one declines
+        them.
+        """
         tasks = self._open.in_shard(
             declined.step, declined.indices, declined.shard
         )
         if not tasks:
             return None
         if declined.other and not any(task.was_moved for task in tasks):
-            other = ids.ShardId(declined.other)
-            if self._router.leader(other) is not None:
-                self._open.move(tasks, other, begun=self._has_begun)
+            suggested = ids.ShardId(declined.other)
+            if self._router.leader(suggested) is not None:
+                self._open.move(tasks, suggested, begun=self._has_begun)
                 return None
         elif any(task.was_moved for task in tasks):
             default_shard = self._router.default_shard()
             if default_shard is not None and default_shard != declined.shard:
                 self._open.move(tasks, default_shard, begun=self._has_begun)
                 return None
-        return self._refuse(declined, tasks)
+        return self._declined_outcome(declined, tasks)
 
-    def _refuse(
+    def _declined_outcome(
         self, declined: messages.Declined, tasks: list[open_tasks.OpenTask]
     ) -> jobs.Outcome:
+        """Return ``NotRun`` if no task of the job can have started."""
         for task in tasks:
             task.leader = None
-        is_all = len(tasks) == len(self._open)
-        if is_all and not self._has_begun:
+        all_declined = len(tasks) == len(self._open)
+        if all_declined and not self._has_begun:
             return jobs.NotRun(
                 detail=declined.cause, retry_after_s=declined.retry_s
             )
         return jobs.GivenUp(detail=f'some tasks declined: {declined.cause}')
 
-    def _strand(self, lost: open_tasks.LeaderLost) -> None:
-        stranded = self._open.unassign(lost)
-        if stranded:
+    def _handle_leader_lost(self, lost: open_tasks.LeaderLost) -> None:
+        unassigned = self._open.unassign(lost)
+        if unassigned:
             self._may_have_run = True
             _LOG.info(
-                'Owner lost, tasks wait for another.',
+                'Shard leader lost, tasks wait for its successor.',
                 extra={
                     'job': self.job.job_id,
                     'cell': lost.shard,
                     'owner': lost.former_leader.peer.vm,
-                    'tasks': [task.index for task in stranded],
+                    'tasks': [task.index for task in unassigned],
                     'longest_wait_s': LEADER_WAIT_S,
                 },
             )
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of clients, their tasks, and how they end."""
+"""Jobs of clients, the steps they consist of, and their outcomes."""
 
 import dataclasses
 import enum
@@ -17,7 +17,7 @@
     gpus: int
 
     def fits(self, capacity: 'Resources') -> bool:
-        """Tell whether ``room`` is enough."""
+        """Return whether ``capacity`` has at least these resources."""
         return (
             self.millicores <= capacity.millicores
             and self.memory_mb <= capacity.memory_mb
@@ -46,21 +46,20 @@
         return self.millicores / _MILLICORES_PER_CORE
 
 
-#: Nothing at all.
 NO_RESOURCES = Resources(millicores=0, memory_mb=0, gpus=0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Step:
-    """Tasks of one job that are alike."""
+    """Tasks of one job with the same requirements."""
 
     count: int
     resources: Resources
 
-    #: The client's rough estimate of a task's run time, in seconds.
+    #: Rough estimate of a task's run time by the client, in seconds.
     estimate_s: float
 
-    #: Earlier steps whose tasks must all be done first.
+    #: Indices of earlier steps whose tasks must all be done first.
     after: tuple[int, ...] = ()
 
     #: Label that a worker must have, empty for none.
@@ -70,39 +69,39 @@
     #: takes longer.
     rack: str = ''
 
-    #: Most tasks of the step on one worker, 0 for any number.
+    #: Maximum number of the step's tasks on one worker, 0 for no limit.
     per_worker: int = 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Job:
-    """What a client asks for under one id."""
+    """A job as the client submitted it."""
 
     job_id: ids.JobId
 
-    #: What the tasks are to do; workers read it.
+    #: Description of the work, passed to the workers unchanged.
     payload: str
     steps: tuple[Step, ...]
 
-    #: True if it is answered once it is stored, and must survive all
-    #: processes; otherwise it is answered when it has ended.
+    #: True if the job is answered once it is stored and must survive the
+    #: failure of all processes; otherwise it is answered when it has ended.
     stored: bool = False
 
     @property
     def total_estimate_s(self) -> float:
-        """Return the client's estimate for the steps in a row, in seconds."""
+        """Return the estimated time of all steps in sequence, in seconds."""
         return sum(step.estimate_s for step in self.steps)
 
 
 class TaskResult(enum.Enum):
-    """What a coordinator is told of a task."""
+    """Result of a task, as a leader reports it to the coordinator."""
 
     DONE = 'done'
 
-    #: A run failed, and a sound worker was not the cause.
+    #: A run failed, and its worker is not suspected of causing failures.
     FAILED = 'failed'
 
-    #: The task cannot end in time any more and is given up.
+    #: The task can no longer end before the deadline and is given up.
     LATE = 'late'
 
     #: Another coordinator submitted the same job.
@@ -111,19 +110,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Completed:
-    """All tasks ended well."""
+    """All tasks succeeded."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Failed:
-    """A task failed as often as its route allows."""
+    """A task failed as many times as its route permits."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotRun:
-    """No task of the job was started, nor will one be."""
+    """No task of the job has started or will start."""
 
     detail: str
 
@@ -133,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GivenUp:
-    """Tasks may have run; the job does not go on."""
+    """The job was abandoned; some of its tasks may have run."""
 
     detail: str
 
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -1,7 +1,7 @@
-"""Tasks of one job that have not ended, and where each was sent.
+"""Tasks of one job that have not ended, and the leader that has each one.
 
-The side that answers for a job alone decides to send a task elsewhere, so
-that a task never has runs in two cells.
+Only the side that coordinates the job (coordinator or stored-job manager)
+moves a task to another shard, so that a task never has runs in two shards.
 """
 
 import dataclasses
@@ -12,23 +12,23 @@
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
 
-#: Step and index of a task.
+#: Index of the step, and index of the task within it.
 TaskKey = tuple[int, int]
 
 
 class Router(Protocol):
-    """Finds the owners of cells."""
+    """Finds the leaders of shards."""
 
     def default_shard(self) -> ids.ShardId | None:
-        """Return the cell that takes this VM's jobs, None if there is none."""
+        """Return the shard that this VM submits jobs to, None without one."""
 
     def leader(self, shard: ids.ShardId) -> link.Link | None:
-        """Return the link to a cell's owner."""
+        """Return the link to the leader of a shard, None without one."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaderLost:
-    """The link to a cell's owner is closed, or it gave the cell up."""
+    """The link to a shard's leader closed, or it gave up the shard."""
 
     shard: ids.ShardId
     former_leader: link.Link
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaderFound:
-    """A cell has an owner."""
+    """A shard has a leader."""
 
     shard: ids.ShardId
 
@@ -49,41 +49,40 @@
     index: int
     shard: ids.ShardId
 
-    #: Number of its next run.
+    #: Number of the next run.
     next_run: int = 1
 
-    #: Runs that failed by the task's own fault.
+    #: Runs that failed because of the task itself, not of the worker.
     failures: int = 0
 
-    #: True once it was sent to another cell than its first.
+    #: True if the task was moved from its initial shard.
     was_moved: bool = False
 
-    #: True while its new cell is not stored yet.
+    #: True until the move to another shard has been stored.
     is_moving: bool = False
 
-    #: Owner that has the task, None while it has none.
+    #: Link to the leader that has the task, None while it is unassigned.
     leader: link.Link | None = None
 
-    #: True if an owner that was lost may have ordered it.
+    #: True if a former leader may have started the task.
     resumed: bool = False
 
     @property
     def key(self) -> TaskKey:
-        """Return the step and the index."""
+        """Return the indices of the step and of the task."""
         return self.step, self.index
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class JobTimes:
-    """When a job came and until when it is wanted."""
+    """Arrival time and deadline of a job, in seconds of the local clock."""
 
-    #: Local times, in seconds.
     arrived_at: float
     deadline: float
 
 
 class OpenTasks:
-    """Sends tasks to the owners of cells, and knows which have them."""
+    """Submits tasks to the leaders of shards and tracks who has them."""
 
     def __init__(
         self,
@@ -111,49 +110,50 @@
         return list(self._open.values())
 
     def get(self, key: TaskKey) -> OpenTask | None:
-        """Return an open task."""
+        """Return an open task, None if the task is not open."""
         return self._open.get(key)
 
     def add(self, tasks: Iterable[OpenTask]) -> None:
-        """Open tasks; ``send`` submits them."""
+        """Add open tasks without submitting them; ``send`` does that."""
         self._open.update({task.key: task for task in tasks})
 
     def close(self, key: TaskKey) -> bool:
-        """Close a task; tell whether its step has no other open task."""
+        """Remove a task; return whether its step has no open task now."""
         self._open.pop(key)
         return not any(step == key[0] for step, _ in self._open)
 
     def in_shard(
         self, step: int, indices: Iterable[int], shard: ids.ShardId
     ) -> list[OpenTask]:
-        """Return the open tasks among ``indices`` that are in a cell."""
-        found = [self._open.get((step, index)) for index in indices]
+        """Return the open tasks among ``indices`` that are in a shard."""
+        tasks = [self._open.get((step, index)) for index in indices]
         return [
-            task for task in found if task is not None and task.shard == shard
+            task for task in tasks if task is not None and task.shard == shard
         ]
 
     def has_unassigned(self) -> bool:
-        """Tell whether a task has no owner."""
+        """Return whether a task has no leader."""
         return any(task.leader is None for task in self._open.values())
 
     def send(
         self, tasks: Sequence[OpenTask], *, firm: bool, begun: bool
     ) -> None:
-        """Submit tasks of one step to their cell.
+        """Submit tasks of one step to the leader of their shard.
 
-        They may not be sent on to another cell if ``firm``; other tasks of
-        the job may have started if ``begun``.
+        If ``firm``, the leader must not suggest another shard for them. If
+        ``begun``, other tasks of the job may have started. Without a leader
+        the tasks stay unassigned.
         """
         now = self._clock.now()
         first = tasks[0]
         step = self.job.steps[first.step]
-        source = self._router.leader(first.shard)
-        for stranded in tasks:
-            stranded.leader = None
-        if source is None:
+        leader = self._router.leader(first.shard)
+        for unassigned in tasks:
+            unassigned.leader = None
+        if leader is None:
             return
         resumed = any(task.resumed for task in tasks)
-        sent = source.send(
+        sent = leader.send(
             messages.Submit(
                 shard=first.shard,
                 job=self.job.job_id,
@@ -175,19 +175,19 @@
                 stretch=float(self.route.stretch),
                 slack_s=float(self.route.slack_s),
                 resumed=resumed,
-                begun=begun or self._has_others(tasks),
+                begun=begun or self._has_other_assigned(tasks),
                 firm=firm,
                 stored=self.job.stored,
             )
         )
         if sent:
             for submitted in tasks:
-                submitted.leader = source
+                submitted.leader = leader
 
     def move(
         self, tasks: Sequence[OpenTask], shard: ids.ShardId, *, begun: bool
     ) -> None:
-        """Send tasks to another cell, which may not send them on."""
+        """Submit tasks to another shard, whose leader must not move them."""
         for task in tasks:
             task.shard = shard
             task.was_moved = True
@@ -195,19 +195,22 @@
         self.send(tasks, firm=True, begun=begun)
 
     def unassign(self, lost: LeaderLost) -> list[OpenTask]:
-        """Note that an owner is lost; return the tasks that it had."""
-        stranded = [
+        """Return the tasks of a lost leader, which are unassigned now.
+
+        They are submitted as resumed next time, as they may have started.
+        """
+        unassigned = [
             task
             for task in self._open.values()
             if task.shard == lost.shard and task.leader is lost.former_leader
         ]
-        for waiting in stranded:
-            waiting.leader = None
-            waiting.resumed = True
-        return stranded
+        for task in unassigned:
+            task.leader = None
+            task.resumed = True
+        return unassigned
 
     def resume(self, shard: ids.ShardId, *, begun: bool) -> None:
-        """Ask a cell's new owner for the tasks that the former one had."""
+        """Submit the unassigned tasks of a shard to its new leader."""
         by_step: dict[int, list[OpenTask]] = {}
         for task in self._open.values():
             if task.shard == shard and not task.leader and not task.is_moving:
@@ -216,30 +219,32 @@
             self.send(tasks, firm=True, begun=begun)
 
     def withdraw(self) -> None:
-        """Tell the owners that nothing more is wanted."""
-        places = {
+        """Withdraw the job from all leaders and drop its open tasks."""
+        destinations = {
             (task.shard, task.leader)
             for task in self._open.values()
             if task.leader is not None
         }
-        for shard, source in places:
-            if source is not None:
-                source.send(messages.Withdraw(shard=shard, job=self.job.job_id))
+        for shard, leader in destinations:
+            if leader is not None:
+                leader.send(messages.Withdraw(shard=shard, job=self.job.job_id))
         self._open.clear()
 
-    def _has_others(self, tasks: Sequence[OpenTask]) -> bool:
-        """Tell whether an owner has tasks other than these."""
-        these = {task.key for task in tasks}
+    def _has_other_assigned(self, tasks: Sequence[OpenTask]) -> bool:
+        """Return whether a task other than these has a leader."""
+        excluded_keys = {task.key for task in tasks}
         return any(
             task.leader is not None
             for key, task in self._open.items()
-            if key not in these
+            if key not in excluded_keys
         )
 
 
-def new_tasks(job: jobs.Job, number: int, shard: ids.ShardId) -> list[OpenTask]:
-    """Return the tasks of a step as they are before their first run."""
+def new_tasks(
+    job: jobs.Job, step_index: int, shard: ids.ShardId
+) -> list[OpenTask]:
+    """Return the tasks of a step before their first run."""
     return [
-        OpenTask(step=number, index=index, shard=shard)
-        for index in range(job.steps[number].count)
+        OpenTask(step=step_index, index=index, shard=shard)
+        for index in range(job.steps[step_index].count)
     ]
