--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -1,4 +1,4 @@
-"""The cells that this process owns: how it wins, keeps and passes them on."""
+"""Shards that this process leads: claims, takeovers and handovers."""
 
 import asyncio
 import dataclasses
@@ -13,12 +13,12 @@
 from sardineproxy.process.membership import links
 from sardineproxy.process.node import claiming
 
-#: Age of the link to a VM of another zone after which its cell is given back,
-#: in seconds.
+#: Age of the link to a VM of another zone after which the shard of that zone
+#: is returned to it, in seconds. Also the interval between two requests.
 RETURN_AFTER_S = 1.0
 
-#: Workers that are asked before another zone's cell is claimed, and the
-#: longest wait for their answers, in seconds.
+#: Number of workers probed before another zone's shard is claimed, and the
+#: timeout of a probe, in seconds.
 PROBE_SAMPLE_SIZE = 3
 PROBE_TIMEOUT_S = 0.2
 
@@ -26,42 +26,42 @@
 
 
 class Surroundings(shards.Surroundings, Protocol):
-    """What the holdings need to know, and who hears of their changes."""
+    """Process-wide state that led shards read, and callbacks for changes."""
 
     @property
     def home_shard(self) -> ids.ShardId:
-        """Return the cell of this VM's zone."""
+        """Return the shard of this VM's zone."""
 
     @property
     def all_shards(self) -> Iterable[ids.ShardId]:
-        """Return all cells of the deployment."""
+        """Return all shards of the deployment."""
 
     @property
     def rooms(self) -> rooms.Rooms:
-        """Return how much room other cells have."""
+        """Return the free capacities of other shards."""
 
     def leader_of(self, shard: ids.ShardId) -> ids.VmId | None:
-        """Return which VM owns a cell."""
+        """Return the VM that leads a shard, None if there is none."""
 
     def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
-        """Return the listed workers of a cell."""
+        """Return the listed workers of a shard."""
 
     def is_worker_list_complete(self) -> bool:
-        """Tell whether no worker can be missing from the list."""
+        """Return whether the list is certain to contain every worker."""
 
     def is_isolated(self) -> bool:
-        """Tell whether no other VM of several is in reach."""
+        """Return whether other VMs exist but none is connected."""
 
     def shard_gained(self, shard: ids.ShardId) -> None:
-        """Tell others that this process owns a cell."""
+        """Announce that this process leads a shard."""
 
     def shard_lost(self, shard: ids.ShardId) -> None:
-        """Tell others that this process no longer owns a cell."""
+        """Announce that this process no longer leads a shard."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ShardDependencies:
-    """What each owned cell is built from."""
+    """Dependencies of the shard leaders."""
 
     api: workers.WorkerApi
     clock: clock.Clock
@@ -73,7 +73,7 @@
 
 
 class LedShards:  # noqa: WPS214
-    """Owned cells and the claims that are under way."""
+    """Shards led by this process, and claims in progress."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         job_service: job_service.JobService,
         tasks: background.Tasks,
     ) -> None:
-        """Start without cells."""
+        """Create an instance without shards."""
         self._dependencies = dependencies
         self._job_service = job_service
         self._claims = claims
@@ -98,88 +98,88 @@
 
     async def close(self) -> None:
         """Stop all calls to workers."""
-        for owned in self.shards.values():
-            await owned.close()
+        for leader in self.shards.values():
+            await leader.close()
 
     def tick(self, now: float, *, may_claim: bool) -> None:
-        """Claim, refresh and give back cells, and do what is due in them."""
+        """Claim, refresh and return shards, and run their periodic work."""
         if may_claim:
             self._claim_and_return(now)
-        for owned in list(self.shards.values()):
-            owned.tick(now)
+        for leader in list(self.shards.values()):
+            leader.tick(now)
 
     def offers(self, now: float) -> tuple[messages.Offer, ...]:
-        """Return what other VMs are told of the owned cells."""
+        """Return the status of every led shard, for the heartbeat."""
         return tuple(
             (
-                owned.shard,
-                owned.right.epoch,
-                owned.right.rank,
-                owned.free_tasks(now),
-                self._job_service.managers[owned.shard].is_loaded,
+                leader.shard,
+                leader.right.epoch,
+                leader.right.rank,
+                leader.free_tasks(now),
+                self._job_service.managers[leader.shard].is_loaded,
             )
-            for owned in self.shards.values()
+            for leader in self.shards.values()
         )
 
-    def rights(self) -> dict[ids.ShardId, fences.Right]:
-        """Return the rights of the owned cells."""
-        return {shard: owned.right for shard, owned in self.shards.items()}
+    def tokens(self) -> dict[ids.ShardId, fences.Right]:
+        """Return the fencing tokens of the led shards."""
+        return {shard: leader.right for shard, leader in self.shards.items()}
 
     def submit(
-        self, source: link.Link, asked: messages.Submit, now: float
+        self, source: link.Link, message: messages.Submit, now: float
     ) -> None:
-        """Hand tasks to their cell, if it is owned."""
-        owned = self.shards.get(asked.shard)
-        if owned is None:
-            source.send(messages.Disowned(shard=asked.shard))
+        """Submit tasks to their shard, or reply that it is not led here."""
+        leader = self.shards.get(message.shard)
+        if leader is None:
+            source.send(messages.Disowned(shard=message.shard))
         else:
-            owned.submit(source, asked, now)
+            leader.submit(source, message, now)
 
     def withdraw(
         self, source: link.Link, shard: ids.ShardId, job: ids.JobId
     ) -> None:
-        """Drop a job's tasks in a cell, if it is owned."""
-        owned = self.shards.get(shard)
-        if owned is not None:
-            owned.withdraw(source, job)
+        """Withdraw a job's tasks from a shard, if it is led here."""
+        leader = self.shards.get(shard)
+        if leader is not None:
+            leader.withdraw(source, job)
 
-    def acknowledge_results(self, noted: messages.EndsNoted) -> None:
-        """Let workers forget ends that are stored."""
-        owned = self.shards.get(noted.shard)
-        if owned is not None:
-            owned.note_ends(noted)
+    def acknowledge_results(self, message: messages.EndsNoted) -> None:
+        """Acknowledge stored results to the workers, which then drop them."""
+        leader = self.shards.get(message.shard)
+        if leader is not None:
+            leader.note_ends(message)
 
     def link_lost(self, lost: link.Link, now: float) -> None:
-        """Tell all cells that a coordinator's link is lost."""
-        for owned in self.shards.values():
-            owned.link_lost(lost, now)
+        """Notify all led shards that the link to a coordinator was lost."""
+        for leader in self.shards.values():
+            leader.link_lost(lost, now)
 
-    def mark_all_unconfirmed(self, why: str) -> None:
-        """Order nothing from a worker until it has reported anew."""
-        for owned in self.shards.values():
-            owned.doubt_all(why)
+    def mark_all_unconfirmed(self, cause: str) -> None:
+        """Send no orders to a worker until its next report."""
+        for leader in self.shards.values():
+            leader.doubt_all(cause)
 
     def update_workers(self) -> None:
-        """Hand the newest list of workers to all cells."""
-        for owned in self.shards.values():
-            self._update_workers(owned)
+        """Apply the current list of workers to all led shards."""
+        for leader in self.shards.values():
+            self._update_workers(leader)
 
     def start_claim(self, shard: ids.ShardId) -> None:
-        """Claim a cell unless that is under way."""
+        """Start claiming a shard unless a claim is in progress."""
         if shard not in self._claims_in_progress:
             self._claims_in_progress.add(shard)
             self._tasks.spawn(self._claim(shard))
 
-    def lead(self, shard: ids.ShardId, right: fences.Right) -> None:
-        """Own a cell from now on."""
-        former = self.shards.get(shard)
-        if former is not None:
-            if right > former.right:
-                former.renew(right)
+    def lead(self, shard: ids.ShardId, token: fences.Right) -> None:
+        """Start to lead a shard, or renew the token if it is led already."""
+        existing = self.shards.get(shard)
+        if existing is not None:
+            if token > existing.right:
+                existing.renew(token)
             return
-        owned = shards.ShardLeader(
+        leader = shards.ShardLeader(
             shard=shard,
-            right=right,
+            right=token,
             api=self._dependencies.api,
             clock=self._dependencies.clock,
             metrics=self._dependencies.metrics,
@@ -188,18 +188,18 @@
             around=self._around,
             cfg=self._dependencies.cfg,
         )
-        self.shards[shard] = owned
+        self.shards[shard] = leader
         self._job_service.add_manager(
-            self._dependencies.new_job_manager(shard, right)
+            self._dependencies.new_job_manager(shard, token)
         )
-        self._update_workers(owned)
+        self._update_workers(leader)
         self._around.shard_gained(shard)
 
     def give_up(self, shard: ids.ShardId, cause: str) -> None:
-        """Give up a cell at once."""
+        """Stop leading a shard immediately."""
         lost = self.shards.pop(shard)
         _LOG.warning(
-            'Cell lost.',
+            'Shard leadership lost.',
             extra={
                 'cell': shard,
                 'epoch': lost.right.epoch,
@@ -212,18 +212,18 @@
         self._around.shard_lost(shard)
 
     def superseded(self, lost: shards.ShardLeader) -> None:
-        """Give up a cell that another process has taken over."""
+        """Give up a shard that another process has taken over."""
         if self.shards.get(lost.shard) is lost:
-            self.give_up(lost.shard, 'a worker knows a newer owner')
+            self.give_up(lost.shard, 'a worker has seen a newer leader')
 
     def hand_over(self) -> None:
-        """Ask other VMs to take all cells."""
+        """Request that other VMs take over all led shards."""
         for shard in self.shards:
             self._hand_over(shard)
 
-    def _update_workers(self, owned: shards.ShardLeader) -> None:
-        owned.set_workers(
-            self._around.workers_of(owned.shard),
+    def _update_workers(self, leader: shards.ShardLeader) -> None:
+        leader.set_workers(
+            self._around.workers_of(leader.shard),
             complete=self._around.is_worker_list_complete(),
         )
 
@@ -240,16 +240,16 @@
                 self.start_claim(shard)
 
     def _refresh(self, now: float) -> None:
-        """Write the rows of own cells anew where that is due."""
+        """Rewrite outdated claim rows of led shards."""
         isolated = self._around.is_isolated()
-        for shard, owned in self.shards.items():
+        for shard, leader in self.shards.items():
             if self._claims.needs_refresh(
-                shard, owned.right, isolated=isolated, now=now
+                shard, leader.right, isolated=isolated, now=now
             ):
                 self.start_claim(shard)
 
     def _return_shards(self, now: float) -> None:
-        """Give cells of other zones back to VMs of those zones."""
+        """Return shards of other zones to VMs of those zones."""
         for shard in self.shards:
             if shard == self._around.home_shard:
                 continue
@@ -261,11 +261,17 @@
     def _stable_successor(
         self, shard: ids.ShardId, now: float
     ) -> link.Link | None:
-        """Return the link to an heir that has been in reach for a while."""
+        """Return the link to a successor that has been connected for a while.
+
+        Connected means for more than ``RETURN_AFTER_S``.
+        """
         for vm, _ in self._claims.successors(shard):
-            found = self._links.get(vm)
-            if found is not None and now - found.opened_at > RETURN_AFTER_S:
-                return found
+            successor = self._links.get(vm)
+            if (
+                successor is not None
+                and now - successor.opened_at > RETURN_AFTER_S
+            ):
+                return successor
         return None
 
     async def _claim(self, shard: ids.ShardId) -> None:
@@ -280,31 +286,31 @@
             self._claims_in_progress.discard(shard)
 
     async def _may_claim(self, shard: ids.ShardId) -> bool:
-        """Tell whether another zone's cell may be claimed.
+        """Return whether another zone's shard may be claimed.
 
-        If its workers cannot be reached, this VM and not the cell's owner may
-        be cut off.
+        If most of its workers are unreachable, this VM rather than the
+        shard's leader may be cut off from the network.
         """
         self._claims.postpone(shard, self._dependencies.clock.now())
-        asked = self._around.workers_of(shard)[:PROBE_SAMPLE_SIZE]
-        answers = await asyncio.gather(*map(self._probe, asked))
+        probed = self._around.workers_of(shard)[:PROBE_SAMPLE_SIZE]
+        answers = await asyncio.gather(*map(self._probe, probed))
         reached = sum(
             not isinstance(answer, workers.Unanswered) for answer in answers
         )
         _LOG.info(
-            'Workers asked.',
-            extra={'cell': shard, 'asked': len(asked), 'reached': reached},
+            'Workers of an unled shard probed.',
+            extra={'cell': shard, 'asked': len(probed), 'reached': reached},
         )
         return self._claims.record_probe(
             shard,
-            reached=reached * 2 > len(asked),
+            reached=reached * 2 > len(probed),
             now=self._dependencies.clock.now(),
         )
 
     async def _probe(
         self, worker: workers.Worker
     ) -> workers.Report | workers.Refused | workers.Unanswered:
-        """Look at a worker without any effect on it."""
+        """Poll a worker without side effects: no acks, no lease extension."""
         return await self._dependencies.api.look(
             worker,
             workers.Look(fence=0, acked=0, expires_ms=None, wait_s=0),
@@ -315,6 +321,8 @@
         for vm, _ in self._claims.successors(shard):
             successor = self._links.get(vm)
             if successor is not None:
-                _LOG.info('Cell handed over.', extra={'cell': shard, 'to': vm})
+                _LOG.info(
+                    'Shard handover requested.', extra={'cell': shard, 'to': vm}
+                )
                 successor.send(messages.TakeOver(shard=shard))
                 return
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -441,7 +441,7 @@
                 self.led_shards.start_claim(shard)
 
     def _choose_leaders(self) -> None:
-        change = self.leaders.choose(self.led_shards.rights())
+        change = self.leaders.choose(self.led_shards.tokens())
         for shard, vm in change.lost.items():
             # Each loss leads to a new choice, which may have lost them all.
             if shard in self.led_shards.shards:
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -1,4 +1,4 @@
-"""Which VM claims a cell, and when."""
+"""Which VM claims a shard, and when."""
 
 from typing import Any, Callable, Coroutine
 
@@ -12,7 +12,7 @@
 from tests.process.node import samples
 
 SHARD = ids.ShardId('z')
-NOBODY: frozenset[ids.VmId] = frozenset()
+NO_VMS: frozenset[ids.VmId] = frozenset()
 
 
 def make_member(name: str, zone: str = 'z', cores: float = 1) -> Any:
@@ -26,19 +26,19 @@
 
 
 class Rig:
-    """The claims of one VM, and the store that it shares with others."""
+    """The shard claimer of one VM, and the store shared with other VMs."""
 
     def __init__(
         self, me: registry.Member, shared: samples.MemoryStore | None = None
     ) -> None:
         self.store = shared or samples.MemoryStore()
         self.directory = registry.Registry()
-        self.rights: list[fences.Right] = []
-        self.claims = claiming.ShardClaimer(
+        self.tokens: list[fences.Right] = []
+        self.claimer = claiming.ShardClaimer(
             store=self.store,
             directory=self.directory,
             me=me,
-            on_token=lambda _, right: self.rights.append(right),
+            on_token=lambda _, token: self.tokens.append(token),
         )
         self.join(me)
 
@@ -52,54 +52,54 @@
         self.directory.apply(self.store.rows.read(registry.TABLE).rows)
 
     def should_claim(self, now: float, **changes: Any) -> bool:
-        return self.claims.should_claim(
+        return self.claimer.should_claim(
             SHARD,
             leader=changes.get('leader'),
-            in_reach=changes.get('in_reach', NOBODY),
+            in_reach=changes.get('in_reach', NO_VMS),
             now=1000 + now,
         )
 
     def needs_refresh(self, now: float, *, isolated: bool = False) -> bool:
-        return self.claims.needs_refresh(
-            SHARD, self.rights[-1], isolated=isolated, now=1000 + now
+        return self.claimer.needs_refresh(
+            SHARD, self.tokens[-1], isolated=isolated, now=1000 + now
         )
 
     async def claim(self, now: float = 0) -> None:
-        await self.claims.claim(SHARD, 1000 + now)
+        await self.claimer.claim(SHARD, 1000 + now)
 
 
 def run(scenario: Callable[[], Coroutine[Any, Any, None]]) -> None:
     virtual_time.run(scenario)
 
 
-class TestDue(testtools.TestCase):
+class TestShouldClaim(testtools.TestCase):
     def test_largest_vm_of_the_zone_claims_first(self) -> None:
-        """Guards against all VMs of a zone claiming at once."""
+        """Guards against all VMs of a zone claiming simultaneously."""
         small = Rig(make_member('small'))
         small.join(make_member('large', cores=2))
-        reach = frozenset((ids.VmId('large'),))
-        self.assertFalse(small.should_claim(0, in_reach=reach))
-        self.assertFalse(small.should_claim(0.6, in_reach=reach))
-        self.assertTrue(small.should_claim(0.8, in_reach=reach))
+        connected = frozenset((ids.VmId('large'),))
+        self.assertFalse(small.should_claim(0, in_reach=connected))
+        self.assertFalse(small.should_claim(0.6, in_reach=connected))
+        self.assertTrue(small.should_claim(0.8, in_reach=connected))
 
     def test_shard_with_a_leader_is_not_claimed(self) -> None:
-        """Guards against cells that move for no reason."""
+        """Guards against a change of leader without a failure."""
         rig = Rig(make_member('a'))
         self.assertFalse(rig.should_claim(0))
         self.assertFalse(rig.should_claim(60, leader=ids.VmId('b')))
         self.assertFalse(rig.should_claim(60.01))
 
     def test_other_zone_waits_while_the_zone_has_vms(self) -> None:
-        """Guards against a zone's cell taken while its VMs can have it."""
+        """Guards against a claim by another zone before the zone's own VMs."""
         rig = Rig(make_member('a', zone='other'))
         rig.join(make_member('b'))
-        reach = frozenset((ids.VmId('b'),))
-        self.assertFalse(rig.should_claim(0, in_reach=reach))
-        self.assertFalse(rig.should_claim(60, in_reach=reach))
+        connected = frozenset((ids.VmId('b'),))
+        self.assertFalse(rig.should_claim(0, in_reach=connected))
+        self.assertFalse(rig.should_claim(60, in_reach=connected))
         self.assertTrue(rig.should_claim(61))
 
-    def test_sign_of_life_restarts_the_wait(self) -> None:
-        """Guards against the loss of an owner that is only cut off."""
+    def test_rewritten_claim_row_restarts_the_delay(self) -> None:
+        """Guards against replacing a leader that is alive but not linked."""
 
         async def scenario() -> None:
             leader = Rig(make_member('b'))
@@ -112,42 +112,42 @@
 
         run(scenario)
 
-    def test_workers_must_be_in_reach_for_a_while(self) -> None:
-        """Guards against claims by the side that is cut off."""
-        claims = Rig(make_member('a')).claims
-        self.assertFalse(claims.record_probe(SHARD, reached=True, now=0))
-        self.assertFalse(claims.record_probe(SHARD, reached=False, now=0.5))
-        self.assertFalse(claims.record_probe(SHARD, reached=True, now=1))
-        self.assertTrue(claims.record_probe(SHARD, reached=True, now=1.9))
+    def test_workers_must_be_reachable_for_the_whole_delay(self) -> None:
+        """Guards against claims by the isolated side of a partition."""
+        claimer = Rig(make_member('a')).claimer
+        self.assertFalse(claimer.record_probe(SHARD, reached=True, now=0))
+        self.assertFalse(claimer.record_probe(SHARD, reached=False, now=0.5))
+        self.assertFalse(claimer.record_probe(SHARD, reached=True, now=1))
+        self.assertTrue(claimer.record_probe(SHARD, reached=True, now=1.9))
 
 
 class TestClaim(testtools.TestCase):
     def test_each_claim_has_a_higher_epoch(self) -> None:
-        """Guards against a fence that does not rise."""
+        """Guards against fencing tokens that do not increase."""
 
         async def scenario() -> None:
             first = Rig(make_member('a'))
             await first.claim()
             second = Rig(make_member('b'), first.store)
             await second.claim()
-            self.assertTrue(first.rights[0] < second.rights[0])
+            self.assertTrue(first.tokens[0] < second.tokens[0])
 
         run(scenario)
 
-    def test_claim_by_an_old_row_fails(self) -> None:
-        """Guards against two owners of one epoch."""
+    def test_claim_based_on_an_outdated_row_fails(self) -> None:
+        """Guards against two leaders with the same epoch."""
 
         async def scenario() -> None:
             first = Rig(make_member('a'))
             second = Rig(make_member('b'), first.store)
             await first.claim()
             await second.claim()
-            self.assertEqual([], second.rights)
+            self.assertEqual([], second.tokens)
 
         run(scenario)
 
     def test_successor_takes_over_while_the_store_is_unavailable(self) -> None:
-        """Guards against a zone without work during an outage."""
+        """Guards against an idle zone when its leader fails in an outage."""
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
@@ -156,12 +156,12 @@
             successor = Rig(make_member('b'), rig.store)
             successor.store.is_down = True
             await successor.claim()
-            self.assertEqual([fences.Right(epoch=1, rank=1)], successor.rights)
+            self.assertEqual([fences.Right(epoch=1, rank=1)], successor.tokens)
 
         run(scenario)
 
     def test_restarted_successor_does_not_take_over(self) -> None:
-        """Guards against a rank that two processes of one VM use."""
+        """Guards against two processes of one VM that use the same rank."""
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
@@ -170,14 +170,14 @@
             successor = Rig(make_member('c'), rig.store)
             successor.store.is_down = True
             await successor.claim()
-            self.assertEqual([], successor.rights)
+            self.assertEqual([], successor.tokens)
 
         run(scenario)
 
 
 class TestRefresh(testtools.TestCase):
     def test_row_is_rewritten_when_the_successors_change(self) -> None:
-        """Guards against heirs that are gone when they are needed."""
+        """Guards against a claim whose successors have all left."""
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
@@ -190,7 +190,7 @@
         run(scenario)
 
     def test_isolated_leader_shows_that_it_is_alive(self) -> None:
-        """Guards against a claim by another zone on a living owner."""
+        """Guards against a claim by another zone while the leader is alive."""
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
