--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the entry program, apart from its execution."""
+"""Command line of the entry program."""
 
 import dataclasses
 import pathlib
@@ -20,11 +20,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Arguments:
-    """Checked arguments of the entry program."""
+    """Validated arguments of the entry program."""
 
     settings: pathlib.Path
 
-    #: Only check the settings and end.
+    #: Validate the settings and exit.
     check: bool
 
 
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -1,4 +1,4 @@
-"""Builds the parts of an entry process and connects them."""
+"""Builds and connects the components of an entry process."""
 
 import asyncio
 import dataclasses
@@ -26,16 +26,17 @@
 from sardineproxy.request import forwarding, retries, runner, submissions
 from sardineproxy.version import follower, versions
 
-#: Bytes of the secret that signs this process's idempotency keys.
+#: Length in bytes of the secret that signs idempotency keys.
 SECRET_BYTES = 32
 
-#: Bytes of an incarnation; 64 bits make a repeat across restarts unlikely.
+#: Length in bytes of an incarnation id; 64 random bits make a collision
+#: across restarts unlikely.
 INCARNATION_BYTES = 8
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Dependencies:
-    """What the outside world provides, replaced by tests."""
+    """External dependencies of an entry process, replaceable in tests."""
 
     clock: clock.Clock
     rng: random.Random
@@ -51,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Components:
-    """All parts of one entry process."""
+    """Components of one entry process."""
 
     incarnation: ids.Incarnation
     metrics: metrics.Metrics
@@ -66,10 +67,10 @@
 
 
 class _DeferredForwarder:
-    """Forwarder that is set after its users are built.
+    """Forwarder whose target is set after construction.
 
-    Submissions forward through the peers, and the peers hand forwarded
-    payloads to the submissions.
+    It breaks a dependency cycle: submissions forward through the peers, and
+    the peers pass forwarded payloads to the submissions.
     """
 
     def __init__(self) -> None:
@@ -83,7 +84,7 @@
         payload: bytes,
         deadline: float,
     ) -> forwarding.Reply:
-        """Forward through the peers."""
+        """Forward a payload through the target."""
         assert self.target is not None
         return await self.target.forward(
             vm=vm, incarnation=incarnation, payload=payload, deadline=deadline
@@ -96,7 +97,7 @@
     session: aiohttp.ClientSession,
     registry: metrics.Metrics,
 ) -> platform.Platform:
-    """Return the client of the platform that the settings name."""
+    """Return a client of the platform configured in the settings."""
     return platform_http.HttpPlatform(
         session=session,
         host=cfg.platform.host,
@@ -106,7 +107,7 @@
 
 
 def build(*, cfg: settings.Settings, dependencies: Dependencies) -> Components:
-    """Build all parts; nothing runs and no port is open yet."""
+    """Build all components without starting them or opening a port."""
     incarnation = ids.Incarnation(secrets.token_hex(INCARNATION_BYTES))
     registry = dependencies.registry
     vm_directory = directory.VmDirectory(seeds=_seeds(cfg))
@@ -225,7 +226,7 @@
 
 
 def _subscribe(components: Components) -> None:
-    """Subscribe each part to what it follows."""
+    """Connect the events of components to their subscribers."""
     components.versions.in_force.subscribe(
         lambda version: _apply_version(components, version)
     )
--- a/sardineproxy/process/config_exchange.py
+++ b/sardineproxy/process/config_exchange.py
@@ -1,43 +1,43 @@
-"""Exchange of configuration changes and listings between peers."""
+"""Exchange of configuration versions and VM lists between peers."""
 
 import random
 from typing import Iterable, Protocol
 
 from sardineproxy.connection import frames, peer
 
-#: Shortest time between two fetches, in seconds. It doubles up to the longest
-#: while fetches bring nothing newer.
+#: Bounds of the interval between two fetches, in seconds. The interval doubles
+#: while fetches return nothing newer.
 FETCH_MIN_S = 0.5
 FETCH_MAX_S = 8
 
 
 class Gossip(Protocol):
-    """What this process knows and takes from its peers."""
+    """Configuration and VM list of this process, updated by its peers."""
 
     def version_number(self) -> int:
         """Return the number of the version in force, 0 if none."""
 
     def changes_since(self, number: int) -> bytes | None:
-        """Return the changes after version ``number``, None if unknown."""
+        """Return the changes after version ``number``, None if not kept."""
 
     def offer_changes(self, payload: bytes) -> None:
-        """Take changes that a peer sent."""
+        """Apply configuration changes that a peer sent."""
 
     def listing_revision(self) -> int:
-        """Return the revision of the list of VMs in use."""
+        """Return the revision of the current VM list."""
 
     def listing(self) -> bytes:
-        """Return the list of VMs in use."""
+        """Return the current VM list, encoded."""
 
     def offer_listing(self, payload: bytes) -> None:
-        """Take a list of VMs that a peer sent."""
+        """Apply a VM list that a peer sent, if it is newer."""
 
 
 class ConfigExchange:
-    """Announces what is new here and fetches what is newer elsewhere."""
+    """Announces local updates and fetches newer data from peers."""
 
     def __init__(self, *, gossip: Gossip, rng: random.Random) -> None:
-        """Start with nothing announced."""
+        """Create an exchange that has announced nothing."""
         self._gossip = gossip
         self._rng = rng
         self._announced = (0, 0)
@@ -45,11 +45,11 @@
         self._interval_s: float = FETCH_MIN_S
 
     def local_versions(self) -> tuple[int, int]:
-        """Return the version number and the listing's revision here."""
+        """Return the local version number and VM list revision."""
         return self._gossip.version_number(), self._gossip.listing_revision()
 
     def tick(self, streams: Iterable[peer.Stream], now: float) -> None:
-        """Announce a rise, and fetch if a peer has something newer."""
+        """Announce a local update, and fetch if a peer has newer data."""
         version, revision = self.local_versions()
         if self._announced != (version, revision):
             self._announced = (version, revision)
@@ -74,7 +74,7 @@
             )
 
     def answer(self, fetch: frames.ConfigFetch) -> frames.ConfigChanges:
-        """Return what is newer here than the peer has."""
+        """Return the data that is newer than the peer's."""
         version, revision = self.local_versions()
         changes = None
         if version > fetch.version:
@@ -87,7 +87,7 @@
         )
 
     def apply(self, changes: frames.ConfigChanges) -> None:
-        """Offer what a peer sent to the keepers of versions and listings."""
+        """Apply the configuration changes and the VM list that a peer sent."""
         if changes.changes is not None:
             self._gossip.offer_changes(changes.changes)
         if changes.listing is not None:
--- a/sardineproxy/process/core.py
+++ b/sardineproxy/process/core.py
@@ -1,4 +1,4 @@
-"""One run of the entry program, from arguments to exit status."""
+"""Main function of the entry program."""
 
 import asyncio
 import signal
@@ -13,7 +13,7 @@
 
 
 def main(argv: list[str]) -> exit_status.ExitStatus:
-    """Check arguments and settings, then serve until SIGTERM or SIGINT."""
+    """Validate arguments and settings; serve until SIGTERM or SIGINT."""
     parsed = cli.parse(argv)
     if isinstance(parsed, result.Err):
         return _fail(parsed.err_value, status=_STATUS.USAGE)
--- a/sardineproxy/process/directory.py
+++ b/sardineproxy/process/directory.py
@@ -1,4 +1,4 @@
-"""The newest list of live and leaving VMs that this process knows."""
+"""Directory of live and leaving VMs."""
 
 from typing import Mapping
 
@@ -10,10 +10,10 @@
 
 
 class VmDirectory:
-    """Keeps the newest list; an older revision never replaces it."""
+    """Holds the newest VM list; older revisions are ignored."""
 
     def __init__(self, *, seeds: tuple[platform.Vm, ...] = ()) -> None:
-        """Start with a list of revision 0 that holds only ``seeds``."""
+        """Create a directory with a list of ``seeds`` at revision 0."""
         self._listing = subject.BehaviorSubject(
             platform.VmList(revision=0, vms=seeds)
         )
@@ -22,7 +22,7 @@
 
     @property
     def listing(self) -> reactivex.Observable[platform.VmList]:
-        """Return the stream of lists, the newest one first."""
+        """Return an observable of the newest list and all later ones."""
         return self._listing
 
     @property
@@ -31,7 +31,7 @@
         return self._listing.value
 
     def offer(self, vm_list: platform.VmList) -> bool:
-        """Take the list if it is newer; tell whether it was."""
+        """Use the list if it is newer; return whether it was."""
         if vm_list.revision <= self.newest.revision:
             return False
         self._entry_vms = tuple(
@@ -46,7 +46,7 @@
         return True
 
     def endpoint(self, endpoint: ids.EndpointId) -> platform.Vm | None:
-        """Return the endpoint's entry in the newest list."""
+        """Return the endpoint in the newest list, None if not listed."""
         return self._endpoints.get(endpoint)
 
     def endpoints(self) -> tuple[platform.Vm, ...]:
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -1,4 +1,4 @@
-"""Life of an entry process: start, readiness, state dump, shutdown."""
+"""Lifecycle of an entry process: start, readiness, state dump, shutdown."""
 
 import asyncio
 import resource
@@ -14,12 +14,12 @@
 
 _LOG = logs.get_logger('entry')
 
-#: Listeners that are open, by name.
+#: Ports of the open listeners by listener name.
 Ports = Mapping[str, int]
 
 
 class EntryProcess:
-    """One entry process on an entry VM."""
+    """Entry process of one entry VM."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         cfg: settings.Settings,
         dependencies: components.Dependencies | None = None,
     ) -> None:
-        """Prepare the process; without ``outside`` it uses real ones."""
+        """Create the process, by default with production dependencies."""
         self._cfg = cfg
         self._dependencies = dependencies
         self._session: aiohttp.ClientSession | None = None
@@ -37,7 +37,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._is_draining = False
 
-        #: True once all work in progress has ended during a shutdown.
+        #: True once a shutdown has waited for all work in progress.
         self._has_drained = False
         self._clock = (
             dependencies.clock if dependencies else clock.SystemClock()
@@ -62,13 +62,13 @@
         return result.Ok(ports)
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send new callers."""
+        """Return whether the load balancer may send new callers."""
         if self._is_draining or self._components is None:
             return False
         return self._components.versions.number() > 0
 
     def state(self) -> dict[str, object]:
-        """Return the state dump of all parts."""
+        """Return the state dump of all components."""
         now = self._clock.now()
         process_state: dict[str, object] = {
             'vm': self._cfg.vm,
@@ -93,10 +93,11 @@
         }
 
     async def shut_down(self) -> exit_status.ExitStatus:
-        """Refuse new work, let work in progress end, and close.
+        """Refuse new work, wait for work in progress, and close.
 
-        Readiness turns first, so that the balancer stops sending callers
-        before any is refused. Ends within the settings' ``limit_s``.
+        The readiness check fails first, so that the load balancer stops
+        sending callers before any is refused. Returns within the settings'
+        ``limit_s``.
         """
         assert self._components is not None
         status = exit_status.ExitStatus.SUCCESS
@@ -106,20 +107,20 @@
             ):
                 await self._drain(self._components)
         except TimeoutError:
-            _LOG.warning('Shutdown limit reached.')
+            _LOG.warning('Graceful shutdown timed out.')
             if not self._has_drained:
                 status = exit_status.ExitStatus.ERROR
         try:
             async with asyncio.timeout(settings.CLOSE_TIMEOUT_S):
                 await self._close(self._components)
         except TimeoutError:
-            _LOG.warning('Connections were still open at the end.')
+            _LOG.warning('Closing connections timed out.')
         _LOG.info('Ended.')
         return status
 
     async def _drain(self, components: components.Components) -> None:
         self._is_draining = True
-        _LOG.info('Shutting down: not ready any more.')
+        _LOG.info('Shutting down; the readiness check fails from now on.')
         await asyncio.sleep(self._cfg.shutdown.notice_s)
         components.submissions.drain()
         await components.submissions.wait_until_idle()
--- a/sardineproxy/process/forwards.py
+++ b/sardineproxy/process/forwards.py
@@ -1,4 +1,4 @@
-"""Forwards that wait for a reply from the VM that minted the key."""
+"""Forwarded requests that wait for a reply from the issuer of their key."""
 
 import asyncio
 import dataclasses
@@ -8,8 +8,8 @@
 from sardineproxy.connection import frames, peer
 from sardineproxy.request import forwarding
 
-#: Longest wait for a stream to a VM that has none, in seconds. A caller that
-#: asks for a dead VM's key gets a verdict after this, not at its deadline.
+#: Timeout for opening a stream to a VM that has none, in seconds. It bounds
+#: the response time for a key of a dead VM, regardless of the deadline.
 STREAM_WAIT_S = 3
 
 
@@ -25,18 +25,19 @@
 
 
 class PendingForwards:
-    """Asks again on each new stream until there is a reply."""
+    """Resends forwards on each new stream until a reply arrives."""
 
     def __init__(self) -> None:
-        """Start without questions."""
+        """Create a set without pending forwards."""
         self._pending: dict[int, _PendingForward] = {}
 
-        #: Questions to an incarnation other than that of the VM's stream.
+        #: Forwards to an incarnation that differs from that of the VM's
+        #: stream.
         self._unconfirmed: dict[ids.VmId, list[_PendingForward]] = {}
         self._last_number = 0
 
     def pending_vms(self) -> set[ids.VmId]:
-        """Return the VMs that have not replied yet."""
+        """Return the VMs with pending forwards."""
         return {forward.vm for forward in self._pending.values()}
 
     async def send(
@@ -48,10 +49,10 @@
         wait_s: float,
         streams: Mapping[ids.VmId, peer.Stream],
     ) -> forwarding.Reply:
-        """Wait at most ``wait_s`` seconds for the reply.
+        """Send a forward and wait at most ``wait_s`` seconds for the reply.
 
-        Gives up sooner when ``streams`` has held no stream to the VM for
-        ``STREAM_WAIT_S``.
+        Returns earlier if ``streams`` contains no stream to the VM for
+        ``STREAM_WAIT_S`` seconds.
         """
         self._last_number += 1
         forward = _PendingForward(
@@ -74,17 +75,17 @@
             self._pending.pop(forward.number)
 
     def resend(self, stream: peer.Stream) -> None:
-        """Ask what is outstanding for the VM on its new stream."""
+        """Send all pending forwards to the VM on its new stream."""
         self._unconfirmed.pop(stream.hello.vm, None)
         for forward in list(self._pending.values()):
             if forward.vm == stream.hello.vm:
                 self._send(stream, forward)
 
     def confirm_incarnation(self, stream: peer.Stream) -> None:
-        """Settle questions to an incarnation that this one has replaced.
+        """Resolve forwards to an incarnation that this one has replaced.
 
-        A frame that arrives after the question was put proves that its
-        sender is the VM's present incarnation.
+        A frame received after the request was sent proves that its sender is
+        the VM's current incarnation.
         """
         for forward in self._unconfirmed.pop(stream.hello.vm, ()):
             _resolve(forward, forwarding.Gone())
@@ -92,14 +93,17 @@
     def handle_reply(
         self, stream: peer.Stream, reply: frames.ForwardReply
     ) -> None:
-        """Settle the question that was answered."""
+        """Resolve the forward that a reply belongs to."""
         forward = self._pending.get(reply.number)
         sender = (stream.hello.vm, stream.hello.incarnation)
         if forward and (forward.vm, forward.incarnation) == sender:
             _resolve(forward, forwarding.Replied(payload=reply.payload))
 
     def _send(self, stream: peer.Stream, forward: _PendingForward) -> None:
-        """Put the question, or make another incarnation show that it lives."""
+        """Send the forward, or probe a stream of another incarnation.
+
+        The probe is a ConfigFetch, whose response confirms the incarnation.
+        """
         if stream.hello.incarnation == forward.incarnation:
             stream.send(
                 frames.Forward(number=forward.number, payload=forward.payload)
@@ -114,7 +118,7 @@
 async def _wait_for_reply(
     forward: _PendingForward, streams: Mapping[ids.VmId, peer.Stream]
 ) -> forwarding.Reply:
-    """Return the reply; raise TimeoutError if no stream is opened."""
+    """Return the reply; raise TimeoutError if no stream opens in time."""
     had_stream = forward.vm in streams
     while True:
         done, _ = await asyncio.wait((forward.fut,), timeout=STREAM_WAIT_S)
--- a/sardineproxy/process/gossip.py
+++ b/sardineproxy/process/gossip.py
@@ -1,11 +1,11 @@
-"""What entry processes tell each other about configuration and VMs."""
+"""Configuration and VM list that entry processes exchange."""
 
 from sardineproxy.process import listing
 from sardineproxy.version import follower
 
 
 class Gossip:
-    """Joins the version follower and the VM list for the peer streams."""
+    """Combines the version follower and the VM list for peer streams."""
 
     def __init__(
         self,
@@ -13,7 +13,7 @@
         versions: follower.Follower,
         vm_list: listing.ListFollower,
     ) -> None:
-        """Pass on what both followers have learned."""
+        """Create the adapter of both followers."""
         self._versions = versions
         self._vm_list = vm_list
 
@@ -22,11 +22,11 @@
         return self._versions.number()
 
     def changes_since(self, number: int) -> bytes | None:
-        """Return the changes after version ``number``, None if too old."""
+        """Return the changes after version ``number``, None if not kept."""
         return self._versions.changes_since(number)
 
     def offer_changes(self, payload: bytes) -> None:
-        """Take changes that another entry process sent."""
+        """Apply configuration changes that another entry process sent."""
         self._versions.offer(payload)
 
     def listing_revision(self) -> int:
@@ -34,9 +34,9 @@
         return self._vm_list.revision()
 
     def listing(self) -> bytes:
-        """Return the newest VM list."""
+        """Return the newest VM list, encoded."""
         return self._vm_list.encode()
 
     def offer_listing(self, payload: bytes) -> None:
-        """Take a VM list that another entry process sent."""
+        """Apply a VM list that another entry process sent, if newer."""
         self._vm_list.offer(payload)
--- a/sardineproxy/process/listing.py
+++ b/sardineproxy/process/listing.py
@@ -1,4 +1,4 @@
-"""Follow the platform's list of VMs, and exchange it with peers."""
+"""VM list: validation, encoding for peers, and polling of the platform."""
 
 import asyncio
 import json
@@ -14,16 +14,16 @@
 from sardineproxy.process import directory, platform, settings, store
 from sardineproxy.version import polling
 
-#: Most VMs of one list.
+#: Maximum number of VMs of one list.
 MAX_VMS = 32_768
 
-#: Largest list in bytes of JSON. 9,700 VMs take about 1.8 MB.
+#: Maximum size of a list in bytes of JSON. 9,700 VMs take about 1.8 MB.
 MAX_LIST_BYTES = 8_388_608
 
-#: Largest compressed list from a peer, in bytes. Half a peer frame.
+#: Maximum size of a compressed list from a peer in bytes, half a peer frame.
 MAX_PAYLOAD_BYTES = 4_194_304
 
-#: Compresses a list to about a tenth; higher levels gain little.
+#: Level that reduces a list to about a tenth; higher levels gain little.
 _COMPRESSION_LEVEL = 6
 
 _MAX_HOST_CHARS = 45
@@ -31,13 +31,16 @@
 _LOG = logs.get_logger('listing')
 
 
-#: An endpoint that leaves is to get no new work after a few seconds, so the
-#: list is read as often as the configuration.
+#: A leaving endpoint must get no new work after a few seconds, so the list is
+#: polled as often as the configuration.
 Config = polling.Config
 
 
 def _check_host(text: str) -> str:
-    """Check an IP number; ``ipaddress`` takes ten times as long."""
+    """Validate an IP number.
+
+    The module ``ipaddress`` would take ten times as long.
+    """
     family = socket.AF_INET6 if ':' in text else socket.AF_INET
     try:
         socket.inet_pton(family, text)
@@ -85,7 +88,7 @@
 
 
 def from_document(document: Any) -> result.Result[platform.VmList, str]:
-    """Check a parsed JSON object; the error is one sentence."""
+    """Validate a parsed JSON object; the error is one sentence."""
     try:
         model = _VmList.model_validate(document)
     except pydantic.ValidationError as exc:
@@ -103,7 +106,7 @@
 
 
 def decode(payload: bytes) -> result.Result[platform.VmList, str]:
-    """Parse what ``encode`` returned, within the bounds."""
+    """Decode an encoded list within the size limits."""
     if len(payload) > MAX_PAYLOAD_BYTES:
         return result.Err(f'payload has {len(payload)} bytes')
     inflater = zlib.decompressobj()
@@ -119,7 +122,7 @@
 
 
 class ListFollower:
-    """Polls the platform's list and takes newer lists from peers."""
+    """Updates the VM list from the platform and from peers."""
 
     def __init__(
         self,
@@ -130,7 +133,7 @@
         rng: random.Random,
         cfg: Config,
     ) -> None:
-        """Start with what ``directory`` has."""
+        """Create a follower that updates ``directory``."""
         self._platform = platform
         self._directory = directory
         self._clock = clock
@@ -146,36 +149,39 @@
             await asyncio.sleep(self._schedule.next_wait_s())
 
     async def poll_once(self) -> None:
-        """Read the platform's list once and offer it to the directory."""
-        before = self._schedule.failures
+        """Read the platform's list once and update the directory."""
+        failures_before = self._schedule.failures
         error = await self._schedule.limited(self._poll())
         self._last_error = None if error is None else error.detail
         if error is None:
             self._last_read = self._clock.now()
-        elif not before:
-            _LOG.warning('cannot read VM list: %s', error.detail)
+        elif not failures_before:
+            _LOG.warning('Cannot read the VM list: %s.', error.detail)
 
     def revision(self) -> int:
         """Return the revision of the newest list."""
         return self._directory.newest.revision
 
     def encode(self) -> bytes:
-        """Return the newest list for a peer."""
+        """Return the newest list, encoded for a peer."""
         newest = self._directory.newest
         if self._encoded is None or self._encoded[0] != newest.revision:
             self._encoded = (newest.revision, encode(newest))
         return self._encoded[1]
 
     def offer(self, payload: bytes) -> None:
-        """Take a peer's list if it is well formed and newer."""
+        """Use a peer's list if it is well formed and newer."""
         decoded = decode(payload)
         if isinstance(decoded, result.Err):
-            _LOG.warning('peer sent a bad VM list: %s', decoded.err_value)
+            _LOG.warning(
+                'Ignored a malformed VM list from a peer: %s.',
+                decoded.err_value,
+            )
             return
         self._directory.offer(decoded.ok_value)
 
     def state(self, *, now: float) -> dict[str, Any]:
-        """Return the state for the state dump."""
+        """Return revision, size, age and last error for the state dump."""
         return {
             'revision': self.revision(),
             'vms': len(self._directory.newest.vms),
--- a/sardineproxy/process/metrics.py
+++ b/sardineproxy/process/metrics.py
@@ -1,10 +1,10 @@
-"""Counters and latency histograms, readable as Prometheus text."""
+"""Counters and latency histograms in Prometheus text format."""
 
 from typing import Iterator
 
 from hdrh import histogram
 
-#: Highest duration that a histogram can tell apart, in microseconds.
+#: Maximum duration that a histogram records, in microseconds.
 MAX_MICROSECONDS = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
 MICROSECONDS_PER_SECOND = 1_000_000
@@ -17,17 +17,17 @@
     """Metrics of one process."""
 
     def __init__(self) -> None:
-        """Start with no metrics."""
+        """Create an empty registry."""
         self._counters: dict[tuple[str, Labels], int] = {}
         self._durations: dict[tuple[str, Labels], histogram.HdrHistogram] = {}
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to the counter ``name``; names end in ``_total``."""
+        """Add ``by`` to the counter ``name``, which ends in ``_total``."""
         key = (name, tuple(sorted(labels.items())))
         self._counters[key] = self._counters.get(key, 0) + by
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Record a duration; names end in ``_seconds``."""
+        """Record a duration under ``name``, which ends in ``_seconds``."""
         key = (name, tuple(sorted(labels.items())))
         durations = self._durations.get(key)
         if durations is None:
@@ -47,7 +47,7 @@
         }
 
     def render(self) -> str:
-        """Return all metrics in the text exposition format."""
+        """Return all metrics in the Prometheus text exposition format."""
         return '\n'.join(self._lines()) + '\n'
 
     def _lines(self) -> Iterator[str]:
--- a/sardineproxy/process/neighbors.py
+++ b/sardineproxy/process/neighbors.py
@@ -1,4 +1,4 @@
-"""Which entry VMs to keep streams to, and which of two VMs opens one."""
+"""Selection of the entry VMs to connect to, and of the VM that connects."""
 
 import dataclasses
 from typing import Container, Mapping
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Neighbor:
-    """An entry VM of the listing."""
+    """An entry VM of the VM list."""
 
     vm: ids.VmId
     zone: ids.ZoneId
@@ -20,20 +20,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Neighbors:
-    """The other entry VMs of a listing, and those to keep streams to."""
+    """The other entry VMs of a VM list, and those to connect to."""
 
     listed: Mapping[ids.VmId, Neighbor]
 
-    #: True if this VM opens the stream at once, False if the other should.
+    #: VMs to connect to: True if this VM opens the stream at once, False if it
+    #: first waits for the other VM to do so.
     chosen: Mapping[ids.VmId, bool]
 
     def count_live(self, connected: Container[ids.VmId]) -> int:
-        """Return how many of the other VMs seem to be live.
+        """Return the estimated number of other live VMs.
 
         A chosen VM without a stream counts as dead, unless no chosen VM of
-        its zone has one: then the zone may be cut off and still serve.
+        its zone has one: the zone may then be partitioned and still serve.
         """
-        reached = {
+        reachable_zones = {
             self.listed[vm].zone for vm in self.chosen if vm in connected
         }
         return sum(
@@ -41,7 +42,7 @@
             and (
                 vm in connected
                 or vm not in self.chosen
-                or entry.zone not in reached
+                or entry.zone not in reachable_zones
             )
             for vm, entry in self.listed.items()
         )
@@ -54,8 +55,12 @@
     zone: ids.ZoneId,
     peers_per_zone: int,
 ) -> Neighbors:
-    """Choose all VMs of the own zone and ``each_zone`` of each other zone."""
-    everyone = {
+    """Choose all VMs of ``zone`` and ``peers_per_zone`` per other zone.
+
+    VMs of other zones are ranked by rendezvous hashing, so that both ends
+    agree on which of them opens a stream.
+    """
+    entry_vms = {
         ids.VmId(entry.name): Neighbor(
             vm=ids.VmId(entry.name),
             zone=entry.zone,
@@ -66,16 +71,18 @@
         for entry in listing.vms
         if entry.role is platform.VmRole.ENTRY
     }
-    others = {name: entry for name, entry in everyone.items() if name != vm}
+    others = {name: entry for name, entry in entry_vms.items() if name != vm}
     chosen = {name: vm < name for name in others if others[name].zone == zone}
     zones: dict[ids.ZoneId, list[ids.VmId]] = {}
-    for name, entry in everyone.items():
+    for name, entry in entry_vms.items():
         if entry.is_live or entry.zone == zone:
             zones.setdefault(entry.zone, []).append(name)
     for other_zone, names in zones.items():
         if other_zone == zone:
             continue
         for name in rendezvous.rank(vm, names)[:peers_per_zone]:
-            back = rendezvous.rank(name, zones.get(zone, []))[:peers_per_zone]
-            chosen[name] = vm < name or vm not in back
+            chosen_by_peer = rendezvous.rank(name, zones.get(zone, []))[
+                :peers_per_zone
+            ]
+            chosen[name] = vm < name or vm not in chosen_by_peer
     return Neighbors(listed=others, chosen=chosen)
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -1,4 +1,4 @@
-"""What a process does when a peer stream opens, closes or brings a frame."""
+"""Handlers of the events of peer streams: open, close, and frames."""
 
 import asyncio
 from typing import Callable
@@ -19,7 +19,7 @@
 
 
 class PeerEvents:
-    """Passes frames to the parts that they concern and sends the replies."""
+    """Dispatches frames to their components and sends the replies."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         handler: forwarding.Handler,
         send_all: Callable[[borrowing.OutgoingFrames], None],
     ) -> None:
-        """Use the parts of one process; ``send_all`` sends to peers."""
+        """Create the handlers; ``send_all`` sends frames to peers."""
         self._clock = clock
         self._zone = zone
         self._views = views
@@ -46,11 +46,11 @@
         self._send_all = send_all
         self._tasks: set[asyncio.Task[None]] = set()
 
-        #: True if the peers were told that this process ends.
+        #: True once Goodbye was sent to the peers.
         self.goodbye_sent = False
 
     def stream_opened(self, stream: peer.Stream) -> None:
-        """Use a new stream."""
+        """Register a peer and resend the forwards that wait for it."""
         if stream.hello.zone == self._zone:
             self._views.add_peer(stream.hello.vm, stream.hello.incarnation)
         self._forwards.resend(stream)
@@ -60,13 +60,13 @@
         self.update_ownership()
 
     def stream_closed(self, stream: peer.Stream) -> None:
-        """Forget a stream; outstanding forwards wait for the next one."""
+        """Remove a peer; pending forwards wait for its next stream."""
         self._views.remove_peer(stream.hello.vm, self._clock.now())
         self._loans.handle_disconnect(stream.hello.vm, self._clock.now())
         self.update_ownership()
 
     def frame_received(self, stream: peer.Stream, frame: frames.Frame) -> None:
-        """Act on a frame."""
+        """Handle a frame."""
         self._record_contact(stream)
         match frame:
             case frames.View() | frames.Goodbye():
@@ -88,11 +88,11 @@
                 )
 
     def update_ownership(self) -> None:
-        """Apply what changed in the zone's view."""
+        """Update slot ownership from the membership view of the zone."""
         self._send_all(self._ownership.update(self._clock.now()))
 
     async def close(self) -> None:
-        """Stop answering forwards."""
+        """Cancel all replies to forwards."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -112,10 +112,13 @@
     async def _reply(
         self, stream: peer.Stream, forward: frames.Forward
     ) -> None:
-        """Reply on the same stream; after its end the peer asks again."""
+        """Reply on the same stream; if it has closed, the peer resends."""
         reply = await self._handler.handle(forward.payload)
         sent = stream.send(
             frames.ForwardReply(number=forward.number, payload=reply)
         )
         if not sent:
-            _log.info('reply to %s not sent', stream.hello.vm)
+            _log.info(
+                'Reply to %s was not sent: the stream is closed.',
+                stream.hello.vm,
+            )
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -1,4 +1,4 @@
-"""What entry processes tell each other, and what each does about it."""
+"""Peer protocol between entry processes: membership, loans, forwards."""
 
 import asyncio
 import dataclasses
@@ -34,22 +34,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Times and bounds between entry processes, in seconds."""
+    """Timing and limits of the peer protocol; times are in seconds."""
 
-    #: Wait before the slots of a VM that vanished are taken over.
+    #: Delay before the slots of an unreachable VM are taken over.
     takeover_grace_s: float = 3
 
-    #: Interval of housekeeping.
+    #: Interval of ``Peers.tick``.
     tick_s: float = 0.05
 
-    #: Streams to keep to each other zone.
+    #: Number of streams to maintain to every other zone.
     cross_zone_peers: int = 2
     stream: streams.Config = streams.Config()
     loan: borrowing.Config = borrowing.Config()
 
 
 class Peers:
-    """Streams to other entry processes, and what they agree on."""
+    """Streams to other entry processes, and the state shared over them."""
 
     def __init__(  # noqa: WPS211
         self,
@@ -69,7 +69,7 @@
         connect: peer.Connect = asyncio.open_connection,
         listen: streams.Listen = asyncio.start_server,
     ) -> None:
-        """Start without streams; ``start`` opens the listener."""
+        """Create without streams; ``start`` opens the listener."""
         self._clock = clock
         self._cfg = cfg
         self._size = size
@@ -127,11 +127,11 @@
 
     @property
     def live_vms(self) -> reactivex.Observable[int]:
-        """Return the stream of the number of live entry VMs, at least 1."""
+        """Return an observable of the number of live entry VMs, at least 1."""
         return self._live_vms
 
     async def start(self, *, host: str, port: int) -> None:
-        """Listen for peers and connect to those of the listing."""
+        """Listen for peers and connect to those of the VM list."""
         await self._streams.start(host, port)
         self._subscription = self._directory.listing.subscribe(
             self._apply_listing
@@ -139,10 +139,10 @@
         self._ticker = asyncio.create_task(self._run_ticks())
 
     async def goodbye(self) -> None:
-        """Give up all slots and tell the peers.
+        """Release all slots and send Goodbye to the peers.
 
-        Waits until no task runs on them, here or at borrowers, but at most
-        the longest task time.
+        Waits until no task runs on the slots, here or at borrowers, but at
+        most the maximum task time.
         """
         self._ownership.leave()
         self._events.update_ownership()
@@ -154,7 +154,7 @@
         open_streams = list(self._streams.by_vm.values())
         for stream in open_streams:
             stream.send(frames.Goodbye())
-        await asyncio.gather(*(each.flush() for each in open_streams))
+        await asyncio.gather(*(opened.flush() for opened in open_streams))
 
     async def close(self) -> None:
         """Close all streams."""
@@ -172,9 +172,9 @@
         payload: bytes,
         deadline: float,
     ) -> forwarding.Reply:
-        """Send ``payload`` to that incarnation and return what it replied.
+        """Send ``payload`` to an incarnation of a VM and return its reply.
 
-        Payloads of more than ``frames.MAX_PAYLOAD_BYTES`` are not sent.
+        Payloads larger than ``frames.MAX_PAYLOAD_BYTES`` are not sent.
         """
         if len(payload) > frames.MAX_PAYLOAD_BYTES:
             return forwarding.Unreachable()
@@ -192,16 +192,21 @@
         )
 
     def on_backlog(self, demand: demand.Demand) -> None:
-        """Borrow slots for waiting work.
+        """Borrow slots for waiting tasks.
 
-        A report counts for half a second; report again while work waits.
+        A report expires after half a second and must be repeated while tasks
+        wait.
         """
         now = self._clock.now()
         self._loans.report(demand, now)
         self._send_all(self._loans.request_slots(self._lenders, now))
 
     def tick(self, now: float) -> None:
-        """Do what is due; a long gap voids ownership and loans."""
+        """Run periodic work.
+
+        A stall of the event loop voids slot ownership and loans, because
+        peers may have taken over the slots meanwhile.
+        """
         self._check_stall(now)
         version, revision = self._exchange.local_versions()
         self._streams.check_liveness(
@@ -216,9 +221,9 @@
             self._live_vms.on_next(live)
 
     def state(self, *, now: float) -> dict[str, object]:
-        """Return streams, view and loans for the state dump.
+        """Return streams, membership view and loans for the state dump.
 
-        Views use the sizes of the listing; ``size`` is what the settings say.
+        ``size`` is the configured size; views use the sizes of the VM list.
         """
         return {
             'size': self._size,
@@ -281,7 +286,7 @@
         last = self._ticked_at
         self._ticked_at = now
         if last is not None and now - last >= self._cfg.stream.peer_silent_s:
-            _log.warning('event loop stood still for %.1f s', now - last)
+            _log.warning('Event loop stalled for %.1f s.', now - last)
             self._ownership.drop_owned()
-            self._streams.abort_all('process stood still')
+            self._streams.abort_all('process stalled')
         self._table.set_valid_until(now + self._cfg.stream.peer_silent_s)
--- a/sardineproxy/process/platform.py
+++ b/sardineproxy/process/platform.py
@@ -1,4 +1,4 @@
-"""Interface to the platform: tables, objects, and the list of VMs."""
+"""Interface of the platform: tables, objects, and the list of VMs."""
 
 import dataclasses
 import enum
@@ -16,7 +16,7 @@
 
     key: str
 
-    #: Number of writes to this row so far; 0 means that it does not exist.
+    #: Number of writes to this row; 0 means that the row does not exist.
     revision: int
     body: bytes
 
@@ -29,7 +29,7 @@
 
 
 class VmRole(enum.Enum):
-    """What runs on a VM."""
+    """Role of a VM."""
 
     ENTRY = 'entry'
     ENDPOINT = 'endpoint'
@@ -37,9 +37,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Vm:
-    """One VM of the platform's list."""
+    """A VM of the platform's list."""
 
-    #: The entry VM's id, or the endpoint's.
+    #: Id of the entry VM or of the endpoint.
     name: str
     role: VmRole
     state: VmState
@@ -49,34 +49,34 @@
     #: IP number of the VM.
     host: str
 
-    #: Port of the peer listener of an entry VM, or of an endpoint's HTTP.
+    #: Port of an entry VM's peer listener or of an endpoint's HTTP server.
     port: int
 
-    #: Slots of an endpoint, or relative size of an entry VM.
+    #: Number of slots of an endpoint, or relative size of an entry VM.
     slots: int
 
-    #: Most connections to an endpoint at once; 0 for an entry VM.
+    #: Maximum concurrent connections to an endpoint; 0 for an entry VM.
     connections: int = 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class VmList:
-    """The list of live and leaving VMs, possibly out of date."""
+    """List of live and leaving VMs, possibly out of date."""
 
     revision: int
     vms: tuple[Vm, ...]
 
 
 class Platform(Protocol):
-    """The platform's services, as all parts use them."""
+    """Client of the platform's services."""
 
     async def read_rows(
         self, prefix: str, *, after: str = '', strict: bool = False
     ) -> result.Result[tuple[Row, ...], store.StoreError]:
-        """Return rows whose key starts with ``prefix``, sorted by key.
+        """Return the rows with keys that start with ``prefix``, by key.
 
         Only keys greater than ``after`` are returned. A strict read is
-        linearizable; others may be stale.
+        linearizable; other reads may be stale.
         """
 
     async def transact(
@@ -90,15 +90,15 @@
     async def get_object(
         self, name: str
     ) -> result.Result[bytes | None, store.StoreError]:
-        """Return the object, or None if there is no such object."""
+        """Return an object, None if it does not exist."""
 
     async def put_object(
         self, name: str, body: bytes
     ) -> result.Result[None, store.StoreError]:
-        """Store the object."""
+        """Store an object."""
 
     async def list_vms(self) -> result.Result[VmList, store.StoreError]:
-        """Return the list of VMs, which may lag."""
+        """Return the list of VMs, which may be out of date."""
 
     async def close(self) -> None:
         """Close the client's connections."""
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -1,4 +1,4 @@
-"""Client of the platform's services over HTTP."""
+"""HTTP client of the platform's services."""
 
 import asyncio
 import base64
@@ -14,19 +14,19 @@
 from sardineproxy import json_text
 from sardineproxy.process import listing, metrics, platform, store
 
-#: Longest wait for a connection, in seconds.
+#: Timeout of a connection attempt, in seconds.
 CONNECT_TIMEOUT_S = 2
 
-#: Largest page of rows, in bytes of JSON.
+#: Maximum size of a page of rows, in bytes of JSON.
 MAX_PAGE_BYTES = 4_194_304
 
-#: Most bytes of rows that one read returns, over all pages.
+#: Maximum bytes of rows of one read, over all pages.
 MAX_ROWS_BYTES = 33_554_432
 
-#: Largest object, in bytes.
+#: Maximum size of an object, in bytes.
 MAX_OBJECT_BYTES = 16_777_216
 
-#: Part of an error's answer that goes into its detail, in bytes.
+#: Maximum bytes of an error response that go into the error's detail.
 MAX_DETAIL_BYTES = 300
 
 _CHUNK_BYTES = 65_536
@@ -67,7 +67,7 @@
         timeout_s: float = 5,
         metrics: metrics.Metrics | None = None,
     ) -> None:
-        """Use ``session``, which ``close`` closes, for all connections."""
+        """Create a client that uses ``session``; ``close`` closes it."""
         self._session = session
         self._metrics = metrics
         self._base = yarl.URL.build(scheme='http', host=host, port=port)
@@ -79,10 +79,10 @@
     async def read_rows(
         self, prefix: str, *, after: str = '', strict: bool = False
     ) -> result.Result[tuple[platform.Row, ...], _Error]:
-        """Return rows whose key starts with ``prefix``, sorted by key.
+        """Return the rows with keys that start with ``prefix``, by key.
 
-        The platform answers in pages; a write between two pages of a read
-        shows only in the later ones.
+        The platform returns pages, so the result is no snapshot: a write
+        during a read is visible only in later pages.
         """
         rows: list[platform.Row] = []
         size = 0
@@ -96,7 +96,7 @@
             if not has_more:
                 return result.Ok(tuple(rows))
             if not page_rows or size > MAX_ROWS_BYTES:
-                return _invalid(f'rows under {prefix} exceed their bound')
+                return _invalid(f'rows under {prefix} exceed the size limit')
             after = page_rows[-1].key
 
     async def transact(
@@ -132,7 +132,7 @@
     async def get_object(
         self, name: str
     ) -> result.Result[bytes | None, _Error]:
-        """Return the object, or None if there is no such object."""
+        """Return an object, None if it does not exist."""
         reply = await self._exchange(
             _Request(
                 method='GET',
@@ -147,7 +147,7 @@
     async def put_object(
         self, name: str, body: bytes
     ) -> result.Result[None, _Error]:
-        """Store the object."""
+        """Store an object."""
         reply = await self._exchange(
             _Request(
                 method='PUT',
@@ -159,10 +159,10 @@
         return reply.and_then(_check_write)
 
     async def list_vms(self) -> result.Result[platform.VmList, _Error]:
-        """Return the list of VMs, which may lag.
+        """Return the list of VMs, which may be out of date.
 
-        The platform sends the list only if its revision is another than that
-        of the last answer.
+        The request carries the revision of the last response, and the
+        platform sends the list only if its revision differs.
         """
         cached = self._vm_list
         headers = (
@@ -179,7 +179,7 @@
         if isinstance(reply, result.Ok) and reply.ok_value.status == 304:
             if cached is not None:
                 return result.Ok(cached)
-        # Decoding 9,700 VMs took 0.13 s, too long for the event loop.
+        # Decoding 9,700 VMs took 0.13 s, which would block the event loop.
         listed = await asyncio.to_thread(_parse_vm_list, reply)
         if isinstance(listed, result.Ok):
             self._vm_list = listed.ok_value
@@ -239,9 +239,11 @@
             async for chunk in reply.content.iter_chunked(_CHUNK_BYTES):
                 body += chunk
                 if len(body) > req.max_bytes and not req.is_write:
-                    return _invalid(f'answer to {req.path} exceeds its bound')
+                    return _invalid(
+                        f'response to {req.path} exceeds the size limit'
+                    )
                 if req.is_write:
-                    # Only the start of a write's answer is used.
+                    # Only the start of the response to a write is used.
                     body = body[:MAX_DETAIL_BYTES]
             return result.Ok(_Reply(status=reply.status, body=bytes(body)))
 
@@ -281,7 +283,11 @@
 
 
 def _check_write(reply: _Reply) -> result.Result[None, _Error]:
-    """Map a write's status; only a refusal by status rules out an effect."""
+    """Map the status of a write.
+
+    Only the statuses that refuse the request rule out an effect; any other
+    leaves the outcome unknown.
+    """
     if reply.status in {200, 204}:
         return result.Ok(None)
     kinds = {
@@ -335,7 +341,9 @@
     is_sorted = all(low < high for low, high in zip(keys, keys[1:]))
     has_prefix = all(row.key.startswith(prefix) for row in rows)
     if not is_sorted or not has_prefix or not isinstance(has_more, bool):
-        return _invalid('the platform answered with rows not asked for')
+        return _invalid(
+            'the platform answered with rows outside the requested range'
+        )
     return result.Ok((rows, has_more))
 
 
@@ -343,8 +351,9 @@
     key, revision = member['key'], member['revision']
     is_number = isinstance(revision, int) and not isinstance(revision, bool)
     if not isinstance(key, str) or not is_number or revision < 1:
-        raise ValueError('row with a bad key or revision')
-    # A lone surrogate cannot be sent back as the start of the next page.
+        raise ValueError('row with an invalid key or revision')
+    # Reject lone surrogates: the key of the last row is sent in the request
+    # for the next page, which needs valid UTF-8.
     key.encode()
     return platform.Row(
         key=key,
@@ -361,4 +370,4 @@
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error as exc:
-        raise ValueError('row with a bad body') from exc
+        raise ValueError('row body is not valid base64') from exc
--- a/sardineproxy/process/ready.py
+++ b/sardineproxy/process/ready.py
@@ -1,4 +1,4 @@
-"""The line by which a server program tells that its ports are open."""
+"""Readiness line that a server program prints when its ports are open."""
 
 import json
 import sys
--- a/sardineproxy/process/settings.py
+++ b/sardineproxy/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the entry process, checked whole before a port opens."""
+"""Settings of the entry process, validated before a port opens."""
 
 import ipaddress
 import pathlib
@@ -9,16 +9,16 @@
 
 from sardineproxy import json_text
 
-#: Largest settings file, in bytes.
+#: Maximum size of a settings file, in bytes.
 MAX_SETTINGS_BYTES = 65_536
 
 SECONDS_PER_DAY = 86_400
 MAX_PORT = 65_535
 
-#: Seconds of a shutdown that are kept for closing connections.
+#: Part of the shutdown limit reserved for closing connections, in seconds.
 CLOSE_TIMEOUT_S = 2
 
-#: Least time between the notice and the limit of a shutdown, in seconds.
+#: Minimum difference of the limit and the notice of a shutdown, in seconds.
 MIN_SHUTDOWN_S = 3
 
 
@@ -39,7 +39,7 @@
 
 
 class Section(pydantic.BaseModel):
-    """A part of the settings; unknown keys and other types are refused."""
+    """Section of the settings; unknown keys and wrong types are rejected."""
 
     model_config = pydantic.ConfigDict(extra='forbid', strict=True, frozen=True)
 
@@ -52,7 +52,7 @@
 
 
 class Seed(Section):
-    """An entry VM to ask while the platform's list cannot be read."""
+    """An entry VM to contact while the platform's list is unavailable."""
 
     vm: Name
     zone: Name
@@ -63,18 +63,18 @@
 
 
 class Shutdown(Section):
-    """Bounds of a graceful shutdown."""
+    """Timing of a graceful shutdown."""
 
-    #: Seconds between "not ready" and the refusal of new work, so that the
-    #: balancer sees the readiness check turn first.
+    #: Seconds between the failing readiness check and the refusal of new work,
+    #: in which the load balancer notices the check.
     notice_s: Seconds = 5
 
-    #: Seconds after which the process ends even if work is in progress.
+    #: Seconds after which the process exits even if work is in progress.
     limit_s: Seconds = 150
 
     @pydantic.model_validator(mode='after')
     def check_order(self) -> Self:
-        """Refuse a limit that leaves no time for work and for closing."""
+        """Reject a limit too short to finish work and close."""
         if self.limit_s < self.notice_s + MIN_SHUTDOWN_S:
             raise ValueError(
                 f'limit_s must exceed notice_s by at least {MIN_SHUTDOWN_S} s'
@@ -89,19 +89,19 @@
     silent_s: Seconds = 10
     takeover_grace_s: Seconds = 5
 
-    #: Streams that this process opens to each other availability zone.
+    #: Number of streams to every other availability zone.
     cross_zone_peers: Annotated[int, pydantic.Field(ge=0, le=64)] = 2
 
     @pydantic.model_validator(mode='after')
     def check_order(self) -> Self:
-        """Refuse a silence that one late heartbeat would exceed."""
+        """Reject a timeout that one late heartbeat would exceed."""
         if self.silent_s < 2 * self.heartbeat_s:
             raise ValueError('silent_s must be at least twice heartbeat_s')
         return self
 
 
 class Retention(Section):
-    """How long keys and records are kept."""
+    """Retention of keys and records."""
 
     key_ttl_s: Seconds = 900
     record_ttl_s: Seconds = 900
@@ -109,7 +109,10 @@
 
     @pydantic.model_validator(mode='after')
     def check_order(self) -> Self:
-        """Refuse records that end before their keys: they could run twice."""
+        """Reject records that expire before their keys.
+
+        A request repeated with the same key could then run twice.
+        """
         if self.record_ttl_s < self.key_ttl_s:
             raise ValueError('record_ttl_s must be at least key_ttl_s')
         return self
@@ -122,22 +125,22 @@
     zone: Name
     region: Name
 
-    #: Callers' HTTP listener.
+    #: HTTP listener for callers.
     callers: Address
 
-    #: Liveness, readiness, metrics and state dump.
+    #: HTTP listener for liveness, readiness, metrics and state dump.
     admin: Address
 
-    #: Streams from other entry processes.
+    #: Listener for streams of other entry processes.
     peers: Address
 
-    #: The platform's HTTP address.
+    #: Address of the platform's HTTP server.
     platform: Address
 
     #: Relative size of this VM among the zone's entry VMs.
     size: Annotated[int, pydantic.Field(ge=1, le=1024)] = 1
 
-    #: Other entry VMs, for a start during an outage of the platform.
+    #: Other entry VMs to contact on a start while the platform is down.
     seeds: Annotated[tuple[Seed, ...], pydantic.Field(max_length=64)] = ()
 
     shutdown: Shutdown = Shutdown()
@@ -147,12 +150,12 @@
     @pydantic.field_validator('seeds', mode='before')
     @classmethod
     def accept_list(cls, seeds: object) -> object:
-        """Take a JSON array for the tuple of seeds."""
+        """Accept a JSON array as the tuple of seeds."""
         return tuple(seeds) if isinstance(seeds, list) else seeds
 
     @pydantic.model_validator(mode='after')
     def check_ports(self) -> Self:
-        """Refuse two listeners on one port."""
+        """Reject two listeners on the same port."""
         listeners = [self.callers, self.admin, self.peers]
         fixed = [
             (address.host, address.port)
@@ -165,7 +168,10 @@
 
 
 def parse(text: str) -> result.Result[Settings, tuple[str, ...]]:
-    """Check the text of a settings file; the errors are one sentence each."""
+    """Parse and validate the text of a settings file.
+
+    Every error is one sentence.
+    """
     parsed = json_text.parse_object(text, max_bytes=MAX_SETTINGS_BYTES)
     if isinstance(parsed, result.Err):
         return result.Err((parsed.err_value,))
@@ -176,7 +182,7 @@
 
 
 def describe_errors(exc: pydantic.ValidationError) -> tuple[str, ...]:
-    """Return one sentence for each error: place, what was found, accepted."""
+    """Return one sentence per error: location, expectation, given value."""
     return tuple(
         _describe_error('.'.join(map(str, error['loc'])), error)
         for error in exc.errors()
@@ -198,7 +204,7 @@
 
 
 def load(path: pathlib.Path) -> result.Result[Settings, tuple[str, ...]]:
-    """Read and check a settings file."""
+    """Read and validate a settings file; every error is one sentence."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
--- a/sardineproxy/process/store.py
+++ b/sardineproxy/process/store.py
@@ -1,4 +1,4 @@
-"""Interface to the table service that keeps what must last."""
+"""Interface of the table service that stores durable state."""
 
 import dataclasses
 import enum
@@ -8,21 +8,21 @@
 
 
 class ErrorKind(enum.Enum):
-    """Why a call to the store failed."""
+    """Reason for the failure of a call to the store."""
 
-    #: The call certainly had no effect.
+    #: The call had no effect and will have none.
     UNAVAILABLE = 'unavailable'
 
-    #: The write may have taken effect, or may still take effect.
+    #: The write may have taken effect, or may still do so.
     UNKNOWN = 'unknown'
 
     #: A condition of a transaction did not hold; nothing was written.
     CONFLICT = 'conflict'
 
-    #: The changes that were asked for are no longer kept.
+    #: The store no longer keeps the requested changes.
     HISTORY_LOST = 'history_lost'
 
-    #: The store's answer was malformed or over its bound.
+    #: The store's response was malformed or exceeded its size limit.
     INVALID = 'invalid'
 
 
@@ -32,7 +32,7 @@
 
     kind: ErrorKind
 
-    #: One sentence for a person.
+    #: One sentence for an operator.
     detail: str
 
 
@@ -42,39 +42,39 @@
 
     key: str
 
-    #: Number that rises with each write of the row; 0 if there is no row.
+    #: Increases with every write of the row; 0 if the row does not exist.
     revision: int
 
-    #: Contents, None for a row that was removed.
+    #: Contents, None if the row was removed.
     body: bytes | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Condition:
-    """A row's revision that a transaction depends on, 0 for no such row."""
+    """Required revision of a row in a transaction; 0 means no such row."""
 
     key: str
     revision: int
 
-    #: Part of the table that holds the row.
+    #: Part of the table that contains the row.
     part: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Write:
-    """A row's new contents."""
+    """New contents of a row."""
 
     key: str
     body: bytes
 
-    #: Part of the table that holds the row. All rows of a transaction are in
-    #: one part.
+    #: Part of the table that contains the row. All rows of a transaction are
+    #: in the same part.
     part: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Removal:
-    """A row that is to exist no longer."""
+    """Removal of a row."""
 
     key: str
     part: str = ''
@@ -82,11 +82,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Rows:
-    """Rows of a table as of one moment, or what changed in it since one."""
+    """Rows of a table at a revision, or those changed since one."""
 
     rows: tuple[Row, ...]
 
-    #: Revision of the store at that moment.
+    #: Revision of the store at the time of the read.
     revision: int
 
 
@@ -96,19 +96,22 @@
     async def read(
         self, table: str, *, part: str = ''
     ) -> result.Result[Rows, StoreError]:
-        """Return all rows of a part of a table; linearizable page by page."""
+        """Return all rows of a part of a table.
+
+        Every page is linearizable, but not the read as a whole.
+        """
 
     async def get(
         self, key: str, *, part: str = ''
     ) -> result.Result[Row | None, StoreError]:
-        """Return one row, None if there is none; linearizable."""
+        """Return a row, None if it does not exist; linearizable."""
 
     async def changes(
         self, table: str, *, after: int, wait_s: float
     ) -> result.Result[Rows, StoreError]:
-        """Return what changed after a revision.
+        """Return the rows of a table that changed after a revision.
 
-        Waits up to ``wait_s`` for the first change.
+        Waits up to ``wait_s`` seconds for the first change.
         """
 
     async def transact(
@@ -118,4 +121,7 @@
         writes: tuple[Write, ...],
         removals: tuple[Removal, ...] = (),
     ) -> result.Result[int, StoreError]:
-        """Make all changes if all conditions hold; return the new revision."""
+        """Apply all changes if all conditions hold.
+
+        Returns the new revision.
+        """
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -1,4 +1,4 @@
-"""Opens, accepts and closes the streams to other entry processes."""
+"""Streams to other entry processes: opening, accepting and closing."""
 
 import asyncio
 import dataclasses
@@ -14,16 +14,17 @@
 Accept = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 Listen = Callable[[Accept, str, int], Awaitable[asyncio.Server]]
 
-#: Time from the start of a stream in which its peer may open one too.
+#: Time after the opening of a stream within which a stream opened by the
+#: other end counts as simultaneous, in seconds.
 SIMULTANEOUS_OPEN_S = 1
 
-#: Longest wait for a connection, in seconds.
+#: Timeout of a connection attempt, in seconds.
 CONNECT_TIMEOUT_S = 1
 
-#: Longest wait for queued frames to leave at the end, in seconds.
+#: Timeout for sending queued frames on close, in seconds.
 CLOSE_TIMEOUT_S = 1
 
-#: Shortest and longest wait before a stream is opened again, in seconds.
+#: Bounds of the exponential delay before a stream is reopened, in seconds.
 BACK_OFF_MIN_S = 0.1
 BACK_OFF_MAX_S = 2
 
@@ -31,38 +32,38 @@
 
 
 class StreamEvents(Protocol):
-    """Hears of streams; nothing is told of a stream that was replaced."""
+    """Receives the events of registered streams, not of replaced ones."""
 
     def stream_opened(self, stream: peer.Stream) -> None:
-        """Use a new stream."""
+        """Handle a new stream."""
 
     def stream_closed(self, stream: peer.Stream) -> None:
-        """Forget a stream."""
+        """Handle the end of a stream."""
 
     def frame_received(self, stream: peer.Stream, frame: frames.Frame) -> None:
-        """Act on a frame."""
+        """Handle a frame."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Times of streams, in seconds."""
+    """Timing of streams, in seconds."""
 
-    #: Time without sending after which a heartbeat is sent.
+    #: Time without outgoing frames after which a heartbeat is sent.
     heartbeat_s: float = 4
 
-    #: Silence after which a stream is closed.
+    #: Time without incoming frames after which a stream is closed.
     peer_silent_s: float = 10
 
-    #: Wait of the VM that should be called before it calls itself.
+    #: Delay before a VM connects although the other end should connect first.
     dial_wait_s: float = 0.5
 
-    #: Time without use after which a stream that nobody chose is closed.
+    #: Idle time after which a stream to a VM that is not chosen is closed.
     unused_s: float = 60
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Retry:
-    """When to open a stream to a VM again."""
+    """Back-off state for reopening the stream to a VM."""
 
     since: float
     back_off_s: float = 0
@@ -70,7 +71,7 @@
 
 
 class Streams:
-    """The one stream to each connected peer."""
+    """Streams to connected peers, at most one per VM."""
 
     def __init__(
         self,
@@ -83,7 +84,7 @@
         listen: Listen,
         events: StreamEvents,
     ) -> None:
-        """Start without streams."""
+        """Create without streams; ``start`` opens the listener."""
         self._cfg = cfg
         self._ctx = ctx
         self._rng = rng
@@ -122,7 +123,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def set_neighbors(self, chosen: neighbors.Neighbors) -> None:
-        """Keep streams to other VMs from now on."""
+        """Set the VMs to connect to."""
         self.neighbors = chosen
         self._retries = {
             vm: retry
@@ -131,7 +132,7 @@
         }
 
     def open_missing(self, requested: Iterable[ids.VmId], now: float) -> None:
-        """Open streams to chosen VMs, and at once to those in ``asked``."""
+        """Open missing streams to chosen VMs, and at once to ``requested``."""
         urgent = set(requested).intersection(self.neighbors.listed)
         missing = urgent.union(self.neighbors.chosen)
         missing -= self._dialing
@@ -144,10 +145,10 @@
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
     def check_liveness(self, now: float, heartbeat: frames.Heartbeat) -> None:
-        """Close silent and unused streams; send heartbeats on idle ones."""
+        """Close unresponsive and unused streams; send heartbeats on idle ones."""
         for vm, stream in list(self.by_vm.items()):
             if now - stream.heard_at >= self._cfg.peer_silent_s:
-                stream.abort('peer is silent')
+                stream.abort('no frames from the peer')
                 self._unregister(stream)
             elif self._is_unused(vm, stream, now):
                 stream.abort('unused')
@@ -186,7 +187,7 @@
         )
 
     async def _dial(self, neighbor: neighbors.Neighbor) -> None:
-        """Open a stream and run it; note when to try again."""
+        """Open a stream and run it; schedule the next attempt on failure."""
         was_registered = False
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -198,14 +199,18 @@
             )
             was_registered = await self._run(stream, expected=neighbor.vm)
         except (OSError, TimeoutError) as exc:
-            _log.info('no stream to %s: %s', neighbor.vm, type(exc).__name__)
+            _log.info(
+                'Cannot connect to peer %s: %s.',
+                neighbor.vm,
+                type(exc).__name__,
+            )
         finally:
             self._dialing.discard(neighbor.vm)
             if not was_registered:
                 self._back_off(neighbor.vm)
 
     def _back_off(self, vm: ids.VmId) -> None:
-        """Wait longer after each failure, with jitter."""
+        """Schedule the next attempt after an exponential delay with jitter."""
         failures = self._retries[vm].failures if vm in self._retries else 0
         longest = min(BACK_OFF_MIN_S * 2 ** min(failures, 9), BACK_OFF_MAX_S)
         wait_s = longest * self._rng.uniform(0.5, 1)
@@ -218,7 +223,7 @@
     async def _run(
         self, stream: peer.Stream, *, expected: ids.VmId | None
     ) -> bool:
-        """Run a stream to its end; tell whether it was taken into use."""
+        """Run a stream to its end; return whether it was registered."""
         try:
             if not await self._open(stream, expected):
                 return False
@@ -257,11 +262,11 @@
 
     def _reject(self, stream: peer.Stream, cause: str) -> None:
         self._ctx.metrics.count('peer_streams_rejected_total')
-        _log.warning('stream rejected: %s', cause)
+        _log.warning('Peer stream rejected: %s.', cause)
         stream.abort(cause)
 
     def _register(self, stream: peer.Stream) -> bool:
-        """Make it the VM's stream unless both ends opened one at once."""
+        """Register a stream, except for a duplicate of a simultaneous open."""
         hello = stream.hello
         old = self.by_vm.get(hello.vm)
         if old is not None:
@@ -270,14 +275,14 @@
             old.abort('replaced')
             self._unregister(old)
         self.by_vm[hello.vm] = stream
-        _log.info('stream to %s open', hello.vm)
+        _log.info('Stream to peer %s opened.', hello.vm)
         self._events.stream_opened(stream)
         return True
 
     def _is_simultaneous_open(self, old: peer.Stream, new: peer.Stream) -> bool:
-        """Tell whether the VM with the smaller id has just opened ``old``.
+        """Return whether the VM with the smaller id has just opened ``old``.
 
-        Both ends reach the same answer, so that one stream stays.
+        Both ends decide the same, so that exactly one stream remains.
         """
         smaller_dials = self._vm < new.hello.vm
         return (
