--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -1,4 +1,4 @@
-"""Stored jobs at the owner of their cell, and at the next one."""
+"""Tests of stored jobs at the leader of their shard, and after a takeover."""
 
 import asyncio
 from typing import Any, Callable, Coroutine
@@ -10,7 +10,7 @@
 from tests.process.shards import samples
 from tests.process.stored_jobs import cluster as clusters
 
-_Answer = job_manager.JobReply
+_Reply = job_manager.JobReply
 
 
 def with_cluster(
@@ -27,18 +27,18 @@
 
 class TestJobs(testtools.TestCase):
     def test_accepted_job_is_stored_and_completes(self) -> None:
-        """Guards against an answer for a job that nobody keeps."""
+        """Guards against a job that is acknowledged before it is stored."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 3)
             answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Answer.ACCEPTED, answer)
-            key = f'{job_table.JOB_PREFIX}{stored.job.job}'
+            self.assertEqual(_Reply.ACCEPTED, answer)
+            key = f'{job_table.JOB_PREFIX}{stored.job.job_id}'
             self.assertIsNotNone(
                 cluster.store.rows.get(key, part=samples.SHARD)
             )
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(3, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -46,7 +46,7 @@
         with_cluster(scenario)
 
     def test_many_jobs_at_once_are_all_accepted(self) -> None:
-        """Guards against commits that the store refuses for their size."""
+        """Guards against commits that exceed the store's limit of entries."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             answers = await asyncio.gather(
@@ -55,35 +55,35 @@
                     for number in range(120)
                 )
             )
-            self.assertEqual([_Answer.ACCEPTED] * 120, answers)
+            self.assertEqual([_Reply.ACCEPTED] * 120, answers)
 
         with_cluster(scenario)
 
     def test_same_id_remains_one_job(self) -> None:
-        """Guards against a second run for a request that came twice."""
+        """Guards against a second run when a client repeats a request."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             answers = await asyncio.gather(
                 *(cluster.leader.manager.accept(stored) for _ in range(3))
             )
-            self.assertEqual([_Answer.ACCEPTED] * 3, answers)
-            await cluster.wait_for_end(stored.job.job)
+            self.assertEqual([_Reply.ACCEPTED] * 3, answers)
+            await cluster.wait_for_end(stored.job.job_id)
             answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Answer.ACCEPTED, answer)
+            self.assertEqual(_Reply.ACCEPTED, answer)
             await asyncio.sleep(2)
             self.assertEqual(1, len(cluster.rig.records()))
 
         with_cluster(scenario)
 
     def test_step_waits_for_earlier_ones(self) -> None:
-        """Guards against tasks whose input does not exist yet."""
+        """Guards against tasks that start before the step they depend on."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 2, 3, 1)
             await cluster.leader.manager.accept(stored)
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             spans: dict[str, list[tuple[float, float]]] = {}
             for record in cluster.rig.records():
@@ -99,27 +99,27 @@
         with_cluster(scenario)
 
     def test_task_that_fails_too_often_fails_the_job(self) -> None:
-        """Guards against attempts beyond the route's limit."""
+        """Guards against more attempts than the route allows."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             await cluster.leader.manager.accept(stored)
             self.assertEqual(
-                'failed', await cluster.wait_for_end(stored.job.job)
+                'failed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(clusters.MAX_ATTEMPTS, len(cluster.rig.records()))
 
         with_cluster(scenario, failing_percent=100)
 
     def test_cancelled_job_stops_and_starts_no_more(self) -> None:
-        """Guards against work for a job that was called off."""
+        """Guards against runs that go on or start after a cancellation."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 30)
             await cluster.leader.manager.accept(stored)
             await asyncio.sleep(0.03)
-            answer = await cluster.leader.manager.cancel(stored.job.job)
-            self.assertEqual(_Answer.CANCELLED, answer)
+            answer = await cluster.leader.manager.cancel(stored.job.job_id)
+            self.assertEqual(_Reply.CANCELLED, answer)
             await asyncio.sleep(0.05)
             before = len(cluster.rig.records())
             await asyncio.sleep(2)
@@ -129,24 +129,27 @@
 
         with_cluster(scenario)
 
-    def test_job_is_refused_while_the_store_is_away(self) -> None:
-        """Guards against a refused job that runs later."""
+    def test_job_is_refused_while_the_store_is_unavailable(self) -> None:
+        """Guards against a job that runs although it was refused."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             cluster.store.is_unavailable = True
             answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Answer.REFUSED, answer)
+            self.assertEqual(_Reply.REFUSED, answer)
             cluster.store.is_unavailable = False
             await asyncio.sleep(5)
             self.assertEqual([], cluster.rig.records())
-            answer = await cluster.leader.manager.query(stored.job.job)
-            self.assertEqual(_Answer.ABSENT, answer)
+            answer = await cluster.leader.manager.query(stored.job.job_id)
+            self.assertEqual(_Reply.ABSENT, answer)
 
         with_cluster(scenario)
 
-    def test_ends_are_acknowledged_once_they_are_stored(self) -> None:
-        """Guards against done tasks that a new owner does not know."""
+    def test_results_are_acknowledged_once_they_are_stored(self) -> None:
+        """Guards against acknowledged results that a crash would lose.
+
+        A worker discards a result once it is acknowledged.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
@@ -160,7 +163,7 @@
             )
             cluster.store.is_unavailable = False
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             await asyncio.sleep(1)
             for record in cluster.rig.records():
@@ -168,17 +171,17 @@
 
         with_cluster(scenario)
 
-    def test_states_are_removed_when_nobody_asks_any_more(self) -> None:
-        """Guards against a table that grows without end."""
+    def test_states_are_removed_after_their_retention(self) -> None:
+        """Guards against a table that grows without bound."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             await cluster.leader.manager.accept(stored)
-            await cluster.wait_for_end(stored.job.job)
+            await cluster.wait_for_end(stored.job.job_id)
             await asyncio.sleep(150)
-            answer = await cluster.leader.manager.query(stored.job.job)
-            self.assertEqual(_Answer.ABSENT, answer)
-            key = f'{job_table.JOB_PREFIX}{stored.job.job}'
+            answer = await cluster.leader.manager.query(stored.job.job_id)
+            self.assertEqual(_Reply.ABSENT, answer)
+            key = f'{job_table.JOB_PREFIX}{stored.job.job_id}'
             self.assertIsNone(cluster.store.rows.get(key, part=samples.SHARD))
 
         with_cluster(scenario)
@@ -186,7 +189,7 @@
 
 class TestTakeover(testtools.TestCase):
     def test_next_leader_continues_the_running_tasks(self) -> None:
-        """Guards against accepted jobs that end with their process."""
+        """Guards against accepted jobs that are lost with their process."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 6)
@@ -194,7 +197,7 @@
             await asyncio.sleep(0.15)
             await cluster.replace()
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(6, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -202,49 +205,53 @@
         with_cluster(scenario)
 
     def test_ended_job_is_known_to_the_next_leader(self) -> None:
-        """Guards against states that are lost with a process."""
+        """Guards against final states that are lost with a process."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 1)
             await cluster.leader.manager.accept(stored)
-            await cluster.wait_for_end(stored.job.job)
+            await cluster.wait_for_end(stored.job.job_id)
             await cluster.replace()
             await asyncio.sleep(0.2)
-            answer = await cluster.leader.manager.query(stored.job.job)
-            self.assertEqual(_Answer.COMPLETED, answer)
+            answer = await cluster.leader.manager.query(stored.job.job_id)
+            self.assertEqual(_Reply.COMPLETED, answer)
 
         with_cluster(scenario)
 
     def test_former_leader_stores_nothing_more(self) -> None:
-        """Guards against two owners that both accept jobs of a cell."""
+        """Guards against two leaders that both accept jobs of a shard."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             former = cluster.leader
             cluster.take_over()
             await asyncio.sleep(0.2)
             answer = await former.manager.accept(clusters.make_job(1, 1))
-            self.assertEqual(_Answer.UNKNOWN, answer)
+            self.assertEqual(_Reply.UNKNOWN, answer)
             answer = await former.manager.accept(clusters.make_job(2, 1))
-            self.assertEqual(_Answer.UNAVAILABLE, answer)
+            self.assertEqual(_Reply.UNAVAILABLE, answer)
             await asyncio.sleep(2)
             self.assertEqual([], cluster.rig.records())
 
         with_cluster(scenario)
 
     def test_done_task_is_not_repeated_after_a_crash(self) -> None:
-        """Guards against a second original of what an owner saw done."""
+        """Guards against a second run of a task that has completed.
+
+        The result was received and listed by the former leader, but could
+        not be stored before the crash.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
             await cluster.leader.manager.accept(stored)
-            # The ends are known to the owner and listed, but not stored.
+            # The leader has the results and lists them, but cannot store them.
             cluster.store.is_unavailable = True
             await asyncio.sleep(1.2)
             await cluster.replace()
             await asyncio.sleep(2)
             cluster.store.is_unavailable = False
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -252,7 +259,11 @@
         with_cluster(scenario)
 
     def test_progress_stays_until_the_end_of_the_job_is_stored(self) -> None:
-        """Guards against done tasks of a job that is stored as running."""
+        """Guards against a second run of the tasks of a completed job.
+
+        The progress row must outlive the commit of the final state, else
+        the next leader finds an unfinished job without progress.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
@@ -263,17 +274,17 @@
             await asyncio.sleep(1)
             cluster.store.refused_prefix = ''
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
 
-        # Each row goes into a commit of its own, as in a commit that is full.
+        # One row per commit, as when the previous commit was full.
         self.patch(job_table, 'MAX_ROWS', 1)
         with_cluster(scenario)
 
     def test_failures_count_across_leaders(self) -> None:
-        """Guards against attempts beyond the limit after a crash."""
+        """Guards against failure counts that are lost in a takeover."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 2)
@@ -282,14 +293,14 @@
                 await asyncio.sleep(0.12)
                 await cluster.replace()
             self.assertEqual(
-                'failed', await cluster.wait_for_end(stored.job.job)
+                'failed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual([], cluster.violations())
 
         with_cluster(scenario, failing_percent=100)
 
-    def test_lost_link_to_the_keeper_does_not_stop_its_runs(self) -> None:
-        """Guards against work thrown away for a reset connection."""
+    def test_lost_link_to_the_job_manager_does_not_stop_its_runs(self) -> None:
+        """Guards against runs that are cancelled because of a lost link."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
             stored = clusters.make_job(1, 4)
@@ -297,7 +308,7 @@
             await asyncio.sleep(0.1)
             cluster.leader.relink()
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job)
+                'completed', await cluster.wait_for_end(stored.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
 
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -58,7 +58,7 @@
         self.tested.post(
             messages.Ended(
                 shard=HOME,
-                job=self.tested.job.job,
+                job=self.tested.job.job_id,
                 step=0,
                 index=index,
                 run=run,
@@ -74,7 +74,7 @@
         self.tested.post(
             messages.Declined(
                 shard=shard,
-                job=self.tested.job.job,
+                job=self.tested.job.job_id,
                 step=0,
                 indices=indices,
                 other=other,
@@ -87,7 +87,7 @@
 
     async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.post(open_tasks.LeaderLost(shard=HOME, source=lost))
+        self.tested.post(open_tasks.LeaderLost(shard=HOME, former_leader=lost))
         await asyncio.sleep(0.001)
 
 
