--- a/sardineproxy/bench/slopes_peer.py
+++ b/sardineproxy/bench/slopes_peer.py
@@ -62,11 +62,11 @@
         self.dialed: list[peer.Stream] = []
         self.received = 0
         self._accepted: list[peer.Stream] = []
-        self._ctx = peer.Context(
+        self._ctx = peer.StreamContext(
             clock=slopes_samples.system_clock(),
             metrics=metrics.Metrics(),
-            hello=_hello,
-            free=int,
+            make_hello=_hello,
+            count_free_slots=int,
         )
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
@@ -173,7 +173,7 @@
         ),
         digest='0' * 64,
         epoch=1000,
-        heard=1000,
+        acknowledged_epoch=1000,
         settled=True,
     )
 
--- a/sardineproxy/bench/slopes_samples.py
+++ b/sardineproxy/bench/slopes_samples.py
@@ -76,7 +76,7 @@
 
 def documents(count: int, *, weight: float = 1) -> dict[ids.CustomerId, str]:
     """Return the canonical texts of contracts."""
-    return versions.documents_of(
+    return versions.encode_contracts(
         contracts.Contract(
             customer=f'team-{number}',
             credential_sha256=[_sha256(f'secret-{number}')],
@@ -92,10 +92,10 @@
 
 def change(old: versions.Snapshot, wanted: versions.Documents) -> codec.Payload:
     """Return the change that leads from one version to the next."""
-    changed, removed = versions.difference(old.documents, wanted)
+    changed, removed = versions.diff_documents(old.documents, wanted)
     head = versions.Head(
         number=ids.VersionNumber(old.number + 1),
-        digest=versions.digest_of(wanted),
+        digest=versions.compute_digest(wanted),
         operator='operator',
         apply_id='0' * 32,
     )
@@ -111,7 +111,7 @@
     """Return version 1."""
     return versions.Snapshot(
         number=ids.VersionNumber(1),
-        digest=versions.digest_of(wanted),
+        digest=versions.compute_digest(wanted),
         documents=wanted,
     )
 
--- a/sardineproxy/connection/admin.py
+++ b/sardineproxy/connection/admin.py
@@ -11,7 +11,7 @@
 METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4'
 
 
-class Process(Protocol):
+class AdminSource(Protocol):
     """What the admin listener asks of its process."""
 
     def is_ready(self) -> bool:
@@ -21,10 +21,12 @@
         """Return the state dump, as JSON can hold it."""
 
 
-class Handlers:
+class AdminHandlers:
     """Answers the admin listener's requests."""
 
-    def __init__(self, *, process: Process, metrics: metrics.Metrics) -> None:
+    def __init__(
+        self, *, process: AdminSource, metrics: metrics.Metrics
+    ) -> None:
         """Report on ``process``."""
         self._process = process
         self._metrics = metrics
@@ -52,9 +54,11 @@
         return web.json_response(text=f'{text}\n')
 
 
-def build_app(*, process: Process, metrics: metrics.Metrics) -> web.Application:
+def build_app(
+    *, process: AdminSource, metrics: metrics.Metrics
+) -> web.Application:
     """Return the admin listener's application."""
-    handlers = Handlers(process=process, metrics=metrics)
+    handlers = AdminHandlers(process=process, metrics=metrics)
     app = web.Application()
     app.add_routes(
         [
--- a/sardineproxy/connection/caller.py
+++ b/sardineproxy/connection/caller.py
@@ -8,37 +8,37 @@
 from aiohttp import web
 
 from sardineproxy import clock, ids, problems
-from sardineproxy.connection import edge
+from sardineproxy.connection import caller_connection
 from sardineproxy.request import admission, documents, keys, submissions, work
 
-KINDS = types.MappingProxyType(
+TASK_KINDS = types.MappingProxyType(
     {'requests': work.TaskKind.SINGLE, 'jobs': work.TaskKind.JOB}
 )
-WAITS = types.MappingProxyType({'true': True, 'false': False})
-BEARER = 'bearer '
-BACKLOG = 1024
+WAIT_VALUES = types.MappingProxyType({'true': True, 'false': False})
+BEARER_PREFIX = 'bearer '
+ACCEPT_BACKLOG = 1024
 
-EdgeLimits = edge.EdgeLimits
+ConnectionLimits = caller_connection.ConnectionLimits
 
 
-class Handlers:
+class CallerHandlers:
     """Answers callers' HTTP requests."""
 
     def __init__(
-        self, *, submissions: submissions.Submissions, limits: EdgeLimits
+        self, *, submissions: submissions.Submissions, limits: ConnectionLimits
     ) -> None:
         """Pass on to ``submissions`` what is within the limits."""
         self._submissions = submissions
         self._limits = limits
 
-    async def mint(self, req: web.Request) -> web.Response:
+    async def issue_keys(self, req: web.Request) -> web.Response:
         """Answer ``POST /v1/keys``."""
-        customer, body = await self._enter(req)
+        customer, body = await self._read_request(req)
         if isinstance(customer, result.Err):
             return _refusal(customer.err_value, None)
         if isinstance(body, result.Err):
             return _refusal(body.err_value, None)
-        return edge.render(
+        return caller_connection.render(
             self._submissions.issue_keys(
                 customer=customer.ok_value, body=body.ok_value
             )
@@ -46,11 +46,11 @@
 
     async def submit(self, req: web.Request) -> web.Response:
         """Answer ``POST /v1/requests`` and ``POST /v1/jobs``."""
-        key_text = req.headers.get(edge.KEY_HEADER)
-        customer, body = await self._enter(req)
+        key_text = req.headers.get(caller_connection.KEY_HEADER)
+        customer, body = await self._read_request(req)
         if isinstance(customer, result.Err):
             return _refusal(customer.err_value, key_text)
-        wait = WAITS.get(req.query.get('wait', 'true'))
+        wait = WAIT_VALUES.get(req.query.get('wait', 'true'))
         if wait is None and isinstance(body, result.Ok):
             body = result.Err(_malformed_wait())
         if isinstance(body, result.Err):
@@ -59,58 +59,60 @@
                 key_text=key_text,
                 problem=body.err_value,
             )
-            return edge.render(reply)
+            return caller_connection.render(reply)
         reply = await self._submissions.submit(
             customer=customer.ok_value,
-            kind=KINDS[req.match_info['collection']],
+            kind=TASK_KINDS[req.match_info['collection']],
             key_text=key_text,
             body=body.ok_value,
             wait=wait is not False,
         )
-        return edge.render(reply)
+        return caller_connection.render(reply)
 
     async def status(self, req: web.Request) -> web.Response:
         """Answer ``GET`` on a request or job."""
-        return await self._ask(req, self._submissions.status)
+        return await self._query(req, self._submissions.status)
 
     async def cancel(self, req: web.Request) -> web.Response:
         """Answer ``DELETE`` on a request or job."""
-        return await self._ask(req, self._submissions.cancel)
+        return await self._query(req, self._submissions.cancel)
 
-    async def _ask(
+    async def _query(
         self, req: web.Request, ask: Callable[..., Awaitable[documents.Reply]]
     ) -> web.Response:
         key_text = req.match_info['key']
-        customer, body = await self._enter(req)
+        customer, body = await self._read_request(req)
         if isinstance(customer, result.Err):
             return _refusal(customer.err_value, key_text)
         if isinstance(body, result.Err):
             return _refusal(body.err_value, key_text)
-        return edge.render(
+        return caller_connection.render(
             await ask(customer=customer.ok_value, key_text=key_text)
         )
 
-    async def _enter(
+    async def _read_request(
         self, req: web.Request
-    ) -> tuple[result.Result[ids.CustomerId, problems.Problem], edge.Body]:
+    ) -> tuple[
+        result.Result[ids.CustomerId, problems.Problem], caller_connection.Body
+    ]:
         """Authenticate the caller, and only then read the body."""
         customer = self._authenticate(req)
-        problem = edge.check_head(req, self._limits)
+        problem = caller_connection.check_head(req, self._limits)
         if problem is not None:
             return customer, result.Err(problem)
         if isinstance(customer, result.Err):
             return customer, customer
-        assert isinstance(req.protocol, edge.Connection)
+        assert isinstance(req.protocol, caller_connection.Connection)
         return customer, await req.protocol.read_body(req)
 
     def _authenticate(
         self, req: web.Request
     ) -> result.Result[ids.CustomerId, problems.Problem]:
         header = req.headers.get('Authorization', '')
-        if not header.lower().startswith(BEARER):
+        if not header.lower().startswith(BEARER_PREFIX):
             return result.Err(admission.unauthorized())
         return self._submissions.authenticate(
-            credential=header[len(BEARER) :].strip()
+            credential=header[len(BEARER_PREFIX) :].strip()
         )
 
 
@@ -134,15 +136,15 @@
 def build_app(
     *,
     submissions: submissions.Submissions,
-    limits: EdgeLimits,
+    limits: ConnectionLimits,
     clock: clock.Clock,
 ) -> web.Application:
     """Return the application that serves callers."""
-    handlers = Handlers(submissions=submissions, limits=limits)
+    handlers = CallerHandlers(submissions=submissions, limits=limits)
     app = web.Application(client_max_size=limits.body_bytes)
     collection = '/v1/{collection:requests|jobs}'
     item = f'{collection}/{{key}}'
-    app.router.add_post('/v1/keys', handlers.mint)
+    app.router.add_post('/v1/keys', handlers.issue_keys)
     app.router.add_post(collection, handlers.submit)
     app.router.add_get(item, handlers.status, allow_head=False)
     app.router.add_delete(item, handlers.cancel)
@@ -150,7 +152,7 @@
 
 
 async def start(
-    *, app: web.Application, limits: EdgeLimits, host: str, port: int
+    *, app: web.Application, limits: ConnectionLimits, host: str, port: int
 ) -> Listener:
     """Serve ``app``; port 0 lets the kernel choose."""
     runner = web.AppRunner(app, shutdown_timeout=limits.close_timeout_s)
@@ -158,20 +160,20 @@
     web_server = runner.server
     assert web_server is not None
     loop = asyncio.get_running_loop()
-    load = edge.Load(limits=limits)
+    load = caller_connection.ListenerLoad(limits=limits)
     server = await loop.create_server(
-        lambda: edge.Connection(
+        lambda: caller_connection.Connection(
             web_server, limits=limits, load=load, loop=loop
         ),
         host,
         port,
-        backlog=BACKLOG,
+        backlog=ACCEPT_BACKLOG,
     )
     return Listener(runner=runner, server=server)
 
 
 def _refusal(problem: problems.Problem, key_text: str | None) -> web.Response:
-    return edge.render(
+    return caller_connection.render(
         documents.render_problem(keys.without_issuer_verdict(problem, key_text))
     )
 
--- a/sardineproxy/connection/edge.py
+++ b/sardineproxy/connection/caller_connection.py
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class EdgeLimits:
+class ConnectionLimits:
     """What a caller may send and how long it may take."""
 
     #: Request line and headers together, in bytes.
@@ -98,16 +98,16 @@
     close_timeout_s: float = 10
 
 
-class Load:
+class ListenerLoad:
     """What all connections of one listener use together."""
 
-    def __init__(self, *, limits: EdgeLimits) -> None:
+    def __init__(self, *, limits: ConnectionLimits) -> None:
         """Start with no connections."""
         self._limits = limits
         self.connections = 0
         self.reading_bytes = 0
 
-    def has_room(self, *, reading_bytes: int) -> bool:
+    def has_capacity(self, *, reading_bytes: int) -> bool:
         """Tell whether so many more bytes may be read now."""
         wanted = self.reading_bytes + reading_bytes
         return wanted <= self._limits.reading_bytes
@@ -136,8 +136,8 @@
         self,
         server: web.Server,
         *,
-        limits: EdgeLimits,
-        load: Load,
+        limits: ConnectionLimits,
+        load: ListenerLoad,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
         """Wait for the first request; ``load`` is shared."""
@@ -199,7 +199,7 @@
         size = req.content_length
         if size is None:
             size = self._limits.body_bytes if req.can_read_body else 0
-        if not self._load.has_room(reading_bytes=size):
+        if not self._load.has_capacity(reading_bytes=size):
             return result.Err(admission.overloaded())
         self._load.reading_bytes += size
         try:
@@ -328,7 +328,9 @@
         )
 
 
-def check_head(req: web.Request, limits: EdgeLimits) -> problems.Problem | None:
+def check_head(
+    req: web.Request, limits: ConnectionLimits
+) -> problems.Problem | None:
     """Return why the head is refused, if so."""
     size = len(req.raw_path) + sum(
         len(name) + len(text) + HEADER_LINE_EXTRA
--- a/sardineproxy/connection/codec.py
+++ b/sardineproxy/connection/codec.py
@@ -26,13 +26,13 @@
 MAX_NUMBER = 2**53
 
 #: Error of a stream that ended between two frames.
-CLOSED = 'closed'
+STREAM_CLOSED = 'closed'
 
 _CHUNK_BYTES = 65_536
 
 _LENGTH = struct.Struct('>I')
 
-Check = Callable[[Any], bool]
+FieldCheck = Callable[[Any], bool]
 
 
 def text(found: Any) -> bool:
@@ -89,7 +89,7 @@
     return isinstance(found, tuple) and all(map(count, found))
 
 
-def rows(*checks: Check) -> Check:
+def rows(*checks: FieldCheck) -> FieldCheck:
     """Return the check of a list of tuples with these columns."""
 
     def check_rows(found: Any) -> bool:  # noqa: WPS430
@@ -100,12 +100,12 @@
     return check_rows
 
 
-def checked(check: Check) -> Any:
+def checked_field(check: FieldCheck) -> Any:
     """Return a data class field with a check."""
     return dataclasses.field(metadata={'check': check})
 
 
-def _matches(row: tuple[Any, ...], checks: tuple[Check, ...]) -> bool:
+def _matches(row: tuple[Any, ...], checks: tuple[FieldCheck, ...]) -> bool:
     return len(row) == len(checks) and all(
         check(cell) for check, cell in zip(checks, row)
     )
@@ -116,7 +116,7 @@
     """A message and the number that rode on its frame."""
 
     message: Any
-    note: int
+    header: int
 
 
 class Codec:
@@ -137,11 +137,11 @@
             for kind in kinds
         }
 
-    def encode(self, message: Any, *, note: int) -> result.Result[bytes, str]:
+    def encode(self, message: Any, *, header: int) -> result.Result[bytes, str]:
         """Return a frame with its length prefix, or why it is too large."""
         kind = type(message)
         fields = [getattr(message, name) for name in self._names[kind]]
-        body = msgpack.packb([self._numbers[kind], note, *fields])
+        body = msgpack.packb([self._numbers[kind], header, *fields])
         if len(body) > MAX_FRAME_BYTES:
             return result.Err(f'{kind.__name__} has {len(body)} bytes')
         return result.Ok(_LENGTH.pack(len(body)) + body)
@@ -162,16 +162,16 @@
         except (ValueError, RecursionError) as exc:
             return result.Err(f'not msgpack: {type(exc).__name__}')
         if not isinstance(parts, tuple) or len(parts) < 2:
-            return result.Err('not an array of type, note and fields')
-        number, note = parts[:2]
-        if not (count(number) and number < len(self._kinds) and count(note)):
+            return result.Err('not an array of type, header and fields')
+        number, header = parts[:2]
+        if not (count(number) and number < len(self._kinds) and count(header)):
             return result.Err('unknown frame type')
         kind = self._kinds[number]
         fields = parts[2:]
         if not _matches(fields, self._checks[kind]):
             return result.Err(f'malformed fields of {kind.__name__}')
         message = kind(**dict(zip(self._names[kind], fields)))
-        return result.Ok(Envelope(message=message, note=note))
+        return result.Ok(Envelope(message=message, header=header))
 
 
 class FrameReader:
@@ -199,7 +199,9 @@
             except OSError as exc:
                 return result.Err(f'stream failed: {exc.strerror}')
             if not chunk:
-                return result.Err('truncated' if self._pending else CLOSED)
+                return result.Err(
+                    'truncated' if self._pending else STREAM_CLOSED
+                )
             self._pending += chunk
 
     def _size(self) -> int:
--- a/sardineproxy/connection/cutoff.py
+++ b/sardineproxy/connection/deadlines.py
@@ -11,7 +11,7 @@
 MAX_ENDED = 64
 
 
-class Entry:
+class Deadline:
     """One coroutine with a deadline."""
 
     __slots__ = ('task', 'cancelling', 'is_open', 'is_expired')
@@ -24,23 +24,23 @@
         self.is_expired = False
 
 
-class Cutoff:
+class DeadlineTimer:
     """Cancels coroutines at their deadlines."""
 
     def __init__(self) -> None:
         """Start without entries."""
-        self._heap: list[tuple[float, int, Entry]] = []
+        self._heap: list[tuple[float, int, Deadline]] = []
         self._last_number = 0
         self._open = 0
         self._handle: asyncio.TimerHandle | None = None
 
-    def enter(self, *, left_s: float) -> Entry:
-        """Cancel the current task in ``left_s`` unless it leaves before."""
+    def start(self, *, timeout_s: float) -> Deadline:
+        """Cancel the current task in ``timeout_s`` unless it leaves before."""
         loop = asyncio.get_running_loop()
         task = asyncio.current_task()
         assert task is not None
-        entry = Entry(task)
-        due = loop.time() + left_s
+        entry = Deadline(task)
+        due = loop.time() + timeout_s
         self._open += 1
         self._last_number += 1
         if len(self._heap) > 2 * self._open + MAX_ENDED:
@@ -51,7 +51,7 @@
             self._set_timer(due)
         return entry
 
-    def leave(self, entry: Entry) -> bool:
+    def finish(self, entry: Deadline) -> bool:
         """End the watch; tell whether the deadline cancelled the task.
 
         If so, a ``CancelledError`` that ends the coroutine is a time-out,
--- a/sardineproxy/connection/endpoint.py
+++ b/sardineproxy/connection/endpoint.py
@@ -15,7 +15,7 @@
 from aiohttp import http
 
 from sardineproxy import clock, ids, problems
-from sardineproxy.connection import cutoff, endpoint_pool
+from sardineproxy.connection import deadlines, endpoint_pool
 from sardineproxy.process import metrics, platform
 from sardineproxy.request import work
 
@@ -67,7 +67,7 @@
     aiohttp.ClientError,
     http.HttpProcessingError,
     OSError,
-    endpoint_pool.NotWholeError,
+    endpoint_pool.InvalidResponseError,
 )
 
 
@@ -85,17 +85,17 @@
     #: A connection is used again only after this time, in seconds, while the
     #: endpoint takes further ones: an endpoint that answers twice would
     #: otherwise shift all later answers on it by one.
-    rest_s: float = 0.01
+    min_idle_s: float = 0.01
 
     #: Most connections to an endpoint, whatever the list says.
     max_connections: int = 64
 
     #: Largest answer of an endpoint, in bytes.
-    max_answer_bytes: int = 8_388_608
+    max_response_bytes: int = 8_388_608
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Lost(work.OutcomeUnknown):
+class ResponseLost(work.OutcomeUnknown):
     """No whole answer came from a known endpoint."""
 
     endpoint: ids.EndpointId
@@ -116,14 +116,16 @@
         self._metrics = metrics
         self._cfg = cfg or Config()
         self._session: aiohttp.ClientSession | None = None
-        self._cutoff = cutoff.Cutoff()
-        self._gates: dict[tuple[str, int], endpoint_pool.Gate] = {}
+        self._deadline_timer = deadlines.DeadlineTimer()
+        self._limiters: dict[
+            tuple[str, int], endpoint_pool.ConnectionLimiter
+        ] = {}
 
     async def start(self) -> None:
         """Open the session on the running event loop."""
         self._session = aiohttp.ClientSession(
             connector=endpoint_pool.Connector(
-                rest_s=self._cfg.rest_s,
+                min_idle_s=self._cfg.min_idle_s,
                 limit=0,
                 keepalive_timeout=self._cfg.keepalive_s,
             ),
@@ -141,7 +143,7 @@
 
     async def close(self) -> None:
         """Close all connections."""
-        self._cutoff.close()
+        self._deadline_timer.close()
         if self._session is not None:
             await self._session.close()
 
@@ -149,8 +151,8 @@
         self, *, task: work.Task, vm: platform.Vm
     ) -> work.Outcome:
         """Run ``task`` once at ``vm`` and return its outcome."""
-        left_s = task.deadline - self._clock.now()
-        if left_s <= 0:
+        timeout_s = task.deadline - self._clock.now()
+        if timeout_s <= 0:
             return work.Refused(problem=deadline_passed())
         headers = _request_headers(task.headers)
         if headers is None or not _is_sound(task.method, task.path):
@@ -158,23 +160,23 @@
         self._metrics.count('endpoint_attempts_total', kind=task.kind.value)
         exchange = endpoint_pool.Exchange()
         endpoint_pool.current_exchange.set(exchange)
-        watch = self._cutoff.enter(left_s=left_s)
+        watch = self._deadline_timer.start(timeout_s=timeout_s)
         try:
-            return await self._pass_gate(task, vm, headers, exchange)
+            return await self._limited_exchange(task, vm, headers, exchange)
         except asyncio.CancelledError:
-            if not self._cutoff.leave(watch):
+            if not self._deadline_timer.finish(watch):
                 raise
             outcome = _cut_off(vm, exchange)
         except _ATTEMPT_ERRORS as exc:
             outcome = _failed(vm, exchange, exc)
         finally:
-            self._cutoff.leave(watch)
+            self._deadline_timer.finish(watch)
         self._metrics.count(
             'endpoint_attempts_failed_total', code=outcome.problem.code
         )
         return outcome
 
-    async def _pass_gate(
+    async def _limited_exchange(
         self,
         task: work.Task,
         vm: platform.Vm,
@@ -183,20 +185,22 @@
     ) -> work.Response:
         """Keep within the number of connections that the endpoint takes."""
         key = (vm.host, vm.port)
-        gate = self._gates.get(key)
-        if gate is None:
-            most = self._cfg.max_connections
-            gate = endpoint_pool.Gate(most=min(vm.connections or most, most))
-            self._gates[key] = gate
-        if not gate.try_enter():
-            await gate.wait()
-        exchange.idle_room = gate.most - gate.inside
+        limiter = self._limiters.get(key)
+        if limiter is None:
+            limit = self._cfg.max_connections
+            limiter = endpoint_pool.ConnectionLimiter(
+                limit=min(vm.connections or limit, limit)
+            )
+            self._limiters[key] = limiter
+        if not limiter.try_acquire():
+            await limiter.acquire()
+        exchange.max_idle = limiter.limit - limiter.in_use
         try:
             return await self._exchange(task, vm, headers, exchange)
         finally:
-            gate.leave()
-            if not gate.inside:
-                self._gates.pop(key, None)
+            limiter.release()
+            if not limiter.in_use:
+                self._limiters.pop(key, None)
 
     async def _exchange(
         self,
@@ -221,7 +225,7 @@
             body = await self._read_body(reply, framing)
             on_failure.pop_all()
         assert exchange.protocol is not None
-        exchange.protocol.approve(framing)
+        exchange.protocol.mark_complete(framing)
         return work.Response(
             status=reply.status,
             headers=kept,
@@ -232,9 +236,9 @@
     async def _read_body(
         self, reply: aiohttp.ClientResponse, framing: endpoint_pool.Framing
     ) -> bytes:
-        most = self._cfg.max_answer_bytes
-        if framing.length is not None and framing.length > most:
-            raise endpoint_pool.NotWholeError('answer_too_large')
+        limit = self._cfg.max_response_bytes
+        if framing.length is not None and framing.length > limit:
+            raise endpoint_pool.InvalidResponseError('answer_too_large')
         parts = []
         size = 0
         while size != framing.length:
@@ -243,10 +247,10 @@
                 break
             parts.append(part)
             size += len(part)
-            if size > most:
-                raise endpoint_pool.NotWholeError('answer_too_large')
+            if size > limit:
+                raise endpoint_pool.InvalidResponseError('answer_too_large')
         if framing.length is not None and size != framing.length:
-            raise endpoint_pool.NotWholeError('wrong_length')
+            raise endpoint_pool.InvalidResponseError('wrong_length')
         return parts[0] if len(parts) == 1 else b''.join(parts)
 
 
@@ -319,14 +323,14 @@
     status: int, method: str, lengths: list[str], codings: list[str]
 ) -> endpoint_pool.Framing:
     if status < _FIRST_FINAL_STATUS or len(lengths) + len(codings) > 1:
-        raise endpoint_pool.NotWholeError('malformed_answer')
+        raise endpoint_pool.InvalidResponseError('malformed_answer')
     if method == 'HEAD' or status in _BODILESS_STATUSES:
         return endpoint_pool.Framing(length=0)
     if [coding.lower() for coding in codings] == ['chunked']:
         return endpoint_pool.Framing(length=None)
     # A body that ends with the connection may have been cut anywhere.
     if not lengths or not lengths[0].isdecimal():
-        raise endpoint_pool.NotWholeError('unknown_length')
+        raise endpoint_pool.InvalidResponseError('unknown_length')
     return endpoint_pool.Framing(length=int(lengths[0]))
 
 
@@ -365,10 +369,10 @@
         )
     cause = (
         str(exc)
-        if isinstance(exc, endpoint_pool.NotWholeError)
+        if isinstance(exc, endpoint_pool.InvalidResponseError)
         else type(exc).__name__
     )
-    return Lost(
+    return ResponseLost(
         endpoint=ids.EndpointId(vm.name),
         problem=problems.doubt(
             code='no_whole_answer',
--- a/sardineproxy/connection/endpoint_pool.py
+++ b/sardineproxy/connection/endpoint_pool.py
@@ -27,29 +27,29 @@
     length: int | None
 
 
-class NotWholeError(Exception):
+class InvalidResponseError(Exception):
     """The answer cannot be trusted to be whole."""
 
 
-class Gate:
+class ConnectionLimiter:
     """Bound of the attempts at one endpoint at once."""
 
-    def __init__(self, *, most: int) -> None:
-        """Let ``most`` attempts in."""
-        self.inside = 0
-        self.most = most
+    def __init__(self, *, limit: int) -> None:
+        """Let ``limit`` attempts in."""
+        self.in_use = 0
+        self.limit = limit
         self._waiters: collections.deque[asyncio.Future[None]] = (
             collections.deque()
         )
 
-    def try_enter(self) -> bool:
+    def try_acquire(self) -> bool:
         """Enter if there is room."""
-        if self.inside >= self.most:
+        if self.in_use >= self.limit:
             return False
-        self.inside += 1
+        self.in_use += 1
         return True
 
-    async def wait(self) -> None:
+    async def acquire(self) -> None:
         """Enter when an attempt leaves."""
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
@@ -57,17 +57,17 @@
             await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                self.leave()
+                self.release()
             raise
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Make room, or hand the place to the first waiter."""
         while self._waiters:
             waiter = self._waiters.popleft()
             if not waiter.done():
                 waiter.set_result(None)
                 return
-        self.inside -= 1
+        self.in_use -= 1
 
 
 class Exchange:
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         """Start without a connection."""
         #: Idle connections that the endpoint's bound leaves room for.
-        self.idle_room = 0
+        self.max_idle = 0
 
         #: Set when a connection is handed over; bytes may leave from then on.
         self.protocol: Protocol | None = None
@@ -101,7 +101,7 @@
         self._last = b''
         self._poller: select.poll | None = None
 
-    def begin(self) -> None:
+    def begin_exchange(self) -> None:
         """Note that a request is about to be written."""
         self.exchanges += 1
         self._received = 0
@@ -118,7 +118,7 @@
                 self._find_head(data)
         super().data_received(data)
 
-    def approve(self, framing: Framing) -> None:
+    def mark_complete(self, framing: Framing) -> None:
         """Note that a whole answer was read; raise if more bytes follow it."""
         if framing.length is None:
             if self._last.endswith(_LAST_CHUNK):
@@ -127,7 +127,7 @@
         body_size = self._received - self._head_size
         if self._head_size and body_size != framing.length:
             self.force_close()
-            raise NotWholeError('wrong_length')
+            raise InvalidResponseError('wrong_length')
         if self._head_size:
             self._approved = self._received
 
@@ -173,10 +173,10 @@
 class Connector(aiohttp.TCPConnector):
     """Hands out clean connections, one for each attempt."""
 
-    def __init__(self, *, rest_s: float, **options: Any) -> None:
+    def __init__(self, *, min_idle_s: float, **options: Any) -> None:
         """Make connections that count what they receive."""
         super().__init__(**options)
-        self._rest_s = rest_s
+        self._rest_s = min_idle_s
         self._factory = functools.partial(  # type: ignore[assignment]
             Protocol, loop=self._loop
         )
@@ -191,7 +191,7 @@
             protocol = conn.protocol
             assert isinstance(protocol, Protocol)
             if protocol.is_reusable():
-                protocol.begin()
+                protocol.begin_exchange()
                 exchange.protocol = protocol
                 return conn
             conn.close()
@@ -207,7 +207,7 @@
         request is written. Idle connections come oldest first.
         """
         idle = self._conns.get(key)
-        if idle and len(idle) <= current_exchange.get().idle_room:
+        if idle and len(idle) <= current_exchange.get().max_idle:
             if time.monotonic() - idle[0][1] < self._rest_s:
                 return None
         return await super()._get(key, traces)
--- a/sardineproxy/connection/frames.py
+++ b/sardineproxy/connection/frames.py
@@ -15,51 +15,51 @@
 MAX_PAYLOAD_BYTES = MAX_FRAME_BYTES - 64
 
 #: Error of a stream that ended between two frames.
-CLOSED = codec.CLOSED
+STREAM_CLOSED = codec.STREAM_CLOSED
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Hello:
     """First frame each way: who is at this end."""
 
-    vm: ids.VmId = codec.checked(codec.text)
-    incarnation: ids.Incarnation = codec.checked(codec.text)
-    zone: ids.ZoneId = codec.checked(codec.text)
+    vm: ids.VmId = codec.checked_field(codec.text)
+    incarnation: ids.Incarnation = codec.checked_field(codec.text)
+    zone: ids.ZoneId = codec.checked_field(codec.text)
 
     #: Number of the configuration version, 0 for none.
-    version: int = codec.checked(codec.count)
+    version: int = codec.checked_field(codec.count)
 
     #: Revision of the list of VMs.
-    revision: int = codec.checked(codec.count)
+    revision: int = codec.checked_field(codec.count)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
     """Sign of life on an otherwise idle stream."""
 
-    version: int = codec.checked(codec.count)
-    revision: int = codec.checked(codec.count)
+    version: int = codec.checked_field(codec.count)
+    revision: int = codec.checked_field(codec.count)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class View:
     """The sender's present membership view of its zone."""
 
-    members: tuple[tuple[ids.VmId, ids.Incarnation], ...] = codec.checked(
+    members: tuple[tuple[ids.VmId, ids.Incarnation], ...] = codec.checked_field(
         codec.rows(codec.text, codec.text)
     )
 
     #: Digest over members, their sizes, and the endpoints of the listing.
-    digest: str = codec.checked(codec.text)
+    digest: str = codec.checked_field(codec.text)
 
     #: Number of the sender's view; rises with each change.
-    epoch: int = codec.checked(codec.count)
+    epoch: int = codec.checked_field(codec.count)
 
     #: The receiver's newest epoch that the sender has seen, 0 for none.
-    heard: int = codec.checked(codec.count)
+    acknowledged_epoch: int = codec.checked_field(codec.count)
 
     #: True if the sender uses no more than this view gives it.
-    settled: bool = codec.checked(codec.flag)
+    settled: bool = codec.checked_field(codec.flag)
 
 
 #: Customer, contract weight, and slots wanted.
@@ -73,24 +73,24 @@
 class SlotRequest:
     """Asks for loans, or for lent slots."""
 
-    number: int = codec.checked(codec.count)
-    wants: tuple[Want, ...] = codec.checked(
+    number: int = codec.checked_field(codec.count)
+    wants: tuple[Want, ...] = codec.checked_field(
         codec.rows(codec.text, codec.weight, codec.count)
     )
 
     #: Endpoints whose borrowed slots the sender wants back.
-    recall: tuple[ids.EndpointId, ...] = codec.checked(codec.texts)
+    recall: tuple[ids.EndpointId, ...] = codec.checked_field(codec.texts)
 
     #: True if the sender wants all its borrowed slots that are idle.
-    reclaim: bool = codec.checked(codec.flag)
+    reclaim: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SlotGrant:
     """Lends slots in answer to the request ``number``, at once or later."""
 
-    number: int = codec.checked(codec.count)
-    lots: tuple[Lot, ...] = codec.checked(
+    number: int = codec.checked_field(codec.count)
+    lots: tuple[Lot, ...] = codec.checked_field(
         codec.rows(codec.text, codec.text, codec.count)
     )
 
@@ -99,7 +99,7 @@
 class SlotReturn:
     """Gives borrowed slots back."""
 
-    lots: tuple[Lot, ...] = codec.checked(
+    lots: tuple[Lot, ...] = codec.checked_field(
         codec.rows(codec.text, codec.text, codec.count)
     )
 
@@ -108,40 +108,40 @@
 class Forward:
     """A submission, or a question about one, for the minter of its key."""
 
-    number: int = codec.checked(codec.count)
-    payload: bytes = codec.checked(codec.blob)
+    number: int = codec.checked_field(codec.count)
+    payload: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardReply:
     """The reply to the forward with this number."""
 
-    number: int = codec.checked(codec.count)
-    payload: bytes = codec.checked(codec.blob)
+    number: int = codec.checked_field(codec.count)
+    payload: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigAnnounce:
     """Tells that the sender has a newer version or listing."""
 
-    version: int = codec.checked(codec.count)
-    revision: int = codec.checked(codec.count)
+    version: int = codec.checked_field(codec.count)
+    revision: int = codec.checked_field(codec.count)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigFetch:
     """Asks for what is newer than this version and this listing."""
 
-    version: int = codec.checked(codec.count)
-    revision: int = codec.checked(codec.count)
+    version: int = codec.checked_field(codec.count)
+    revision: int = codec.checked_field(codec.count)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigChanges:
     """Newer changes and the newer listing, None where there are none."""
 
-    changes: bytes | None = codec.checked(codec.blob_or_none)
-    listing: bytes | None = codec.checked(codec.blob_or_none)
+    changes: bytes | None = codec.checked_field(codec.blob_or_none)
+    listing: bytes | None = codec.checked_field(codec.blob_or_none)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -170,11 +170,11 @@
     """A frame, and how many slots its sender could lend."""
 
     frame: Frame
-    free: int
+    free_slots: int
 
 
 #: The position is the type number on the wire; append only.
-KINDS: tuple[type, ...] = (
+FRAME_TYPES: tuple[type, ...] = (
     Hello,
     Heartbeat,
     View,
@@ -188,12 +188,12 @@
     ConfigChanges,
     Goodbye,
 )
-_CODEC = codec.Codec(*KINDS)
+_CODEC = codec.Codec(*FRAME_TYPES)
 
 
-def encode(frame: Frame, *, free: int = 0) -> result.Result[bytes, str]:
+def encode(frame: Frame, *, free_slots: int = 0) -> result.Result[bytes, str]:
     """Return the frame with its length prefix, or why it is too large."""
-    return _CODEC.encode(frame, note=free)
+    return _CODEC.encode(frame, header=free_slots)
 
 
 def decode(body: bytes) -> result.Result[Envelope, str]:
@@ -215,4 +215,4 @@
 
 
 def _to_envelope(received: codec.Envelope) -> Envelope:
-    return Envelope(frame=received.message, free=received.note)
+    return Envelope(frame=received.message, free_slots=received.header)
--- a/sardineproxy/connection/link.py
+++ b/sardineproxy/connection/link.py
@@ -43,8 +43,8 @@
         self._writer = writer
         self.dialed = dialed
         self.opened_at = clock.now()
-        self.heard_at = self.opened_at
-        self.sent_at = self.heard_at
+        self.last_received_at = self.opened_at
+        self.last_sent_at = self.last_received_at
 
         #: Who is at the other end, set by ``handshake``.
         self.peer: messages.Greeting
@@ -71,14 +71,14 @@
         received = await self._frames.read()
         if isinstance(received, result.Err):
             return received
-        self.heard_at = self._clock.now()
+        self.last_received_at = self._clock.now()
         return result.Ok(received.ok_value.message)
 
     def send(self, message: messages.Message) -> bool:
         """Queue a message; False if it cannot be sent."""
         if self._writer.is_closing():
             return False
-        encoded = messages.CODEC.encode(message, note=0)
+        encoded = messages.CODEC.encode(message, header=0)
         if isinstance(encoded, result.Err):
             _LOG.error('message not sent: %s', encoded.err_value)
             return False
@@ -86,7 +86,7 @@
             self.abort()
             return False
         self._writer.write(encoded.ok_value)
-        self.sent_at = self._clock.now()
+        self.last_sent_at = self._clock.now()
         return True
 
     async def flush(self) -> None:
@@ -104,6 +104,6 @@
         self._writer.transport.abort()
 
 
-def is_regular_end(why: str) -> bool:
+def is_clean_close(why: str) -> bool:
     """Tell whether a link ended between two messages."""
-    return why == codec.CLOSED
+    return why == codec.STREAM_CLOSED
--- a/sardineproxy/connection/messages.py
+++ b/sardineproxy/connection/messages.py
@@ -10,32 +10,32 @@
 class Greeting:
     """First message each way: who is at this end."""
 
-    vm: ids.VmId = codec.checked(codec.text)
-    incarnation: ids.Incarnation = codec.checked(codec.text)
-    zone: ids.ZoneId = codec.checked(codec.text)
+    vm: ids.VmId = codec.checked_field(codec.text)
+    incarnation: ids.Incarnation = codec.checked_field(codec.text)
+    zone: ids.ZoneId = codec.checked_field(codec.text)
 
 
 #: Cell, its epoch, the rank of the claim, how many more average tasks the
 #: cell could start now, and whether all its stored jobs are known.
-Offer = tuple[ids.ShardId, int, int, int, bool]
+ShardStatus = tuple[ids.ShardId, int, int, int, bool]
 
 #: Route, and how many of its stored jobs have not begun.
-Pending = tuple[ids.RouteId, int]
+PendingJobs = tuple[ids.RouteId, int]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Beat:
+class Heartbeat:
     """Sign of life: newest configuration, and the cells that are owned."""
 
-    version: int = codec.checked(codec.count)
-    shards: tuple[Offer, ...] = codec.checked(
+    version: int = codec.checked_field(codec.count)
+    shards: tuple[ShardStatus, ...] = codec.checked_field(
         codec.rows(
             codec.text, codec.count, codec.count, codec.count, codec.flag
         )
     )
 
     #: Stored jobs that wait, of the cells that are owned.
-    pending: tuple[Pending, ...] = codec.checked(
+    pending: tuple[PendingJobs, ...] = codec.checked_field(
         codec.rows(codec.text, codec.count)
     )
 
@@ -47,122 +47,122 @@
     Sent again to a new owner of the cell, it takes over what still runs.
     """
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    job: ids.JobId = codec.checked(codec.text)
-    step: int = codec.checked(codec.count)
-    route: ids.RouteId = codec.checked(codec.text)
-    service: ids.ServiceId = codec.checked(codec.text)
-    priority: int = codec.checked(codec.count)
-    payload: str = codec.checked(codec.payload_text)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    job: ids.JobId = codec.checked_field(codec.text)
+    step: int = codec.checked_field(codec.count)
+    route: ids.RouteId = codec.checked_field(codec.text)
+    service: ids.ServiceId = codec.checked_field(codec.text)
+    priority: int = codec.checked_field(codec.count)
+    payload: str = codec.checked_field(codec.payload_text)
 
     #: Index of each task, and the number of its next run.
-    tasks: tuple[tuple[int, int], ...] = codec.checked(
+    tasks: tuple[tuple[int, int], ...] = codec.checked_field(
         codec.rows(codec.count, codec.count)
     )
-    millicores: int = codec.checked(codec.count)
-    memory_mb: int = codec.checked(codec.count)
-    gpus: int = codec.checked(codec.count)
+    millicores: int = codec.checked_field(codec.count)
+    memory_mb: int = codec.checked_field(codec.count)
+    gpus: int = codec.checked_field(codec.count)
 
     #: Label that a worker must have, empty for none.
-    requires: str = codec.checked(codec.text)
+    requires: str = codec.checked_field(codec.text)
 
     #: Rack that has the tasks' data, empty for none.
-    rack: str = codec.checked(codec.text)
+    rack: str = codec.checked_field(codec.text)
 
     #: Most tasks of the step on one worker, 0 for any number.
-    per_worker: int = codec.checked(codec.count)
+    per_worker: int = codec.checked_field(codec.count)
 
     #: The client's estimate of a task's run time, in seconds.
-    estimate_s: float = codec.checked(codec.seconds)
+    estimate_s: float = codec.checked_field(codec.seconds)
 
     #: Time since the job arrived, in seconds.
-    age_s: float = codec.checked(codec.seconds)
+    age_s: float = codec.checked_field(codec.seconds)
 
     #: Time until the client stops waiting, in seconds.
-    left_s: float = codec.checked(codec.seconds)
+    timeout_s: float = codec.checked_field(codec.seconds)
 
     #: The job is on time within ``stretch`` times its longest task and
     #: ``slack_s`` seconds more.
-    stretch: float = codec.checked(codec.seconds)
-    slack_s: float = codec.checked(codec.seconds)
+    stretch: float = codec.checked_field(codec.seconds)
+    slack_s: float = codec.checked_field(codec.seconds)
 
     #: True if runs of these tasks may exist in the cell.
-    resumed: bool = codec.checked(codec.flag)
+    resumed: bool = codec.checked_field(codec.flag)
 
     #: True if other tasks of the job may have started.
-    begun: bool = codec.checked(codec.flag)
+    job_started: bool = codec.checked_field(codec.flag)
 
     #: True if the tasks may not be sent on to another cell.
-    firm: bool = codec.checked(codec.flag)
+    pinned: bool = codec.checked_field(codec.flag)
 
     #: True if the job is stored: its ends are acknowledged to workers only
-    #: after ``EndsNoted``.
-    stored: bool = codec.checked(codec.flag)
+    #: after ``ResultsStored``.
+    stored: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Withdraw:
     """The sender no longer wants anything of a job in a cell."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    job: ids.JobId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    job: ids.JobId = codec.checked_field(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ended:
+class RunEnded:
     """A run of a task ended, or can no longer exist."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    job: ids.JobId = codec.checked(codec.text)
-    step: int = codec.checked(codec.count)
-    index: int = codec.checked(codec.count)
-    run: int = codec.checked(codec.count)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    job: ids.JobId = codec.checked_field(codec.text)
+    step: int = codec.checked_field(codec.count)
+    index: int = codec.checked_field(codec.count)
+    run: int = codec.checked_field(codec.count)
 
     #: A ``TaskEnd`` value.
-    how: str = codec.checked(codec.text)
+    result: str = codec.checked_field(codec.text)
 
     #: True if it is for the keeper of a stored job.
-    stored: bool = codec.checked(codec.flag)
+    stored: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Declined:
     """Tasks that were not started and will not be."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    job: ids.JobId = codec.checked(codec.text)
-    step: int = codec.checked(codec.count)
-    indices: tuple[int, ...] = codec.checked(codec.counts)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    job: ids.JobId = codec.checked_field(codec.text)
+    step: int = codec.checked_field(codec.count)
+    indices: tuple[int, ...] = codec.checked_field(codec.counts)
 
     #: Cell that may have room for them, empty for none.
-    other: str = codec.checked(codec.text)
+    suggested_shard: str = codec.checked_field(codec.text)
 
     #: Why, in a few words.
-    cause: str = codec.checked(codec.text)
+    cause: str = codec.checked_field(codec.text)
 
     #: Seconds after which there may be room again.
-    retry_s: float = codec.checked(codec.seconds)
+    retry_after_s: float = codec.checked_field(codec.seconds)
 
     #: True if it is for the keeper of a stored job.
-    stored: bool = codec.checked(codec.flag)
+    stored: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Disowned:
+class ShardReleased:
     """The sender no longer owns the cell."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked_field(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TakeOver:
     """Asks the receiver to claim a cell: its owner shuts down."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked_field(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class DirectoryAsk:
+class DirectoryRequest:
     """Asks for the directory of VMs and claims."""
 
 
@@ -171,123 +171,123 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class DirectoryGive:
+class DirectoryResponse:
     """The directory of VMs and claims."""
 
-    rows: tuple[DirectoryRow, ...] = codec.checked(
+    rows: tuple[DirectoryRow, ...] = codec.checked_field(
         codec.rows(codec.text, codec.count, codec.blob)
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class VersionAsk:
+class VersionRequest:
     """Asks for the configuration version that the receiver has in force."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class VersionGive:
+class VersionResponse:
     """The configuration version that the sender has in force."""
 
-    number: int = codec.checked(codec.count)
+    number: int = codec.checked_field(codec.count)
 
     #: Its body, compressed by zlib.
-    packed: bytes = codec.checked(codec.blob)
+    packed: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class JobBegun:
+class JobStarted:
     """A task of a stored job was ordered."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    job: ids.JobId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    job: ids.JobId = codec.checked_field(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class EndsNoted:
+class ResultsStored:
     """Ends of a stored job's tasks are stored: workers may forget them."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    job: ids.JobId = codec.checked(codec.text)
-    step: int = codec.checked(codec.count)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    job: ids.JobId = codec.checked_field(codec.text)
+    step: int = codec.checked_field(codec.count)
 
     #: Index of each task, and the number of the run that ended.
-    ends: tuple[tuple[int, int], ...] = codec.checked(
+    runs: tuple[tuple[int, int], ...] = codec.checked_field(
         codec.rows(codec.count, codec.count)
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class KeepJob:
+class StoreJob:
     """Asks the owner of a job's home cell to store it."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
+    shard: ids.ShardId = codec.checked_field(codec.text)
 
     #: Number by which the answer is told from others.
-    token: int = codec.checked(codec.count)
+    request_id: int = codec.checked_field(codec.count)
 
     #: The job as it is stored.
-    record: bytes = codec.checked(codec.blob)
+    record: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class AskJob:
+class QueryJob:
     """Asks for the state of a stored job, or cancels it."""
 
-    shard: ids.ShardId = codec.checked(codec.text)
-    token: int = codec.checked(codec.count)
-    job: ids.JobId = codec.checked(codec.text)
-    cancel: bool = codec.checked(codec.flag)
+    shard: ids.ShardId = codec.checked_field(codec.text)
+    request_id: int = codec.checked_field(codec.count)
+    job: ids.JobId = codec.checked_field(codec.text)
+    cancel: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class TellJob:
-    """Answers ``KeepJob`` and ``AskJob``."""
+class JobResponse:
+    """Answers ``StoreJob`` and ``QueryJob``."""
 
-    token: int = codec.checked(codec.count)
+    request_id: int = codec.checked_field(codec.count)
 
     #: A ``KeeperAnswer`` value.
-    answer: str = codec.checked(codec.text)
+    answer: str = codec.checked_field(codec.text)
 
 
 Message = (
     Greeting
-    | Beat
+    | Heartbeat
     | Submit
     | Withdraw
-    | Ended
+    | RunEnded
     | Declined
-    | Disowned
+    | ShardReleased
     | TakeOver
-    | DirectoryAsk
-    | DirectoryGive
-    | VersionAsk
-    | VersionGive
-    | JobBegun
-    | EndsNoted
-    | KeepJob
-    | AskJob
-    | TellJob
+    | DirectoryRequest
+    | DirectoryResponse
+    | VersionRequest
+    | VersionResponse
+    | JobStarted
+    | ResultsStored
+    | StoreJob
+    | QueryJob
+    | JobResponse
 )
 
 #: The position is the type number on the wire; append only.
-KINDS: tuple[type, ...] = (
+MESSAGE_TYPES: tuple[type, ...] = (
     Greeting,
-    Beat,
+    Heartbeat,
     Submit,
     Withdraw,
-    Ended,
+    RunEnded,
     Declined,
-    Disowned,
+    ShardReleased,
     TakeOver,
-    DirectoryAsk,
-    DirectoryGive,
-    VersionAsk,
-    VersionGive,
-    JobBegun,
-    EndsNoted,
-    KeepJob,
-    AskJob,
-    TellJob,
+    DirectoryRequest,
+    DirectoryResponse,
+    VersionRequest,
+    VersionResponse,
+    JobStarted,
+    ResultsStored,
+    StoreJob,
+    QueryJob,
+    JobResponse,
 )
 
-CODEC = codec.Codec(*KINDS)
+CODEC = codec.Codec(*MESSAGE_TYPES)
--- a/sardineproxy/connection/peer.py
+++ b/sardineproxy/connection/peer.py
@@ -29,17 +29,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Context:
+class StreamContext:
     """What all streams of a process share."""
 
     clock: clock.Clock
     metrics: metrics.Metrics
 
     #: Returns the Hello of this process as of now.
-    hello: Callable[[], frames.Hello]
+    make_hello: Callable[[], frames.Hello]
 
     #: Returns how many slots this process could lend.
-    free: Callable[[], int]
+    count_free_slots: Callable[[], int]
 
 
 class Stream:
@@ -48,7 +48,7 @@
     def __init__(
         self,
         *,
-        ctx: Context,
+        ctx: StreamContext,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         dialed: bool,
@@ -58,20 +58,20 @@
         self._reader = frames.Reader(reader=reader)
         self._writer = writer
         self.dialed = dialed
-        self.since = ctx.clock.now()
-        self.heard_at = self.since
-        self.sent_at = self.since
+        self.opened_at = ctx.clock.now()
+        self.last_received_at = self.opened_at
+        self.last_sent_at = self.opened_at
 
         #: Last frame either way that was not a sign of life.
-        self.used_at = self.since
-        self.free = 0
+        self.last_used_at = self.opened_at
+        self.free_slots = 0
         self.version = 0
         self.revision = 0
         self.hello: frames.Hello
 
     async def handshake(self) -> result.Result[frames.Hello, str]:
         """Exchange Hellos and return the peer's."""
-        self.send(self._ctx.hello())
+        self.send(self._ctx.make_hello())
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 received = await self.receive()
@@ -91,8 +91,8 @@
         if isinstance(received, result.Err):
             return received
         envelope = received.ok_value
-        self.heard_at = self._ctx.clock.now()
-        self.free = envelope.free
+        self.last_received_at = self._ctx.clock.now()
+        self.free_slots = envelope.free_slots
         match envelope.frame:
             case (
                 frames.Hello(version=version, revision=revision)
@@ -103,7 +103,7 @@
                 self.version = max(self.version, version)
                 self.revision = max(self.revision, revision)
             case _:
-                self.used_at = self.heard_at
+                self.last_used_at = self.last_received_at
         return result.Ok(envelope.frame)
 
     def send(self, frame: frames.Frame) -> bool:
@@ -111,7 +111,7 @@
         if self._writer.is_closing():
             return False
         kind = type(frame).__name__
-        encoded = frames.encode(frame, free=self._ctx.free())
+        encoded = frames.encode(frame, free_slots=self._ctx.count_free_slots())
         if isinstance(encoded, result.Err):
             _log.error('frame not sent: %s', encoded.err_value)
             return False
@@ -120,11 +120,11 @@
             return False
         self._writer.write(encoded.ok_value)
         self._ctx.metrics.count('peer_frames_total', kind=kind)
-        self.sent_at = self._ctx.clock.now()
+        self.last_sent_at = self._ctx.clock.now()
         if not isinstance(frame, frames.Heartbeat):
-            self.used_at = self.sent_at
+            self.last_used_at = self.last_sent_at
         if isinstance(frame, frames.SlotReturn):
-            self.free += sum(count for _, _, count in frame.lots)
+            self.free_slots += sum(count for _, _, count in frame.lots)
         return True
 
     async def flush(self) -> None:
--- a/sardineproxy/operator/applying.py
+++ b/sardineproxy/operator/applying.py
@@ -123,7 +123,7 @@
     if head is None:
         return result.Ok(Newest(head=None, revision=0, snapshot=versions.EMPTY))
     fetched = await fetching.catch_up(
-        client, known=versions.EMPTY, head=head, strict=True
+        client, base=versions.EMPTY, head=head, strict=True
     )
     if isinstance(fetched, result.Err):
         return fetched
@@ -142,11 +142,11 @@
 ) -> result.Result[versions.Head, store.StoreError]:
     head = versions.Head(
         number=ids.VersionNumber(wanted.base + 1),
-        digest=versions.digest_of(wanted.documents),
+        digest=versions.compute_digest(wanted.documents),
         operator=wanted.operator,
         apply_id=wanted.apply_id,
     )
-    changed, removed = versions.difference(
+    changed, removed = versions.diff_documents(
         newest.snapshot.documents, wanted.documents
     )
     body = codec.encode_change(
@@ -206,7 +206,7 @@
     head = newest.head
     if head is None or head.number < wanted.base:
         return result.Ok(NoSuchBase(newest=newest.snapshot.number))
-    digest = versions.digest_of(wanted.documents)
+    digest = versions.compute_digest(wanted.documents)
     if head.number == wanted.base + 1 and head.digest == digest:
         return result.Ok(AlreadyApplied(head=head))
     winner = await fetching.read_change(client, wanted.base + 1)
--- a/sardineproxy/operator/commands.py
+++ b/sardineproxy/operator/commands.py
@@ -121,7 +121,7 @@
         for sentence in loaded.err_value:
             env.complain(sentence)
         return None
-    return versions.documents_of(loaded.ok_value)
+    return versions.encode_contracts(loaded.ok_value)
 
 
 @contextlib.asynccontextmanager
@@ -187,7 +187,7 @@
 
 
 def _diff_lines(old: versions.Documents, new: versions.Documents) -> list[str]:
-    changed, removed = versions.difference(old, new)
+    changed, removed = versions.diff_documents(old, new)
     lines = [f'- {customer}' for customer in removed]
     for customer in sorted(changed):
         if customer not in old:
@@ -210,7 +210,7 @@
     change = decoded.ok_value
     head = change.head
     names = ', '.join(sorted((*change.documents, *change.removed)))
-    digest = head.digest[: contracts.SHOWN_DIGITS]
+    digest = head.digest[: contracts.HASH_PREFIX_DIGITS]
     return (
         f'{head.number}  {digest}  {head.operator}  apply {head.apply_id}  '
         f'set {len(change.documents)}, removed {len(change.removed)}: {names}'
--- a/sardineproxy/platform/front_http.py
+++ b/sardineproxy/platform/client_http.py
@@ -23,14 +23,14 @@
 DEFAULT_WAIT_S = 30.0
 
 #: When to come back after a refusal for want of a configuration, in seconds.
-NO_CONFIGURATION_RETRY_S = 1.0
+RETRY_AFTER_S = 1.0
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 _LOG = logs.get_logger('front')
 
 
-class Acceptor(Protocol):
+class RequestHandler(Protocol):
     """What the front needs of its process."""
 
     @property
@@ -52,30 +52,30 @@
     ) -> jobs.Outcome:
         """Run a job for a client that waits ``wait_s`` seconds."""
 
-    async def keep_job(
+    async def store_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
 
-    async def ask_job(
+    async def query_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
 
-    def waiting_for(self, route: routes.Route) -> int:
+    def count_unstarted(self, route: routes.Route) -> int:
         """Return how many jobs of a route wait for their first start."""
 
 
-class Front:
+class ClientServer:
     """Answers clients."""
 
-    def __init__(self, *, acceptor: Acceptor) -> None:
-        """Hand jobs to ``acceptor``."""
-        self._acceptor = acceptor
+    def __init__(self, *, request_handler: RequestHandler) -> None:
+        """Hand jobs to ``request_handler``."""
+        self._request_handler = request_handler
         self._runners: list[web.ServerRunner] = []
 
         #: Requests that are being answered.
-        self.busy = 0
+        self.active_requests = 0
 
     async def start(
         self, front: deployment.Address, ready: deployment.Address
@@ -105,30 +105,30 @@
         self._runners.append(runner)
 
     async def _check(self, _: web.BaseRequest) -> web.StreamResponse:
-        status = 200 if self._acceptor.is_ready() else 503
+        status = 200 if self._request_handler.is_ready() else 503
         return web.Response(status=status)
 
     async def _handle(self, req: web.BaseRequest) -> web.StreamResponse:
-        self.busy += 1
+        self.active_requests += 1
         try:
             reply = await self._answer(req)
         finally:
-            self.busy -= 1
+            self.active_requests -= 1
         response = web.Response(
             status=reply.status,
             body=reply.body,
             headers=dict(reply.headers),
             content_type='application/json' if reply.body else None,
         )
-        if self._acceptor.draining:
+        if self._request_handler.draining:
             response.force_close()
         return response
 
     async def _answer(self, req: web.BaseRequest) -> submissions.Reply:
-        table = self._acceptor.table
+        table = self._request_handler.table
         if table is None:
             self._log(req, 'Refused, no configuration yet.')
-            return submissions.refusal(NO_CONFIGURATION_RETRY_S)
+            return submissions.make_refusal(RETRY_AFTER_S)
         route = table.find(req.host, req.path)
         if route is None:
             self._log(req, 'No route.', version=table.number)
@@ -137,11 +137,13 @@
         if req.method == 'POST':
             return await self._submit(req, route, name)
         if req.method == 'GET' and not name:
-            return submissions.encode_pending(self._acceptor.waiting_for(route))
+            return submissions.encode_pending(
+                self._request_handler.count_unstarted(route)
+            )
         job = submissions.decode_job_id(name)
         if job is not None and req.method in {'GET', 'DELETE'}:
             return submissions.encode_state(
-                await self._acceptor.ask_job(
+                await self._request_handler.query_job(
                     job, _wait_s(req), cancel=req.method == 'DELETE'
                 )
             )
@@ -151,9 +153,9 @@
     async def _submit(
         self, req: web.BaseRequest, route: routes.Route, name: str
     ) -> submissions.Reply:
-        if self._acceptor.is_recovering():
+        if self._request_handler.is_recovering():
             self._log(req, 'Refused after standing still.')
-            return submissions.refusal(NO_CONFIGURATION_RETRY_S)
+            return submissions.make_refusal(RETRY_AFTER_S)
         body = await _read_body(req)
         if body is None:
             self._log(req, 'Body too large or too slow.')
@@ -162,14 +164,14 @@
         if isinstance(decoded, result.Err):
             self._log(req, 'Refused.', cause=str(decoded.err_value))
             if isinstance(decoded.err_value, submissions.Unsupported):
-                return submissions.refusal(NO_CONFIGURATION_RETRY_S)
+                return submissions.make_refusal(RETRY_AFTER_S)
             return submissions.MALFORMED
         job = decoded.ok_value
         if job.stored:
             return submissions.encode_acceptance(
-                await self._acceptor.keep_job(job, route, _wait_s(req))
+                await self._request_handler.store_job(job, route, _wait_s(req))
             )
-        outcome = await self._acceptor.run_job(job, route, _wait_s(req))
+        outcome = await self._request_handler.run_job(job, route, _wait_s(req))
         return submissions.encode_outcome(outcome)
 
     def _log(self, req: web.BaseRequest, text: str, **extra: object) -> None:
--- a/sardineproxy/platform/configuration.py
+++ b/sardineproxy/platform/configuration.py
@@ -27,8 +27,10 @@
     try:
         return result.Ok(
             routes.RoutingTable(
-                number=fields.whole(document, 'version'),
-                routes=tuple(map(_to_route, fields.rows(document, 'routes'))),
+                number=fields.get_integer(document, 'version'),
+                routes=tuple(
+                    map(_to_route, fields.get_list(document, 'routes'))
+                ),
             )
         )
     except fields.FormatError as exc:
@@ -38,7 +40,7 @@
 def _to_route(document: Any) -> routes.Route:
     if not isinstance(document, dict):
         raise fields.FormatError('route: expected a table')
-    name = fields.text(document, 'name')
+    name = fields.get_string(document, 'name')
     try:
         return _read_route(name, document)
     except fields.FormatError as exc:
@@ -48,11 +50,11 @@
 def _read_route(name: str, document: Mapping[str, Any]) -> routes.Route:
     return routes.Route(
         route=ids.RouteId(name),
-        host=fields.text(document, 'host'),
-        path_prefix=fields.text(document, 'path_prefix'),
-        service=ids.ServiceId(fields.text(document, 'service')),
-        stretch=fields.number(document, 'stretch', 1),
-        slack_s=fields.number(document, 'target_latency_ms', 0) / _MS_PER_S,
-        priority=fields.whole(document, 'priority', 0),
-        max_attempts=fields.whole(document, 'max_attempts', 1),
+        host=fields.get_string(document, 'host'),
+        path_prefix=fields.get_string(document, 'path_prefix'),
+        service=ids.ServiceId(fields.get_string(document, 'service')),
+        stretch=fields.get_number(document, 'stretch', 1),
+        slack_s=fields.get_number(document, 'target_latency_ms', 0) / _MS_PER_S,
+        priority=fields.get_integer(document, 'priority', 0),
+        max_attempts=fields.get_integer(document, 'max_attempts', 1),
     )
--- a/sardineproxy/platform/fields.py
+++ b/sardineproxy/platform/fields.py
@@ -11,7 +11,7 @@
     """A document of the platform is not of the expected form."""
 
 
-def text(
+def get_string(
     document: Mapping[str, Any], name: str, default: str | None = None
 ) -> str:
     """Return a field that must be a text."""
@@ -21,7 +21,7 @@
     return found
 
 
-def number(
+def get_number(
     document: Mapping[str, Any], name: str, default: float | None = None
 ) -> float:
     """Return a field that must be a number of at least 0."""
@@ -32,17 +32,17 @@
     return found
 
 
-def whole(
+def get_integer(
     document: Mapping[str, Any], name: str, default: int | None = None
 ) -> int:
     """Return a field that must be a whole number of at least 0."""
-    found = number(document, name, default)
+    found = get_number(document, name, default)
     if not isinstance(found, int):
         raise FormatError(f'{name}: expected a whole number, found {found}')
     return found
 
 
-def flag(document: Mapping[str, Any], name: str) -> bool:
+def get_boolean(document: Mapping[str, Any], name: str) -> bool:
     """Return a field that must be true or false; false if it is missing."""
     found = document.get(name, False)
     if not isinstance(found, bool):
@@ -50,7 +50,7 @@
     return found
 
 
-def table(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+def get_object(document: Mapping[str, Any], name: str) -> Mapping[str, Any]:
     """Return a field that must be a table."""
     found = document.get(name)
     if not isinstance(found, dict):
@@ -58,7 +58,7 @@
     return found
 
 
-def rows(document: Mapping[str, Any], name: str) -> list[Any]:
+def get_list(document: Mapping[str, Any], name: str) -> list[Any]:
     """Return a field that must be a list."""
     found = document.get(name)
     if not isinstance(found, list):
@@ -66,7 +66,7 @@
     return found
 
 
-def address(found: str) -> deployment.Address:
+def parse_address(found: str) -> deployment.Address:
     """Decode ``host:port``."""
     host, colon, port = found.rpartition(':')
     if not colon or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
--- a/sardineproxy/platform/http_calls.py
+++ b/sardineproxy/platform/http_calls.py
@@ -13,7 +13,7 @@
 
 #: Largest answer that is read, in bytes. A page of the store has 1 MB of
 #: contents, which are a third longer in base64.
-MAX_ANSWER_BYTES = 4_194_304
+MAX_RESPONSE_BYTES = 4_194_304
 
 #: Most connections to one server of the platform. The sheets allow 64 to a
 #: worker from all entry VMs together.
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Answer:
+class Response:
     """A whole answer."""
 
     status: int
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class NoAnswer:
+class NoResponse:
     """No whole answer came."""
 
     #: True if no connection was established, so nothing was sent.
@@ -85,7 +85,7 @@
     timeout_s: float,
     document: Mapping[str, Any] | None = None,
     headers: Mapping[str, str] | None = None,
-) -> Answer | NoAnswer:
+) -> Response | NoResponse:
     """Send one request and read its answer."""
     body = None if document is None else json.dumps(document).encode()
     sent = dict(headers or {})
@@ -98,23 +98,23 @@
             ) as reply:
                 return await _read(reply)
     except aiohttp.ClientConnectorError as exc:
-        return NoAnswer(unsent=True, cause=f'not connected: {exc.strerror}')
+        return NoResponse(unsent=True, cause=f'not connected: {exc.strerror}')
     except TimeoutError:
-        return NoAnswer(unsent=False, cause=f'no answer in {timeout_s:.3f} s')
+        return NoResponse(unsent=False, cause=f'no answer in {timeout_s:.3f} s')
     except (aiohttp.ClientError, OSError, ValueError) as exc:
-        return NoAnswer(unsent=False, cause=f'{type(exc).__name__}: {exc}')
+        return NoResponse(unsent=False, cause=f'{type(exc).__name__}: {exc}')
 
 
-async def _read(reply: aiohttp.ClientResponse) -> Answer:
+async def _read(reply: aiohttp.ClientResponse) -> Response:
     length = reply.content_length
-    if length is not None and length > MAX_ANSWER_BYTES:
+    if length is not None and length > MAX_RESPONSE_BYTES:
         raise ValueError(f'answer of {length} bytes is too large')
     body = await reply.read()
-    if len(body) > MAX_ANSWER_BYTES:
+    if len(body) > MAX_RESPONSE_BYTES:
         raise ValueError(f'answer of {len(body)} bytes is too large')
     if not body:
-        return Answer(status=reply.status, document={})
+        return Response(status=reply.status, document={})
     document = json.loads(body)
     if not isinstance(document, dict):
         raise ValueError('answer is not a JSON object')
-    return Answer(status=reply.status, document=document)
+    return Response(status=reply.status, document=document)
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -10,12 +10,12 @@
 from sardineproxy.platform import fields
 
 #: Variable that holds the path of the settings file.
-PATH_VARIABLE = 'SARDINEPROXY_CONFIG'
+PATH_ENV_VARIABLE = 'SARDINEPROXY_CONFIG'
 
 MAX_SETTINGS_BYTES = 262_144
 
 #: Time for which states are asked for if the settings do not say, in seconds.
-STATUS_S = 120
+DEFAULT_STATUS_S = 120
 
 _MS_PER_S = 1000
 
@@ -44,23 +44,23 @@
 
 
 def _to_deployment(document: Mapping[str, Any]) -> deployment.Deployment:
-    listeners = fields.table(document, 'listen_addrs')
-    limits = fields.table(document, 'limits')
-    store = fields.table(document, 'platform')
-    ready = fields.address(fields.text(listeners, 'ready'))
+    listeners = fields.get_object(document, 'listen_addrs')
+    limits = fields.get_object(document, 'limits')
+    store = fields.get_object(document, 'platform')
+    ready = fields.parse_address(fields.get_string(listeners, 'ready'))
     return deployment.Deployment(
-        vm=ids.VmId(fields.text(document, 'node')),
-        zone=ids.ZoneId(fields.text(document, 'zone')),
-        zones=tuple(map(ids.ZoneId, fields.table(document, 'zones'))),
-        front=fields.address(fields.text(listeners, 'front')),
+        vm=ids.VmId(fields.get_string(document, 'node')),
+        zone=ids.ZoneId(fields.get_string(document, 'zone')),
+        zones=tuple(map(ids.ZoneId, fields.get_object(document, 'zones'))),
+        front=fields.parse_address(fields.get_string(listeners, 'front')),
         ready=ready,
         peers=_peer_listener(document, listeners, ready.host),
         seeds=_seeds(document),
-        store=fields.address(fields.text(store, 'address')),
-        bounds=_bounds(fields.table(document, 'bounds')),
+        store=fields.parse_address(fields.get_string(store, 'address')),
+        bounds=_bounds(fields.get_object(document, 'bounds')),
         # The share is of one core, which runs ``cores`` times as fast.
-        cores=fields.number(limits, 'cpu_share')
-        * fields.number(limits, 'cores'),
+        cores=fields.get_number(limits, 'cpu_share')
+        * fields.get_number(limits, 'cores'),
     )
 
 
@@ -69,8 +69,8 @@
 ) -> deployment.Address:
     """Return the control listener, whose peers the seeds name, if served."""
     if 'control' in listeners:
-        return fields.address(fields.text(listeners, 'control'))
-    ports = fields.rows(document, 'port_range')
+        return fields.parse_address(fields.get_string(listeners, 'control'))
+    ports = fields.get_list(document, 'port_range')
     if not ports or not isinstance(ports[0], int):
         raise fields.FormatError('port_range: expected two ports')
     return deployment.Address(host=host, port=ports[0])
@@ -80,15 +80,15 @@
     found = document.get('seeds', [])
     if not isinstance(found, list):
         raise fields.FormatError('seeds: expected a list')
-    return tuple(fields.address(str(seed)) for seed in found)
+    return tuple(fields.parse_address(str(seed)) for seed in found)
 
 
 def _bounds(document: Mapping[str, Any]) -> deployment.Bounds:
     return deployment.Bounds(
-        lease_s=fields.number(document, 'max_hold_ms') / _MS_PER_S,
-        stop_s=fields.number(document, 'stop_timeout_ms') / _MS_PER_S,
-        grace_s=fields.number(document, 'grace_s'),
-        version_s=fields.number(document, 'config_apply_ms') / _MS_PER_S,
-        states_s=fields.number(document, 'status_s', STATUS_S),
-        distance_factor=fields.number(document, 'remote_factor', 1),
+        lease_s=fields.get_number(document, 'max_hold_ms') / _MS_PER_S,
+        stop_s=fields.get_number(document, 'stop_timeout_ms') / _MS_PER_S,
+        grace_s=fields.get_number(document, 'grace_s'),
+        version_s=fields.get_number(document, 'config_apply_ms') / _MS_PER_S,
+        states_s=fields.get_number(document, 'status_s', DEFAULT_STATUS_S),
+        distance_factor=fields.get_number(document, 'remote_factor', 1),
     )
--- a/sardineproxy/platform/store_http.py
+++ b/sardineproxy/platform/store_http.py
@@ -13,7 +13,7 @@
 
 #: Longest wait for an answer beyond the wait that was asked for, in seconds.
 #: The slowest store of the sheets takes 95 times 4 ms.
-ANSWER_TIMEOUT_S = 0.6
+RESPONSE_TIMEOUT_S = 0.6
 
 #: Most rows that the store returns in one page.
 PAGE_ROWS = 500
@@ -43,7 +43,7 @@
         self._session = session
         self._address = address
 
-    def use(self, address: deployment.Address) -> None:
+    def set_address(self, address: deployment.Address) -> None:
         """Send calls to another address from now on."""
         self._address = address
 
@@ -59,7 +59,7 @@
             if isinstance(page, result.Err):
                 return page
             found.extend(page.ok_value.rows)
-            assert isinstance(answer, http_calls.Answer)
+            assert isinstance(answer, http_calls.Response)
             if not answer.document.get('has_more') or not page.ok_value.rows:
                 return result.Ok(
                     store.Rows(
@@ -130,19 +130,19 @@
             self._session,
             'POST',
             http_calls.make_url(self._address, '/v1/rows-tx'),
-            timeout_s=ANSWER_TIMEOUT_S,
+            timeout_s=RESPONSE_TIMEOUT_S,
             document=document,
         )
         return _decode_write(answer)
 
     async def _get(
         self, path: str, query: dict[str, str | int], *, wait_s: float
-    ) -> http_calls.Answer | http_calls.NoAnswer:
+    ) -> http_calls.Response | http_calls.NoResponse:
         return await http_calls.send(
             self._session,
             'GET',
             http_calls.make_url(self._address, path, **query),
-            timeout_s=ANSWER_TIMEOUT_S + wait_s,
+            timeout_s=RESPONSE_TIMEOUT_S + wait_s,
         )
 
 
@@ -162,9 +162,9 @@
 
 
 def _decode_rows(
-    table: str, answer: http_calls.Answer | http_calls.NoAnswer
+    table: str, answer: http_calls.Response | http_calls.NoResponse
 ) -> result.Result[store.Rows, _Error]:
-    if isinstance(answer, http_calls.NoAnswer):
+    if isinstance(answer, http_calls.NoResponse):
         return _failed(_Kind.UNAVAILABLE, f'reading {table}: {answer.cause}')
     if answer.status != _OK:
         kind = _KINDS_OF_READS.get(answer.status, _Kind.INVALID)
@@ -174,9 +174,9 @@
             store.Rows(
                 rows=tuple(
                     _decode_row(table, row)
-                    for row in fields.rows(answer.document, 'rows')
+                    for row in fields.get_list(answer.document, 'rows')
                 ),
-                revision=fields.whole(answer.document, 'ver'),
+                revision=fields.get_integer(answer.document, 'ver'),
             )
         )
     except (fields.FormatError, binascii.Error) as exc:
@@ -193,19 +193,21 @@
 def _decode_row(table: str, row: Any) -> store.Row:
     if not isinstance(row, dict):
         raise fields.FormatError(f'row: expected a table, found {row!r:.60}')
-    key = fields.text(row, 'key')
+    key = fields.get_string(row, 'key')
     body = None
-    if not fields.flag(row, 'tombstone'):
-        body = base64.b64decode(fields.text(row, 'value'), validate=True)
+    if not fields.get_boolean(row, 'tombstone'):
+        body = base64.b64decode(fields.get_string(row, 'value'), validate=True)
     return store.Row(
-        key=f'{table}/{key}', revision=fields.whole(row, 'ver', 0), body=body
+        key=f'{table}/{key}',
+        revision=fields.get_integer(row, 'ver', 0),
+        body=body,
     )
 
 
 def _decode_write(
-    answer: http_calls.Answer | http_calls.NoAnswer,
+    answer: http_calls.Response | http_calls.NoResponse,
 ) -> result.Result[int, _Error]:
-    if isinstance(answer, http_calls.NoAnswer):
+    if isinstance(answer, http_calls.NoResponse):
         kind = _Kind.UNAVAILABLE if answer.unsent else _Kind.UNKNOWN
         return _failed(kind, f'writing: {answer.cause}')
     if answer.status == _OK:
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -9,7 +9,7 @@
 import result
 
 from sardineproxy import ids
-from sardineproxy.platform import fields, roster
+from sardineproxy.platform import fields, worker_entries
 from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.request import jobs
 
@@ -81,7 +81,7 @@
     for feature in _JOB_FEATURES:
         if document.get(feature):
             return feature
-    for step in fields.rows(document, 'steps'):
+    for step in fields.get_list(document, 'steps'):
         for feature in _STEP_FEATURES:
             if isinstance(step, dict) and step.get(feature):
                 return feature
@@ -89,12 +89,12 @@
 
 
 def _to_job(job: ids.JobId, document: Mapping[str, Any]) -> jobs.Job:
-    payload = fields.text(document, 'spec')
+    payload = fields.get_string(document, 'spec')
     if len(payload.encode()) > MAX_PAYLOAD_BYTES:
         raise fields.FormatError('spec is too long')
     steps = tuple(
         _to_step(position, step)
-        for position, step in enumerate(fields.rows(document, 'steps'))
+        for position, step in enumerate(fields.get_list(document, 'steps'))
     )
     tasks = sum(step.count for step in steps)
     if not 0 < len(steps) <= MAX_STEPS or not 0 < tasks <= MAX_TASKS:
@@ -103,7 +103,7 @@
         job_id=job,
         payload=payload,
         steps=steps,
-        stored=not fields.flag(document, 'burstable'),
+        stored=not fields.get_boolean(document, 'burstable'),
     )
 
 
@@ -118,13 +118,13 @@
     if not is_earlier:
         raise fields.FormatError(f'after: {after!r:.60} of step {position}')
     return jobs.Step(
-        count=fields.whole(document, 'count', 1),
-        resources=roster.resources(document),
-        estimate_s=fields.number(document, 'estimate_ms', 0) / _MS_PER_S,
+        count=fields.get_integer(document, 'count', 1),
+        resources=worker_entries.decode_resources(document),
+        estimate_s=fields.get_number(document, 'estimate_ms', 0) / _MS_PER_S,
         after=tuple(after),
-        requires=fields.text(document, 'requires', ''),
-        rack=fields.text(document, 'affinity', ''),
-        per_worker=fields.whole(document, 'anti_affinity', 0),
+        requires=fields.get_string(document, 'requires', ''),
+        rack=fields.get_string(document, 'affinity', ''),
+        per_worker=fields.get_integer(document, 'anti_affinity', 0),
     )
 
 
@@ -157,7 +157,7 @@
         case jobs.Failed():
             return Reply(status=200, body=b'{"state":"failed"}')
         case jobs.NotRun(retry_after_s=wait_s):
-            return refusal(wait_s)
+            return make_refusal(wait_s)
         case jobs.GivenUp():
             return Reply(status=504)
 
@@ -175,7 +175,7 @@
 
 #: When to come back if a stored job's keeper does not answer, in seconds; it
 #: is replaced within a second.
-NO_KEEPER_RETRY_S = 1.0
+NO_MANAGER_RETRY_S = 1.0
 
 
 def encode_acceptance(answer: job_manager.JobReply) -> Reply:
@@ -186,7 +186,7 @@
         case job_manager.JobReply.UNKNOWN:
             return Reply(status=504)
         case _:
-            return refusal(NO_KEEPER_RETRY_S)
+            return make_refusal(NO_MANAGER_RETRY_S)
 
 
 def encode_state(answer: job_manager.JobReply) -> Reply:
@@ -197,10 +197,10 @@
         return NO_JOB
     if answer is job_manager.JobReply.UNKNOWN:
         return Reply(status=504)
-    return refusal(NO_KEEPER_RETRY_S)
+    return make_refusal(NO_MANAGER_RETRY_S)
 
 
-def refusal(retry_after_s: float) -> Reply:
+def make_refusal(retry_after_s: float) -> Reply:
     """Encode that the request was not accepted and never runs."""
     return Reply(
         status=503,
--- a/sardineproxy/platform/roster.py
+++ b/sardineproxy/platform/worker_entries.py
@@ -42,23 +42,23 @@
 def _to_worker(
     worker: ids.WorkerId, document: Mapping[str, Any]
 ) -> workers.Worker:
-    labels = fields.rows(document, 'labels')
+    labels = fields.get_list(document, 'labels')
     return workers.Worker(
         worker=worker,
-        service=ids.ServiceId(fields.text(document, 'service')),
-        address=fields.address(fields.text(document, 'address')),
-        zone=ids.ZoneId(fields.text(document, 'zone')),
-        state=_STATES[fields.text(document, 'state')],
-        born_ms=fields.whole(document, 'born', 0),
-        capacity=resources(fields.table(document, 'capacity')),
+        service=ids.ServiceId(fields.get_string(document, 'service')),
+        address=fields.parse_address(fields.get_string(document, 'address')),
+        zone=ids.ZoneId(fields.get_string(document, 'zone')),
+        state=_STATES[fields.get_string(document, 'state')],
+        started_ms=fields.get_integer(document, 'born', 0),
+        capacity=decode_resources(fields.get_object(document, 'capacity')),
         labels=tuple(label for label in labels if isinstance(label, str)),
     )
 
 
-def resources(document: Mapping[str, Any]) -> jobs.Resources:
+def decode_resources(document: Mapping[str, Any]) -> jobs.Resources:
     """Decode resources; ``cpu`` is in thousandths of a core."""
     return jobs.Resources(
-        millicores=fields.whole(document, 'cpu', 0),
-        memory_mb=fields.whole(document, 'mem_mb', 0),
-        gpus=fields.whole(document, 'gpu', 0),
+        millicores=fields.get_integer(document, 'cpu', 0),
+        memory_mb=fields.get_integer(document, 'mem_mb', 0),
+        gpus=fields.get_integer(document, 'gpu', 0),
     )
--- a/sardineproxy/platform/worker_http.py
+++ b/sardineproxy/platform/worker_http.py
@@ -10,7 +10,7 @@
 _MS_PER_S = 1000
 
 #: Most ends that a worker lists in one report.
-MAX_LISTED_ENDS = 500
+MAX_LISTED_RESULTS = 500
 
 _OK = 200
 _CONFLICT = 409
@@ -20,20 +20,20 @@
     'fence': workers.Refusal.FENCED,
     'old': workers.Refusal.OLD_RUN,
     'late': workers.Refusal.EXPIRED,
-    'room': workers.Refusal.NO_ROOM,
+    'room': workers.Refusal.NO_CAPACITY,
     'ticket': workers.Refusal.NO_TICKET,
 }
 
-_ENDINGS = {  # noqa: WPS407
-    'done': workers.Ending.DONE,
-    'failed': workers.Ending.FAILED,
-    'stopped': workers.Ending.STOPPED,
-    'lapsed': workers.Ending.LAPSED,
-    'broken': workers.Ending.GANG,
-    'alone': workers.Ending.GANG,
+_RESULTS = {  # noqa: WPS407
+    'done': workers.RunResult.DONE,
+    'failed': workers.RunResult.FAILED,
+    'stopped': workers.RunResult.STOPPED,
+    'lapsed': workers.RunResult.LEASE_EXPIRED,
+    'broken': workers.RunResult.GANG_INCOMPLETE,
+    'alone': workers.RunResult.GANG_INCOMPLETE,
 }
 
-_Answer = http_calls.Answer | http_calls.NoAnswer
+_Response = http_calls.Response | http_calls.NoResponse
 
 
 class HttpWorkerApi:
@@ -83,23 +83,23 @@
         )
         return _decode_order(answer)
 
-    async def look(
-        self, worker: workers.Worker, look: workers.Look, *, timeout_s: float
+    async def poll(
+        self, worker: workers.Worker, poll: workers.Poll, *, timeout_s: float
     ) -> workers.Report | workers.Refused | workers.Unanswered:
         """Ask for a report, and extend the lease of what runs."""
         document: dict[str, Any] = {
-            'fence': look.fence,
-            'acked_through': look.acked,
+            'fence': poll.fence,
+            'acked_through': poll.acked,
         }
-        if look.expires_ms is not None:
-            document['expires_ms'] = look.expires_ms
-        if look.wait_s:
-            document['wait_ms'] = int(look.wait_s * _MS_PER_S)
+        if poll.expires_ms is not None:
+            document['expires_ms'] = poll.expires_ms
+        if poll.wait_s:
+            document['wait_ms'] = int(poll.wait_s * _MS_PER_S)
         answer = await self._post(worker, '/v1/hold', document, timeout_s)
         accepted = _decode_order(answer)
         if not isinstance(accepted, workers.Accepted):
             return accepted
-        assert isinstance(answer, http_calls.Answer)
+        assert isinstance(answer, http_calls.Response)
         try:
             return _decode_report(answer.document)
         except (fields.FormatError, KeyError) as exc:
@@ -111,7 +111,7 @@
         path: str,
         document: Mapping[str, Any],
         timeout_s: float,
-    ) -> _Answer:
+    ) -> _Response:
         return await http_calls.send(
             self._session,
             'POST',
@@ -123,9 +123,9 @@
 
 
 def _decode_order(
-    answer: _Answer,
+    answer: _Response,
 ) -> workers.Accepted | workers.Refused | workers.Unanswered:
-    if isinstance(answer, http_calls.NoAnswer):
+    if isinstance(answer, http_calls.NoResponse):
         return workers.Unanswered(unsent=answer.unsent, cause=answer.cause)
     if answer.status == _OK:
         clock_ms = answer.document.get('clock_ms')
@@ -134,12 +134,12 @@
         return _not_understood('the answer has no clock')
     if answer.status == _CONFLICT:
         reason = answer.document.get('reason')
-        why = _REFUSALS.get(str(reason), workers.Refusal.NOT_DONE)
-        return workers.Refused(why=why, detail=f'reason {reason}')
+        refusal = _REFUSALS.get(str(reason), workers.Refusal.NOT_DONE)
+        return workers.Refused(reason=refusal, detail=f'reason {reason}')
     if answer.status == _OTHER_WORKER:
-        return workers.Refused(why=workers.Refusal.OTHER_WORKER)
+        return workers.Refused(reason=workers.Refusal.OTHER_WORKER)
     return workers.Refused(
-        why=workers.Refusal.NOT_DONE, detail=f'status {answer.status}'
+        reason=workers.Refusal.NOT_DONE, detail=f'status {answer.status}'
     )
 
 
@@ -149,21 +149,24 @@
 
 
 def _decode_report(document: Mapping[str, Any]) -> workers.Report:
-    ended = fields.rows(document, 'finished')
+    ended = fields.get_list(document, 'finished')
     return workers.Report(
-        clock_ms=fields.whole(document, 'clock_ms'),
-        born_ms=fields.whole(document, 'born', 0),
-        running=tuple(
-            workers.Running(task=row[0], run=row[1], percent=row[3])
-            for row in map(_check_running, fields.rows(document, 'running'))
+        clock_ms=fields.get_integer(document, 'clock_ms'),
+        started_ms=fields.get_integer(document, 'born', 0),
+        active=tuple(
+            workers.ActiveRun(task=row[0], run=row[1], percent=row[3])
+            for row in map(_check_running, fields.get_list(document, 'running'))
         ),
-        ended=tuple(
-            workers.End(
-                number=row[0], task=row[1], run=row[2], how=_ENDINGS[row[3]]
+        finished=tuple(
+            workers.FinishedRun(
+                position=row[0],
+                task=row[1],
+                run=row[2],
+                result=_RESULTS[row[3]],
             )
-            for row in map(_check_end, ended)
+            for row in map(_check_finished, ended)
         ),
-        is_whole=len(ended) < MAX_LISTED_ENDS,
+        is_complete=len(ended) < MAX_LISTED_RESULTS,
     )
 
 
@@ -172,7 +175,7 @@
     return row
 
 
-def _check_end(row: Any) -> list[Any]:
+def _check_finished(row: Any) -> list[Any]:
     _check_row(row, (int, str, int, str))
     return row
 
--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -115,8 +115,8 @@
 
         A lender's idle slots are returned together once one of its loans was
         idle for ``idle_s``, or for ``RECALL_BATCH_S`` if it is recalled. Loans
-        that were in use within the last half of ``idle_s`` are kept unless
-        they are recalled.
+        with a slot that was released less than half of ``idle_s`` ago stay,
+        unless they are recalled.
         """
         min_idle_s = (idle_s, min(idle_s, RECALL_BATCH_S))
         due_lenders = {
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -1,4 +1,4 @@
-"""The borrower's side of slot loans: asks, renews and returns."""
+"""The borrower's side of slot loans: requests, leases and returns."""
 
 import dataclasses
 import math
@@ -9,21 +9,25 @@
 from sardineproxy.process import demand as demand_module
 from sardineproxy.process import slots
 
-#: Time for which a reported backlog counts as present, in seconds. The
-#: dispatcher reports at least every 0.25 s while tasks wait, and not when the
+#: Time for which a reported backlog is valid, in seconds. The dispatcher
+#: reports at least every 0.25 s while tasks wait, and does not report when the
 #: last one stops waiting.
 REPORT_VALID_S = 0.5
 
-#: Age of a report up to which slots are asked for, in seconds.
+#: Largest age of a report for which slots are requested, in seconds.
 MAX_REPORT_AGE_S = 0.1
 
-#: Longest wait for a grant before other lenders are asked, in seconds.
+#: Time after which the slots of an unanswered request are requested from other
+#: lenders, in seconds.
 GRANT_TIMEOUT_S = 0.3
 
-#: Most slots to ask of a lender that has none free.
+#: Most slots to request from a lender that has none free.
 MAX_PROBE_REQUEST_SLOTS = 64
 
+#: Frames to send, with their receivers.
 OutgoingFrames = list[tuple[ids.VmId, frames.Frame]]
+
+#: Weight and number of claimed slots by VM and customer.
 Claims = Mapping[tuple[str, ids.CustomerId], tuple[float, int]]
 
 _NO_DEMAND = demand_module.Demand(customers=())
@@ -31,56 +35,57 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Times of loans, in seconds, and the backlog that is worth one."""
+    """Times of loans, in seconds, and thresholds for requests."""
 
-    #: Time from the lender's newest frame in which its slots may be used.
-    #: Longer than the interval of heartbeats, so that no frames are needed
+    #: Time after a lender's latest frame for which its slots may be used.
+    #: Longer than the heartbeat interval, so that no extra frames are needed
     #: to renew a loan.
     lease_s: float = 10
 
-    #: Longest time of a task that started before its lease ended.
+    #: Longest run time of a task that started before its lease ended.
     max_task_s: float = 10
 
-    #: Idle time after which borrowed slots are returned unasked. The lender
-    #: asks for idle slots when it needs them, so this may be long.
+    #: Idle time after which the borrower returns slots. It may be long,
+    #: because a lender that needs idle slots reclaims them.
     idle_return_s: float = 2
 
-    #: Shortest time between two rounds of requests.
+    #: Shortest interval between two rounds of requests.
     request_interval_s: float = 0.02
 
-    #: Shortest time between two requests to one lender.
+    #: Shortest interval between two requests to the same lender.
     lender_interval_s: float = 1
 
-    #: Slots that are worth a message where as many or more are wanted, or
-    #: half the own slots if that is less. Fewer and larger loans serve a
-    #: backlog with fewer messages.
+    #: Smallest number of slots that is worth a message, unless fewer are
+    #: wanted. For requests it is at most half of the own slots. Fewer and
+    #: larger loans serve a backlog with fewer messages.
     min_loan_slots: int = 16
 
-    #: Time for which a lender keeps a request that it could not meet, and
-    #: slots that come free for it. Slots that are kept longer stay idle.
+    #: Time for which a lender reserves released slots for a request that it
+    #: could not meet. The slots are idle meanwhile, so it is short.
     max_pending_s: float = 0.1
 
-    #: Shortest time between requests to a lender without free slots.
+    #: Shortest interval between requests to a lender without free slots.
     probe_interval_s: float = 4
 
-    #: Shortest time between two demands for idle slots.
+    #: Shortest interval between two reclaims of idle slots from a borrower.
     reclaim_interval_s: float = 2
 
-    #: Backlog, as a part of the own slots, up to which it must last.
+    #: A backlog up to this fraction of the own slots has to last for
+    #: ``min_backlog_age_s`` before slots are requested.
     min_backlog_ratio: float = 0.25
     min_backlog_age_s: float = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LenderPeer:
-    """A connected peer that may lend."""
+    """A connected peer that may lend slots."""
 
     vm: ids.VmId
 
     #: True if the peer is in this VM's zone.
     is_same_zone: bool
 
-    #: Slots that the peer could lend when it last sent a frame.
+    #: Free slots of the peer according to its latest frame.
     free_slots: int
 
 
@@ -94,56 +99,59 @@
 
 
 class BacklogReport:
-    """The newest report of waiting work."""
+    """The newest report of waiting tasks at this VM."""
 
     def __init__(self) -> None:
-        """Start without a report."""
+        """Create an instance without a report."""
         self._demand = _NO_DEMAND
-        self._until: float = 0
-        self._waits_since = math.inf
+        self._valid_until: float = 0
+        self._backlog_since = math.inf
         self.reported_at = -math.inf
 
     def report(self, demand: demand_module.Demand, now: float) -> None:
-        """Keep the report while it is fresh."""
+        """Replace the report; it is valid for ``REPORT_VALID_S``."""
         if not self.has_waiting_tasks(now):
-            self._waits_since = now
+            self._backlog_since = now
         self._demand = demand
         self.reported_at = now
-        self._until = now + REPORT_VALID_S
+        self._valid_until = now + REPORT_VALID_S
 
     def exceeds(
         self, now: float, *, more_than: float, min_backlog_age_s: float
     ) -> bool:
-        """Tell whether much waits, or something for a while."""
+        """Return whether the backlog is large or has lasted for some time.
+
+        It is large with more than ``more_than`` waiting tasks.
+        """
         waiting = sum(entry.waiting for entry in self.customers(now))
         if waiting > more_than:
             return True
-        return waiting > 0 and now - self._waits_since >= min_backlog_age_s
+        return waiting > 0 and now - self._backlog_since >= min_backlog_age_s
 
     def customers(self, now: float) -> tuple[demand_module.CustomerDemand, ...]:
-        """Return the customers, or none if the report is old."""
-        return self._demand.customers if now < self._until else ()
+        """Return the customers, or none if the report has expired."""
+        return self._demand.customers if now < self._valid_until else ()
 
     def has_waiting_tasks(self, now: float) -> bool:
-        """Tell whether tasks wait here."""
+        """Return whether tasks wait at this VM."""
         return any(customer.waiting for customer in self.customers(now))
 
 
 class SlotBorrower:
-    """Decides whom to ask for slots, and when to return them."""
+    """Decides from which peers to request slots and when to return them."""
 
     def __init__(
         self, *, cfg: Config, table: slots.SlotTable, backlog: BacklogReport
     ) -> None:
-        """Start without requests."""
+        """Create a borrower without requests."""
         self._cfg = cfg
         self._borrowed = table.borrowed
         self._table = table
         self._backlog = backlog
         self._sent_requests: dict[ids.VmId, _SentRequest] = {}
 
-        #: Who last lent for each customer. Small holding limits have their
-        #: parts at few VMs, so the next request goes there first.
+        #: The VM that last lent slots for a customer. Few VMs have a share of
+        #: a small concurrency limit, so the next request goes there first.
         self._last_lenders: dict[ids.CustomerId, ids.VmId] = {}
         self._last_number = 0
         self._next_request_at: float = 0
@@ -153,8 +161,8 @@
     ) -> OutgoingFrames:
         """Return requests to the peers with the most free slots.
 
-        A backlog that the own slots soon work off is not worth the messages,
-        so a short one must last before it counts.
+        A small backlog is ignored until it has lasted for some time, because
+        the own slots may soon clear it without any messages.
         """
         if (
             now < self._next_request_at
@@ -172,8 +180,8 @@
         needs = self._needs(now)
         total = sum(need for _, need in needs.values())
         requests: OutgoingFrames = []
-        for lender, most in self._candidates(lenders(), total, now):
-            wants = _divide_wants(needs, most)
+        for lender, max_slots in self._request_targets(lenders(), total, now):
+            wants = _divide_wants(needs, max_slots)
             if wants:
                 self._sent_requests[lender.vm] = _SentRequest(
                     sent_at=now,
@@ -185,16 +193,16 @@
         return requests
 
     def renew_lease(self, vm: ids.VmId, now: float) -> None:
-        """Renew the loans of a lender that sent a frame."""
+        """Extend the lease of a lender that sent a frame."""
         self._borrowed.extend_lease(vm, now + self._cfg.lease_s)
 
     def handle_grant(
         self, vm: ids.VmId, grant: frames.SlotGrant, now: float
     ) -> None:
-        """Take the slots."""
-        asked = self._sent_requests.get(vm)
-        if asked:
-            asked.answered = True
+        """Add the granted slots to the borrowed ones."""
+        request = self._sent_requests.get(vm)
+        if request:
+            request.answered = True
         for customer, _, _ in grant.lots:
             self._last_lenders[customer] = vm
         if grant.lots:
@@ -202,12 +210,12 @@
             self._table.changed.on_next(None)
 
     def handle_disconnect(self, vm: ids.VmId) -> None:
-        """Start no more tasks on slots of this lender."""
+        """Remove the lender's slots; tasks on them continue to run."""
         self._borrowed.drop_lender(vm)
         self._sent_requests.pop(vm, None)
 
     def return_idle(self, now: float) -> OutgoingFrames:
-        """Return slots that are idle or recalled to their lenders."""
+        """Return slots that were idle for long or are recalled."""
         return _to_frames(self._borrowed.pop_idle(now, self._cfg.idle_return_s))
 
     def return_all_idle(
@@ -217,7 +225,10 @@
         return _to_frames(self._borrowed.pop_idle(now, 0, lender=vm))
 
     def return_many_idle(self, vm: ids.VmId, now: float) -> OutgoingFrames:
-        """Return the idle slots of a lender with a backlog, unless few."""
+        """Return the idle slots of a lender that has a backlog itself.
+
+        Fewer than ``min_loan_slots`` are not worth a message.
+        """
         if self._borrowed.idle_slots(vm) < self._cfg.min_loan_slots:
             return []
         return self.return_all_idle(vm, now)
@@ -229,11 +240,15 @@
         )
 
     def _needs(self, now: float) -> dict[ids.CustomerId, tuple[float, int]]:
-        """Return weight and slots wanted beyond those just asked for."""
+        """Return the weight and the number of missing slots by customer.
+
+        Slots of requests without an answer are not missing until the requests
+        time out.
+        """
         pending: dict[ids.CustomerId, int] = {}
-        for asked in self._sent_requests.values():
-            if not asked.answered and now - asked.sent_at < GRANT_TIMEOUT_S:
-                for customer, wanted in asked.wants.items():
+        for request in self._sent_requests.values():
+            if not request.answered and now - request.sent_at < GRANT_TIMEOUT_S:
+                for customer, wanted in request.wants.items():
                     pending[customer] = pending.get(customer, 0) + wanted
         return {
             entry.customer: (
@@ -243,41 +258,42 @@
             for entry in self._backlog.customers(now)
         }
 
-    def _candidates(
+    def _request_targets(
         self, lenders: Collection[LenderPeer], total: int, now: float
     ) -> list[tuple[LenderPeer, int]]:
-        """Return whom to ask, and for how many slots at most.
+        """Return the lenders to send requests to, with a maximum of slots.
 
-        Lenders with few of the ``total`` slots that are needed are not worth
-        the messages unless there are no others.
+        ``total`` is the number of missing slots. Lenders with few free slots
+        are not worth a message unless there are no others.
 
         A lender without free slots may still have lent some that are idle
-        now, or grant its fair part; such lenders are asked rarely, those of
-        the own zone and one other.
+        now, or may grant a fair share. Such lenders get requests less often.
         """
-        ready = [
+        available = [
             lender
             for lender in lenders
             if lender.free_slots
             and now - self._requested_at(lender) >= self._cfg.lender_interval_s
         ]
-        known = {
+        recent_lenders = {
             self._last_lenders.get(entry.customer)
             for entry in self._backlog.customers(now)
             if entry.waiting
         }
-        ready.sort(
-            key=lambda each: (
-                each.vm not in known,
-                not each.is_same_zone,
-                -each.free_slots,
+        available.sort(
+            key=lambda lender: (
+                lender.vm not in recent_lenders,
+                not lender.is_same_zone,
+                -lender.free_slots,
             )
         )
-        own_half = sum(self._table.owned.values()) // 2
-        lot = min(total, self._cfg.min_loan_slots, own_half)
-        large = [lender for lender in ready if lender.free_slots >= lot]
+        half_of_own = sum(self._table.owned.values()) // 2
+        min_slots = min(total, self._cfg.min_loan_slots, half_of_own)
+        large = [
+            lender for lender in available if lender.free_slots >= min_slots
+        ]
         return [
-            *((lender, lender.free_slots) for lender in large or ready[:1]),
+            *((lender, lender.free_slots) for lender in large or available[:1]),
             *(
                 (lender, MAX_PROBE_REQUEST_SLOTS)
                 for lender in self._probe_targets(lenders, now)
@@ -287,41 +303,47 @@
     def _probe_targets(
         self, lenders: Collection[LenderPeer], now: float
     ) -> list[LenderPeer]:
-        """Return the lenders without free slots that are asked all the same.
+        """Return the lenders without free slots to send requests to.
 
-        One that lends to this VM already tells of its free slots when it
-        sends a frame.
+        These are the ones of the own zone and one other. Peers that already
+        lend to this VM are left out: they report free slots in their frames.
         """
-        full = [
+        without_free_slots = [
             lender
             for lender in lenders
             if not lender.free_slots
             and now - self._requested_at(lender) >= self._cfg.probe_interval_s
             and not self._borrowed.has_loans_from(lender.vm)
         ]
-        full.sort(
-            key=lambda each: (not each.is_same_zone, self._requested_at(each))
+        without_free_slots.sort(
+            key=lambda lender: (
+                not lender.is_same_zone,
+                self._requested_at(lender),
+            )
         )
-        is_same_zone = sum(lender.is_same_zone for lender in full)
-        return full[: is_same_zone + 1]
+        same_zone = sum(lender.is_same_zone for lender in without_free_slots)
+        return without_free_slots[: same_zone + 1]
 
     def _requested_at(self, lender: LenderPeer) -> float:
-        asked = self._sent_requests.get(lender.vm)
-        return asked.sent_at if asked else -math.inf
+        request = self._sent_requests.get(lender.vm)
+        return request.sent_at if request else -math.inf
 
 
 def _to_frames(
-    due: Mapping[ids.VmId, tuple[frames.Lot, ...]],
+    lots_by_lender: Mapping[ids.VmId, tuple[frames.Lot, ...]],
 ) -> OutgoingFrames:
-    return [(vm, frames.SlotReturn(lots=lots)) for vm, lots in due.items()]
+    return [
+        (vm, frames.SlotReturn(lots=lots))
+        for vm, lots in lots_by_lender.items()
+    ]
 
 
 def _divide_wants(
-    needs: Mapping[ids.CustomerId, tuple[float, int]], most: int
+    needs: Mapping[ids.CustomerId, tuple[float, int]], max_slots: int
 ) -> tuple[frames.Want, ...]:
-    """Divide ``most`` slots among the customers by contract weight."""
+    """Divide up to ``max_slots`` among the customers by contract weight."""
     shares = water_fill(
-        most, {('', customer): need for customer, need in needs.items()}
+        max_slots, {('', customer): need for customer, need in needs.items()}
     )
     return tuple(
         (customer, float(needs[customer][0]), count)
@@ -333,24 +355,24 @@
 def water_fill(
     total: int, claims: Claims
 ) -> dict[tuple[str, ids.CustomerId], int]:
-    """Divide slots by weight, to nobody more than it claims.
+    """Divide slots by weight; no share is larger than its claim.
 
-    Claims are pairs of weight and count. What a rounding leaves over goes to
+    This is weighted max-min fairness. Slots that remain after rounding go to
     the first claims.
     """
     shares = dict.fromkeys(claims, 0)
-    left = total
-    while left > 0:
-        hungry = [
+    remaining = total
+    while remaining > 0:
+        unfilled = [
             key for key, (_, count) in claims.items() if shares[key] < count
         ]
-        if not hungry:
+        if not unfilled:
             break
-        weight = sum(claims[key][0] for key in hungry)
-        budget = left
-        for key in hungry:
-            fair = max(1, int(budget * claims[key][0] / weight))
-            more = min(fair, left, claims[key][1] - shares[key])
-            shares[key] += more
-            left -= more
+        weight_sum = sum(claims[key][0] for key in unfilled)
+        round_total = remaining
+        for key in unfilled:
+            fair = max(1, int(round_total * claims[key][0] / weight_sum))
+            increase = min(fair, remaining, claims[key][1] - shares[key])
+            shares[key] += increase
+            remaining -= increase
     return shares
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -227,7 +227,7 @@
 
 def _subscribe(components: Components) -> None:
     """Connect the events of components to their subscribers."""
-    components.versions.in_force.subscribe(
+    components.versions.active_version.subscribe(
         lambda version: _apply_version(components, version)
     )
     components.peers.live_vms.subscribe(components.submissions.set_live_vms)
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -240,7 +240,7 @@
                 )
         finally:
             self._finish_attempt(placement, outcome)
-        if entry.state in _PENDING:
+        if entry.state in _REQUEUED_STATES:
             return None
         if _is_unreachable(outcome):
             return work.Refused(
@@ -351,7 +351,9 @@
 
 #: States of a task that was requeued after an attempt. It may have started
 #: again before the previous attempt returned.
-_PENDING = frozenset((flows.EntryState.WAITING, flows.EntryState.STARTED))
+_REQUEUED_STATES = frozenset(
+    (flows.EntryState.WAITING, flows.EntryState.STARTED)
+)
 
 
 def _is_unreachable(outcome: work.Outcome | None) -> bool:
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -142,7 +142,7 @@
         )
 
     async def _open_listeners(self, components: components.Components) -> Ports:
-        limits = caller.EdgeLimits()
+        limits = caller.ConnectionLimits()
         self._callers = await caller.start(
             app=caller.build_app(
                 submissions=components.submissions,
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -85,8 +85,8 @@
     ) -> list[ids.EndpointId]:
         """Return the endpoints on probation that have no running probe.
 
-        An endpoint is on probation from the end of its ejection until a
-        success. It gets one task at a time, as a probe.
+        An endpoint is on probation from the end of its ejection until it
+        responds without a failure. It gets one task at a time, as a probe.
         """
         if not self._ejected:
             return []
--- a/sardineproxy/process/listing.py
+++ b/sardineproxy/process/listing.py
@@ -137,7 +137,7 @@
         self._platform = platform
         self._directory = directory
         self._clock = clock
-        self._schedule = polling.Schedule(rng=rng, cfg=cfg)
+        self._schedule = polling.PollSchedule(rng=rng, cfg=cfg)
         self._last_read: float | None = None
         self._last_error: str | None = None
         self._encoded: tuple[int, bytes] | None = None
@@ -151,7 +151,7 @@
     async def poll_once(self) -> None:
         """Read the platform's list once and update the directory."""
         failures_before = self._schedule.failures
-        error = await self._schedule.limited(self._poll())
+        error = await self._schedule.run_with_timeout(self._poll())
         self._last_error = None if error is None else error.detail
         if error is None:
             self._last_read = self._clock.now()
--- a/sardineproxy/process/loans.py
+++ b/sardineproxy/process/loans.py
@@ -48,7 +48,7 @@
         lenders: Callable[[], Collection[borrowing.LenderPeer]],
         now: float,
     ) -> borrowing.OutgoingFrames:
-        """Process timeouts; return all grants, recalls, requests, returns."""
+        """Process timeouts and return the frames to send."""
         return [
             *self._lending.tick(now),
             *self._borrowing.request_slots(lenders, now),
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -1,7 +1,7 @@
 """Matching of waiting tasks to free slots.
 
-Between events no free slot is usable by any waiting task. After the release
-of a slot it is therefore enough to search for a single task to start.
+Whenever an event has been processed, no waiting task can use a free slot. After
+the release of one slot it is therefore enough to start a single task.
 """
 
 import dataclasses
@@ -70,7 +70,8 @@
         self.running: dict[int, Placement] = {}
 
         #: Flows that could use no free slot when a later flow could. They
-        #: are out of the queue's rotation until the next full search.
+        #: are not scheduled again until one of their own tasks ends or all
+        #: flows are tried.
         self.blocked: dict[ids.CustomerId, flows.Flow] = {}
 
     def place_new(
--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -5,7 +5,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.connection import messages
-from sardineproxy.process.shards import fences, rooms
+from sardineproxy.process.shards import fencing, shard_capacities
 from sardineproxy.process.membership import loaded_shards
 
 _LOG = logs.get_logger('owners')
@@ -25,35 +25,41 @@
 class Leaders:
     """Fencing tokens reported by connected VMs, and the leaders they imply."""
 
-    def __init__(self, *, me: ids.VmId) -> None:
+    def __init__(self, *, own_vm: ids.VmId) -> None:
         """Create an instance without leaders."""
-        self._me = me
-        self._tokens: dict[ids.VmId, dict[ids.ShardId, fences.Right]] = {}
+        self._own_vm = own_vm
+        #: Latest fencing tokens that each VM has reported.
+        self._tokens: dict[
+            ids.VmId, dict[ids.ShardId, fencing.FencingToken]
+        ] = {}
+
         #: Leader of each shard.
         self.by_shard: dict[ids.ShardId, ids.VmId] = {}
 
         #: Free capacity of each shard.
-        self.rooms = rooms.Rooms()
+        self.capacities = shard_capacities.ShardCapacities()
 
         #: Leaders that have loaded the stored jobs of their shards.
         self.loaded_shards = loaded_shards.LoadedShards()
 
         #: Counts of stored jobs that have not started, by reporting leader.
-        self._pending: dict[ids.VmId, tuple[messages.Pending, ...]] = {}
+        self._pending: dict[ids.VmId, tuple[messages.PendingJobs, ...]] = {}
 
-    def update(self, vm: ids.VmId, beat: messages.Beat, now: float) -> bool:
+    def update(
+        self, vm: ids.VmId, heartbeat: messages.Heartbeat, now: float
+    ) -> bool:
         """Apply a VM's heartbeat.
 
         Returns whether its shards or their fencing tokens have changed.
         """
-        tokens: dict[ids.ShardId, fences.Right] = {}
-        for shard, epoch, rank, free, _ in beat.shards:
-            tokens[shard] = fences.Right(epoch=epoch, rank=rank)
-            self.rooms.note(shard, free, now)
+        tokens: dict[ids.ShardId, fencing.FencingToken] = {}
+        for shard, epoch, rank, free, _ in heartbeat.shards:
+            tokens[shard] = fencing.FencingToken(epoch=epoch, rank=rank)
+            self.capacities.update(shard, free, now)
         self.loaded_shards.update(
-            vm, (status[0] for status in beat.shards if status[-1]), now
+            vm, (status[0] for status in heartbeat.shards if status[-1]), now
         )
-        self._pending[vm] = beat.pending
+        self._pending[vm] = heartbeat.pending
         changed = self._tokens.get(vm) != tokens
         self._tokens[vm] = tokens
         return changed
@@ -77,7 +83,7 @@
         )
 
     def choose(
-        self, own: Mapping[ids.ShardId, fences.Right]
+        self, own: Mapping[ids.ShardId, fencing.FencingToken]
     ) -> LeadershipChange:
         """Set the holder of the highest fencing token as leader of each shard.
 
@@ -90,13 +96,13 @@
             if remote is not None and remote[0] > token:
                 lost[shard] = remote[1]
             else:
-                highest[shard] = (token, self._me)
+                highest[shard] = (token, self._own_vm)
         former = self.by_shard
         self.by_shard = {
             led_shard: holder[1] for led_shard, holder in highest.items()
         }
         for removed_shard in set(former).difference(highest):
-            self.rooms.forget(removed_shard)
+            self.capacities.remove(removed_shard)
         with_new_leader = [
             led_shard
             for led_shard, leader in self.by_shard.items()
@@ -108,8 +114,8 @@
 
     def _highest_tokens(
         self,
-    ) -> dict[ids.ShardId, tuple[fences.Right, ids.VmId]]:
-        highest: dict[ids.ShardId, tuple[fences.Right, ids.VmId]] = {}
+    ) -> dict[ids.ShardId, tuple[fencing.FencingToken, ids.VmId]]:
+        highest: dict[ids.ShardId, tuple[fencing.FencingToken, ids.VmId]] = {}
         for vm, tokens in self._tokens.items():
             for shard, token in tokens.items():
                 if shard not in highest or token > highest[shard][0]:
@@ -117,7 +123,9 @@
         return highest
 
 
-def _log_leader(shard: ids.ShardId, token: fences.Right, vm: ids.VmId) -> None:
+def _log_leader(
+    shard: ids.ShardId, token: fencing.FencingToken, vm: ids.VmId
+) -> None:
     _LOG.info(
         'Shard leader changed.',
         extra={
--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -31,9 +31,9 @@
 #: have ended by then.
 HOME_LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.1, timeout_s=0.4)
 
-#: Between a VM and the leaders of other shards. A longer timeout delays the
-#: retry of tasks that were sent to another zone, and prolongs the idle time
-#: of a zone that has lost all its VMs.
+#: Between a VM and the leaders of other shards. A longer timeout loses more
+#: of the tasks that were sent to another zone, and prolongs the idle time of
+#: a zone that has lost all its VMs.
 LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.2, timeout_s=0.7)
 
 #: Between VMs that lead no shard.
@@ -84,7 +84,7 @@
         *,
         clock: clock.Clock,
         rng: random.Random,
-        me: messages.Greeting,
+        identity: messages.Greeting,
         events: LinkEvents,
         heartbeat_timing: Callable[[messages.Greeting], HeartbeatTiming],
         connect: link.Connect = asyncio.open_connection,
@@ -93,7 +93,7 @@
         """Create an instance without links; ``start`` opens the listener."""
         self._clock = clock
         self._rng = rng
-        self._me = me
+        self._identity = identity
         self._events = events
         self._heartbeat_timing = heartbeat_timing
         self._connect = connect
@@ -135,34 +135,34 @@
 
     def get(self, vm: ids.VmId) -> link.Link | None:
         """Return an open link to a VM, or None."""
-        for candidate in self.open_links.get(vm, ()):
-            if not candidate.is_closing():
-                return candidate
+        for open_link in self.open_links.get(vm, ()):
+            if not open_link.is_closing():
+                return open_link
         return None
 
-    def tick(self, now: float, beat: messages.Beat) -> None:
+    def tick(self, now: float, heartbeat: messages.Heartbeat) -> None:
         """Close timed-out and unneeded links, send heartbeats, dial peers."""
-        for candidate in self._all_links():
-            heartbeat_timing = self._heartbeat_timing(candidate.peer)
+        for open_link in self._all_links():
+            heartbeat_timing = self._heartbeat_timing(open_link.peer)
             last_activity_at = max(
-                candidate.heard_at,
-                self._timing_since(candidate, heartbeat_timing, now),
+                open_link.last_received_at,
+                self._timing_since(open_link, heartbeat_timing, now),
             )
             if now - last_activity_at >= heartbeat_timing.timeout_s:
                 _LOG.warning(
                     'Link closed: heartbeat timeout.',
                     extra={
-                        'vm': candidate.peer.vm,
-                        'silent_s': round(now - candidate.heard_at, 3),
+                        'vm': open_link.peer.vm,
+                        'silent_s': round(now - open_link.last_received_at, 3),
                     },
                 )
-                candidate.abort()
-                self._remove(candidate)
-            elif self._is_unneeded(candidate, now):
-                candidate.abort()
-                self._remove(candidate)
-            elif now - candidate.sent_at >= heartbeat_timing.interval_s:
-                candidate.send(beat)
+                open_link.abort()
+                self._remove(open_link)
+            elif self._is_unneeded(open_link, now):
+                open_link.abort()
+                self._remove(open_link)
+            elif now - open_link.last_sent_at >= heartbeat_timing.interval_s:
+                open_link.send(heartbeat)
         for address, target in self._targets.items():
             if self._is_missing(target) and now >= target.retry_at:
                 target.is_dialing = True
@@ -177,9 +177,9 @@
 
     def abort_all(self) -> None:
         """Abort all links without waiting for pending data."""
-        for candidate in self._all_links():
-            candidate.abort()
-            self._remove(candidate)
+        for open_link in self._all_links():
+            open_link.abort()
+            self._remove(open_link)
 
     def set_needed(self, vms: Collection[ids.VmId]) -> None:
         """Set the VMs to keep links to; other links expire by age."""
@@ -199,24 +199,27 @@
         ]
 
     def _timing_since(
-        self, of: link.Link, heartbeat_timing: HeartbeatTiming, now: float
+        self,
+        open_link: link.Link,
+        heartbeat_timing: HeartbeatTiming,
+        now: float,
     ) -> float:
         """Return the time at which a link's heartbeat timing last changed.
 
         The peer may learn of a new leader later than this VM, and sends
         heartbeats at the slower interval until then.
         """
-        timing_entry = self._timings.get(of)
+        timing_entry = self._timings.get(open_link)
         if timing_entry is None or timing_entry[0] is not heartbeat_timing:
             timing_entry = (heartbeat_timing, now)
-            self._timings[of] = timing_entry
+            self._timings[open_link] = timing_entry
         return timing_entry[1]
 
-    def _is_unneeded(self, candidate: link.Link, now: float) -> bool:
+    def _is_unneeded(self, open_link: link.Link, now: float) -> bool:
         return (
             self._needed is not None
-            and candidate.peer.vm not in self._needed
-            and now - candidate.opened_at >= UNUSED_LINK_AGE_S
+            and open_link.peer.vm not in self._needed
+            and now - open_link.opened_at >= UNUSED_LINK_AGE_S
         )
 
     def _is_missing(self, target: _Target) -> bool:
@@ -271,7 +274,7 @@
     ) -> None:
         """Perform the handshake, then read from the link until it closes."""
         try:
-            greeting = await opened.handshake(self._me)
+            greeting = await opened.handshake(self._identity)
             if isinstance(greeting, result.Err):
                 _LOG.info(
                     'Link handshake failed.',
@@ -281,7 +284,7 @@
             if target is not None:
                 target.vm = greeting.ok_value.vm
                 target.failures = 0
-            if greeting.ok_value.vm == self._me.vm:
+            if greeting.ok_value.vm == self._identity.vm:
                 return
             self._add(opened)
             await self._read(opened)
@@ -307,7 +310,7 @@
             if opened not in self.open_links.get(opened.peer.vm, ()):
                 return
             if isinstance(received, result.Err):
-                if not link.is_regular_end(received.err_value):
+                if not link.is_clean_close(received.err_value):
                     _LOG.info(
                         'Link failed.',
                         extra={
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -6,7 +6,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.process import store
-from sardineproxy.process.shards import fences
+from sardineproxy.process.shards import fencing
 from sardineproxy.process.membership import registry
 
 #: Time without a leader after which the first candidate claims a new shard,
@@ -55,13 +55,13 @@
         *,
         store: store.Store,
         directory: registry.Registry,
-        me: registry.Member,
-        on_token: Callable[[ids.ShardId, fences.Right], None],
+        member: registry.Member,
+        on_token: Callable[[ids.ShardId, fencing.FencingToken], None],
     ) -> None:
         """Create a claimer that passes acquired tokens to ``on_token``."""
         self._store = store
         self._directory = directory
-        self._me = me
+        self._member = member
         self._on_token = on_token
         self._absent_since: dict[ids.ShardId, float] = {}
         self._retry_at: dict[ids.ShardId, float] = {}
@@ -76,7 +76,7 @@
         shard: ids.ShardId,
         *,
         leader: ids.VmId | None,
-        in_reach: frozenset[ids.VmId],
+        connected_vms: frozenset[ids.VmId],
         now: float,
     ) -> bool:
         """Return whether this process should claim a shard now."""
@@ -95,7 +95,7 @@
         since = self._absent_since.setdefault(shard, now)
         if now < self._retry_at.get(shard, 0):
             return False
-        return now - since >= self._claim_delay_s(shard, in_reach)
+        return now - since >= self._claim_delay_s(shard, connected_vms)
 
     def postpone(self, shard: ids.ShardId, now: float) -> None:
         """Suppress claims of a shard for ``CLAIM_RETRY_S``."""
@@ -148,7 +148,9 @@
                 )
             )
             self._log('Shard claimed.', shard, claim.epoch, 0, '')
-            self._on_token(shard, fences.Right(epoch=claim.epoch, rank=0))
+            self._on_token(
+                shard, fencing.FencingToken(epoch=claim.epoch, rank=0)
+            )
             return
         self._log(
             'Claiming a shard failed.',
@@ -161,33 +163,37 @@
             self._claim_as_successor(shard, previous)
 
     def successors(self, shard: ids.ShardId) -> tuple[registry.ProcessId, ...]:
-        """Return the processes that may succeed this one as leader, in order."""
+        """Return the successors of this process as leader, in order."""
         return tuple(
             (member.vm, member.incarnation)
             for member in self._candidates(shard)
-            if member.vm != self._me.vm
-        )[: fences.MAX_HEIRS]
+            if member.vm != self._member.vm
+        )[: fencing.MAX_SUCCESSORS]
 
     def successors_of_claim(self, shard: ids.ShardId) -> list[ids.VmId]:
         """Return the VMs that are successors under a shard's current claim."""
         claim = self._directory.claims.get(shard)
         return [] if claim is None else [vm for vm, _ in claim.heirs]
 
-    def is_successor(self) -> bool:
+    def is_candidate(self) -> bool:
         """Return whether this VM is among the first candidates of its zone."""
-        first = self._candidates(ids.ShardId(self._me.zone))[:LINKED_CANDIDATES]
-        return any(candidate.vm == self._me.vm for candidate in first)
+        first = self._candidates(ids.ShardId(self._member.zone))[
+            :LINKED_CANDIDATES
+        ]
+        return any(candidate.vm == self._member.vm for candidate in first)
 
-    def needs_link(self, one: ids.VmId, other: ids.VmId) -> bool:
+    def needs_link(self, vm: ids.VmId, other_vm: ids.VmId) -> bool:
         """Return whether two VMs should be linked (symmetric)."""
         if len(self._directory.members) <= FULL_MESH_MAX_VMS:
             return True
-        return self._may_lead_for(one, other) or self._may_lead_for(other, one)
+        return self._may_lead_for(vm, other_vm) or self._may_lead_for(
+            other_vm, vm
+        )
 
     def needs_refresh(
         self,
         shard: ids.ShardId,
-        token: fences.Right,
+        token: fencing.FencingToken,
         *,
         isolated: bool,
         now: float,
@@ -209,22 +215,25 @@
         since = self._outdated_since.setdefault(shard, now)
         return now - since >= REFRESH_DELAY_S
 
-    def _may_lead_for(self, one: ids.VmId, other: ids.VmId) -> bool:
-        """Return whether a VM leads a shard or is a candidate for another VM.
+    def _may_lead_for(self, vm: ids.VmId, other_vm: ids.VmId) -> bool:
+        """Return whether a VM leads, or may soon lead, a shard for another VM.
 
-        Candidate means: among the first candidates of the other VM's zone.
+        It may soon do so if it is among the first candidates of that VM's
+        zone.
         """
         if any(
-            claim.owner[0] == one for claim in self._directory.claims.values()
+            claim.owner[0] == vm for claim in self._directory.claims.values()
         ):
             return True
-        member = self._directory.members.get(other)
+        member = self._directory.members.get(other_vm)
         if member is None:
             return False
         first = self._candidates(ids.ShardId(member.zone))[:LINKED_CANDIDATES]
-        return any(candidate.vm == one for candidate in first)
+        return any(candidate.vm == vm for candidate in first)
 
-    def _is_current(self, claim: registry.Claim, token: fences.Right) -> bool:
+    def _is_current(
+        self, claim: registry.Claim, token: fencing.FencingToken
+    ) -> bool:
         """Return whether a claim equals what this process would write now."""
         if claim.owner != self._process_id() or token.rank:
             return False
@@ -233,7 +242,7 @@
         )
 
     def _process_id(self) -> registry.ProcessId:
-        return self._me.vm, self._me.incarnation
+        return self._member.vm, self._member.incarnation
 
     def _candidates(self, shard: ids.ShardId) -> list[registry.Member]:
         """Return the VMs of the shard's zone, those with most cores first."""
@@ -245,24 +254,31 @@
         return sorted(members, key=lambda member: (-member.cores, member.vm))
 
     def _claim_delay_s(
-        self, shard: ids.ShardId, in_reach: frozenset[ids.VmId]
+        self, shard: ids.ShardId, connected_vms: frozenset[ids.VmId]
     ) -> float:
+        """Return the time without a leader after which to claim a shard.
+
+        VMs of the shard's zone claim in order of size. VMs of other zones
+        claim in order of name, and only if the zone has no connected VM.
+        """
         base_delay_s = FIRST_CLAIM_DELAY_S
         if shard in self._had_leader or shard in self._directory.claims:
             base_delay_s = CLAIM_DELAY_S
         reachable = [
             member.vm
             for member in self._candidates(shard)
-            if member.vm in in_reach or member.vm == self._me.vm
+            if member.vm in connected_vms or member.vm == self._member.vm
         ]
-        if self._me.vm in reachable:
+        if self._member.vm in reachable:
             return base_delay_s + CANDIDATE_STEP_S * reachable.index(
-                self._me.vm
+                self._member.vm
             )
         if reachable:
             return float('inf')
-        connected = sorted({*in_reach, self._me.vm})
-        return base_delay_s + CANDIDATE_STEP_S * connected.index(self._me.vm)
+        connected = sorted({*connected_vms, self._member.vm})
+        return base_delay_s + CANDIDATE_STEP_S * connected.index(
+            self._member.vm
+        )
 
     def _claim_as_successor(
         self, shard: ids.ShardId, previous: registry.Claim | None
@@ -278,7 +294,9 @@
             rank,
             'store unavailable',
         )
-        self._on_token(shard, fences.Right(epoch=previous.epoch, rank=rank))
+        self._on_token(
+            shard, fencing.FencingToken(epoch=previous.epoch, rank=rank)
+        )
 
     def _log(
         self, text: str, shard: ids.ShardId, epoch: int, rank: int, cause: str
--- a/sardineproxy/process/node/cli.py
+++ b/sardineproxy/process/node/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the node program, apart from its execution."""
+"""Command-line parsing of the node program."""
 
 import dataclasses
 import pathlib
@@ -10,9 +10,9 @@
 
 USAGE = """Run the entry process of one entry VM on the users' platform.
 
-Reads the platform's settings file, whose path stands in SARDINEPROXY_CONFIG,
-and serves clients until SIGTERM. SIGHUP reads the settings again. Logs go to
-standard output, one JSON object a line.
+Reads the platform's settings file from the path in SARDINEPROXY_CONFIG, and
+serves clients until SIGTERM. SIGHUP reloads the settings. Logs are written to
+standard output, one JSON object per line.
 
 Example: sardineproxy-node --policy deploy/policy.jsonc --metrics_port 9464
 """
@@ -20,26 +20,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Arguments:
-    """Checked arguments of the node program."""
+    """Parsed arguments of the node program."""
 
-    #: Settings of the program's own policy, None for the defaults.
+    #: Policy file of the program, None for the default policy.
     policy: pathlib.Path | None
 
-    #: Port for metrics and the state dump, None for no listener.
+    #: Port for metrics and the state dump, None to disable the listener.
     metrics_port: int | None
 
-    #: Only check all settings and end.
+    #: Validate all settings and exit.
     check: bool
 
 
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
-    """Parse the command line; the error is one sentence."""
+    """Return the parsed command line or help, or an error sentence."""
     values = _define()
-    asked = command_line.read(values, argv, USAGE)
-    if isinstance(asked, result.Err):
-        return asked
-    if asked.ok_value is not None:
-        return result.Ok(asked.ok_value)
+    parsed = command_line.read(values, argv, USAGE)
+    if isinstance(parsed, result.Err):
+        return parsed
+    if parsed.ok_value is not None:
+        return result.Ok(parsed.ok_value)
     return result.Ok(
         Arguments(
             policy=pathlib.Path(values.policy) if values.policy else None,
@@ -54,7 +54,7 @@
     flags.DEFINE_string(
         'policy',
         None,
-        "Settings of the program's own policy, JSON with comments.",
+        "File with the program's policy settings, JSON with comments.",
         flag_values=values,
     )
     flags.DEFINE_integer(
@@ -68,7 +68,7 @@
     flags.DEFINE_bool(
         'check',
         default=False,
-        help='Check the settings, open no port, and end.',
+        help='Validate the settings and exit without opening a port.',
         flag_values=values,
     )
     return values
--- a/sardineproxy/process/node/core.py
+++ b/sardineproxy/process/node/core.py
@@ -1,4 +1,4 @@
-"""One run of the node program, from arguments to exit status."""
+"""Main function of the node program, from arguments to exit status."""
 
 import asyncio
 import gc
@@ -21,8 +21,9 @@
 from sardineproxy.platform import settings
 from sardineproxy.process.node import cli, policy, service
 
-#: Allocations until a collection of each generation. The default of 700 costs
-#: more than it frees, as requests leave few cycles.
+#: Garbage collection thresholds of the three generations. The default of 700
+#: allocations costs more time than it frees memory, as requests create few
+#: reference cycles.
 GC_THRESHOLDS = (10_000, 20, 20)
 
 _STATUS = exit_status.ExitStatus
@@ -35,9 +36,9 @@
     environ: Mapping[str, str] = os.environ,
     out: TextIO | None = None,
 ) -> exit_status.ExitStatus:
-    """Check arguments and settings, then serve until SIGTERM or SIGINT.
+    """Validate arguments and settings, then serve until SIGTERM or SIGINT.
 
-    Help goes to ``out``, the standard output if None.
+    Help is written to ``out``, or to standard output if it is None.
     """
     out = out or sys.stdout
     parsed = cli.parse(argv)
@@ -47,20 +48,22 @@
     if isinstance(args, command_line.Help):
         out.write(args.text)
         return _STATUS.SUCCESS
-    if settings.PATH_VARIABLE not in environ:
-        return _fail(f'{settings.PATH_VARIABLE} is not set.', _STATUS.USAGE)
-    path = pathlib.Path(environ[settings.PATH_VARIABLE])
+    if settings.PATH_ENV_VARIABLE not in environ:
+        return _fail(f'{settings.PATH_ENV_VARIABLE} is not set.', _STATUS.USAGE)
+    path = pathlib.Path(environ[settings.PATH_ENV_VARIABLE])
     loaded = settings.load(path)
     if isinstance(loaded, result.Err):
         return _fail(f'{loaded.err_value}.', _STATUS.INVALID_INPUT)
-    rules = _load_policy(args)
-    if isinstance(rules, result.Err):
-        return _fail(f'{rules.err_value}.', _STATUS.INVALID_INPUT)
+    node_policy = _load_policy(args)
+    if isinstance(node_policy, result.Err):
+        return _fail(f'{node_policy.err_value}.', _STATUS.INVALID_INPUT)
     if args.check:
         out.write(f'{path}: settings are valid.\n')
         return _STATUS.SUCCESS
-    run = _Run(path=path, args=args, rules=rules.ok_value)
-    return asyncio.run(run.serve(loaded.ok_value))
+    process = _NodeProcess(
+        path=path, args=args, node_policy=node_policy.ok_value
+    )
+    return asyncio.run(process.serve(loaded.ok_value))
 
 
 def _load_policy(args: cli.Arguments) -> result.Result[policy.Policy, str]:
@@ -69,59 +72,63 @@
     return policy.load(args.policy)
 
 
-class _Run:
-    """One process from its settings to its end."""
+class _NodeProcess:
+    """Lifetime of one process: signals, settings reloads and exit status."""
 
     def __init__(
-        self, *, path: pathlib.Path, args: cli.Arguments, rules: policy.Policy
+        self,
+        *,
+        path: pathlib.Path,
+        args: cli.Arguments,
+        node_policy: policy.Policy,
     ) -> None:
         self._path = path
         self._args = args
-        self._rules = rules
+        self._node_policy = node_policy
         self._stop: asyncio.Event | None = None
         self._has_failed = False
 
     async def serve(self, cfg: deployment.Deployment) -> exit_status.ExitStatus:
-        """Serve until a signal to stop."""
+        """Serve until SIGTERM, SIGINT or a fatal error."""
         loop = asyncio.get_running_loop()
         handler = logs.configure_bounded(fd=sys.stdout.fileno(), loop=loop)
         stop = asyncio.Event()
         loop.set_exception_handler(self._handle_loop_error)
         self._stop = stop
         reload_requested = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop.set)
         loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
-        own = service.Service(
+        node_service = service.Service(
             cfg=cfg,
-            rules=self._rules,
+            node_policy=self._node_policy,
             metrics_port=self._args.metrics_port,
             clock=clock.BootClock(),
         )
-        started = await own.start()
+        started = await node_service.start()
         if isinstance(started, result.Err):
             return _fail(f'{started.err_value}.', _STATUS.UNAVAILABLE)
         _configure_gc()
         watcher = asyncio.create_task(
-            self._watch_settings(own, reload_requested)
+            self._watch_settings(node_service, reload_requested)
         )
         await stop.wait()
         watcher.cancel()
-        await own.shut_down()
+        await node_service.shut_down()
         handler.close()
         return _STATUS.ERROR if self._has_failed else _STATUS.SUCCESS
 
     def _handle_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]
     ) -> None:
-        """Log an error that nothing handled; end the process on a fatal one.
+        """Log an unhandled error; stop the process if it is fatal.
 
-        The platform starts it anew; a node without one of its tasks would
-        serve wrongly, and nobody would know.
+        The platform then restarts the process. Otherwise the node would
+        continue without one of its background tasks, and misbehave unnoticed.
         """
         is_fatal = bool(context.get(background.FATAL))
         _LOG.error(
-            'Error that nothing handled.',
+            'Unhandled error.',
             extra={'what': context.get('message'), 'ends': is_fatal},
             exc_info=context.get('exception'),
         )
@@ -130,34 +137,34 @@
             self._stop.set()
 
     async def _watch_settings(
-        self, own: service.Service, reload_requested: asyncio.Event
+        self, node_service: service.Service, reload_requested: asyncio.Event
     ) -> None:
-        """Read the settings on SIGHUP, and now and then without it."""
+        """Reload the settings on SIGHUP and every ``SETTINGS_PERIOD_S``."""
         while True:
             try:
                 async with asyncio.timeout(SETTINGS_PERIOD_S):
                     await reload_requested.wait()
-                _LOG.info('Settings are read again: SIGHUP.')
+                _LOG.info('Reloading settings on SIGHUP.')
             except TimeoutError:
                 pass  # noqa: WPS420
             reload_requested.clear()
             loaded = settings.load(self._path)
             if isinstance(loaded, result.Err):
                 _LOG.error(
-                    'Settings refused, the former ones stay.',
+                    'Invalid settings, keeping the current ones.',
                     extra={'cause': loaded.err_value},
                 )
             else:
-                own.update_settings(loaded.ok_value)
+                node_service.update_settings(loaded.ok_value)
 
 
-#: Time between two readings of the settings without a signal, in seconds.
-#: They may change without one.
+#: Interval at which the settings are reloaded without a signal, in seconds.
+#: The file may change without a SIGHUP.
 SETTINGS_PERIOD_S = 5.0
 
 
 def _configure_gc() -> None:
-    """Leave what was loaded at the start out of garbage collections."""
+    """Exclude startup objects from garbage collection; set thresholds."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/sardineproxy/process/node/dependencies.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -1,4 +1,4 @@
-"""What a node gets from outside, and what is built from it."""
+"""External dependencies of a node, and objects built from them."""
 
 import dataclasses
 import random
@@ -14,24 +14,24 @@
     job_table,
 )
 from sardineproxy.process.membership import worker_list
-from sardineproxy.version import in_force
+from sardineproxy.version import active_config
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RowFormats:
-    """Decoders of the platform's rows."""
+    """Table names and row decoders of the platform's store."""
 
     configuration_table: str
     configuration_row: str
-    roster_table: str
-    decode_configuration: in_force.Decode
+    worker_table: str
+    decode_configuration: active_config.Decode
     worker_id: Callable[[store.Row], ids.WorkerId]
     decode_worker: worker_list.DecodeWorker
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Dependencies:
-    """What the outside world provides, replaced by tests."""
+    """Interfaces to the environment, replaced in tests."""
 
     clock: clock.Clock
     rng: random.Random
@@ -49,7 +49,7 @@
     router: execution.Router,
     states_s: float,
 ) -> job_manager.JobManager:
-    """Return the keeper of a cell that this process owns from now on."""
+    """Return a stored-job manager for a shard that this process leads."""
     return job_manager.JobManager(
         table=job_table.JobTable(
             shard=shard,
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -1,4 +1,4 @@
-"""What a node reads from the store and writes to it when it starts."""
+"""Tables of the store that a node follows, and its registration."""
 
 import asyncio
 import random
@@ -14,22 +14,22 @@
     worker_list,
 )
 
-#: Longest wait for a change of the configuration, as a part of the time in
-#: which it must be in force even if one answer is lost.
+#: Long-poll timeout for the configuration, as a fraction of the time within
+#: which it must be in force. At one half, one response may be lost.
 CONFIG_POLL_WAIT_SHARE = 0.5
 
-#: Longest wait for a change of members and claims, in seconds.
+#: Long-poll timeout for members and claims, in seconds.
 DIRECTORY_POLL_WAIT_S = 5.0
 
-#: The list of workers changes with each of their beats, so that it is asked
-#: for at intervals; a leaving worker must get no orders after 2 s.
-LEADER_ROSTER_TIMING = table_follower.PollTiming(wait_s=0, pause_s=0.8)
-SUCCESSOR_ROSTER_TIMING = table_follower.PollTiming(wait_s=0, pause_s=1.5)
+#: The list of workers changes with every worker heartbeat, so it is read at
+#: intervals; a leaving worker must not receive orders after 2 s.
+LEADER_POLL_TIMING = table_follower.PollTiming(wait_s=0, pause_s=0.8)
+CANDIDATE_POLL_TIMING = table_follower.PollTiming(wait_s=0, pause_s=1.5)
 
-#: Pace of VMs that will not own a cell soon.
-FOLLOWER_ROSTER_TIMING = table_follower.PollTiming(wait_s=0, pause_s=15)
+#: Intervals of VMs that are not among the first candidates for a shard.
+FOLLOWER_POLL_TIMING = table_follower.PollTiming(wait_s=0, pause_s=15)
 
-#: Shortest and longest pause before a registration is tried again, in seconds.
+#: Minimum and maximum delay before the registration is retried, in seconds.
 REGISTER_RETRY_MIN_S = 0.3
 REGISTER_RETRY_MAX_S = 0.6
 
@@ -37,39 +37,40 @@
 
 
 class RowHandler(Protocol):
-    """Uses what the feeds bring."""
+    """Callbacks for changed rows."""
 
     def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
-        """Use changed rows of the operator's table."""
+        """Apply changed rows of the operator's table."""
 
     def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
-        """Use changed members and claims."""
+        """Apply changed members and claims."""
 
-    def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
-        """Use changed entries of workers."""
+    def worker_rows_changed(self, rows: tuple[store.Row, ...]) -> None:
+        """Apply changed entries of workers."""
 
-    def roster_timing(self) -> table_follower.PollTiming:
-        """Return how often the list of workers is needed."""
+    def worker_list_timing(self) -> table_follower.PollTiming:
+        """Return the polling intervals for the list of workers."""
 
 
 class Feeds:
-    """The followed tables, and this process's own row."""
+    """Followers of the store's tables, and the writer of the member row."""
 
     def __init__(
         self,
         *,
         configuration_table: str,
-        configuration_s: float,
-        roster_table: str,
+        max_config_delay_s: float,
+        worker_table: str,
         source: store.Store,
         handler: RowHandler,
         clock: clock.Clock,
         rng: random.Random,
         metrics: metrics.Metrics,
     ) -> None:
-        """Prepare to follow the tables.
+        """Create the followers.
 
-        A configuration must be in force within ``configuration_s``.
+        A new configuration must be in force within ``max_config_delay_s``
+        seconds.
         """
         self._store = source
         self._clock = clock
@@ -78,14 +79,18 @@
             (
                 configuration_table,
                 handler.configuration_changed,
-                _fixed_timing(CONFIG_POLL_WAIT_SHARE * configuration_s),
+                _fixed_timing(CONFIG_POLL_WAIT_SHARE * max_config_delay_s),
             ),
             (
                 registry.TABLE,
                 handler.directory_changed,
                 _fixed_timing(DIRECTORY_POLL_WAIT_S),
             ),
-            (roster_table, handler.roster_changed, handler.roster_timing),
+            (
+                worker_table,
+                handler.worker_rows_changed,
+                handler.worker_list_timing,
+            ),
         )
         followers = [
             table_follower.TableFollower(
@@ -101,44 +106,48 @@
         ]
         self.configuration = followers[0]
         self.directory = followers[1]
-        self.roster = followers[2]
+        self.worker_list = followers[2]
 
-    def tasks(
+    def coroutines(
         self, member: registry.Member
     ) -> list[Coroutine[None, None, None]]:
-        """Return what runs for the whole life of the process."""
+        """Return the coroutines to run: the followers and the registration."""
         return [
             self.configuration.run(),
             self.directory.run(),
-            self.roster.run(),
+            self.worker_list.run(),
             self._register(member),
         ]
 
     def is_configuration_available(self) -> bool:
-        """Tell whether the store answers about the configuration."""
+        """Return whether the store can currently read the configuration."""
         return self.configuration.healthy_since is not None
 
     def is_worker_list_complete(self) -> bool:
-        """Tell whether no worker can be missing from the list."""
-        return worker_list.is_complete(self.roster, self._clock.now())
+        """Return whether the list is certain to contain every worker."""
+        return worker_list.is_complete(self.worker_list, self._clock.now())
 
-    def listed_at(self) -> float:
-        """Return the local time of the list of workers, in seconds."""
-        return self.roster.answered_at or 0
+    def workers_listed_at(self) -> float:
+        """Return the local time of the last read of the worker list."""
+        return self.worker_list.answered_at or 0
 
     def last_response_at(self) -> float:
-        """Return the local time of the store's last answer, in seconds."""
+        """Return the local time of the store's last response, in seconds."""
         return max(
-            each.answered_at or 0
-            for each in (self.configuration, self.directory, self.roster)
+            follower.answered_at or 0
+            for follower in (
+                self.configuration,
+                self.directory,
+                self.worker_list,
+            )
         )
 
-    def list_answers(self) -> bool:
-        """Tell whether the store answers about the list of workers."""
-        return self.roster.healthy_since is not None
+    def is_list_available(self) -> bool:
+        """Return whether the store can currently read the list of workers."""
+        return self.worker_list.healthy_since is not None
 
     async def _register(self, member: registry.Member) -> None:
-        """Write this process's member row; repeat until it is there."""
+        """Write this process's member row, with retries until it succeeds."""
         while True:
             answer = await self._store.transact(
                 conditions=(), writes=(registry.member_write(member),)
@@ -147,7 +156,7 @@
                 _LOG.info('Registered.', extra={'vm': member.vm})
                 return
             _LOG.warning(
-                'Not registered.', extra={'cause': answer.err_value.detail}
+                'Registration failed.', extra={'cause': answer.err_value.detail}
             )
             await asyncio.sleep(
                 self._rng.uniform(REGISTER_RETRY_MIN_S, REGISTER_RETRY_MAX_S)
@@ -155,6 +164,6 @@
 
 
 def _fixed_timing(wait_s: float) -> Callable[[], table_follower.PollTiming]:
-    """Return a pace that does not change."""
+    """Return a provider of constant polling intervals without pause."""
     timing = table_follower.PollTiming(wait_s=wait_s, pause_s=0)
     return lambda: timing
--- a/sardineproxy/process/node/job_intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -1,20 +1,23 @@
-"""Jobs of clients at one node, from arrival to answer."""
+"""Handles clients' jobs at one node, from arrival to response."""
 
 from sardineproxy import clock, ids, logs
 from sardineproxy.process import metrics
 from sardineproxy.process.stored_jobs import job_service, job_manager, records
 from sardineproxy.request import active_jobs, coordinator, jobs, open_tasks
-from sardineproxy.version import in_force, routes
+from sardineproxy.version import active_config, routes
 
-#: When to come back after a refusal by a process that ends, in seconds; other
-#: VMs take the job at once.
+#: Retry delay in a refusal by a process that is shutting down, in seconds. It
+#: is short, as other VMs can accept the job immediately.
 DRAINING_RETRY_S = 1.0
 
 _LOG = logs.get_logger('node')
 
 
 class JobIntake:
-    """Runs jobs, and refuses those that would outlive the process."""
+    """Runs, stores and queries jobs.
+
+    While the process is shutting down, refuses jobs that would not finish.
+    """
 
     def __init__(
         self,
@@ -22,25 +25,25 @@
         job_service: job_service.JobService,
         active_jobs: active_jobs.ActiveJobs,
         router: open_tasks.Router,
-        versions: in_force.InForce,
+        versions: active_config.ActiveConfig,
         clock: clock.Clock,
         metrics: metrics.Metrics,
     ) -> None:
-        """Run jobs on ``active_jobs``."""
+        """Create an instance that registers jobs in ``active_jobs``."""
         self._job_service = job_service
-        self._board = active_jobs
+        self._active_jobs = active_jobs
         self._router = router
         self._versions = versions
         self._clock = clock
         self._metrics = metrics
 
-        #: Local time at which a shutdown ends, None while there is none.
+        #: Local time at which the process ends, None unless it shuts down.
         self.shutdown_at: float | None = None
 
     async def run(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> jobs.Outcome:
-        """Run a job for a client that waits ``wait_s`` seconds."""
+        """Run a job and return its outcome within ``wait_s`` seconds."""
         now = self._clock.now()
         self._metrics.count('jobs_total')
         outcome = self._refuse(job, route, now)
@@ -51,7 +54,7 @@
         self._metrics.count('jobs_answered_total', outcome=kind)
         self._metrics.observe('job_seconds', took_s, outcome=kind)
         _LOG.info(
-            'Job answered.',
+            'Job finished.',
             extra={
                 'job': job.job_id,
                 'route': route.route,
@@ -68,7 +71,7 @@
     async def store(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
-        """Store a job for a client that waits ``wait_s`` seconds."""
+        """Store a job in its home shard; wait at most ``wait_s`` seconds."""
         now = self._clock.now()
         answer = await self._job_service.store(
             records.StoredJob(
@@ -82,41 +85,44 @@
     async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
-        """Return the state of a stored job, or cancel it."""
+        """Return the state of a stored job, or cancel the job.
+
+        Waits at most ``wait_s`` seconds for the response.
+        """
         now = self._clock.now()
         answer = await self._job_service.query(job, wait_s, cancel=cancel)
-        text = 'Job cancelled.' if cancel else 'State asked.'
-        self._record_query(text, job, answer, now)
+        query = 'Job cancelled.' if cancel else 'State asked.'
+        self._record_query(query, job, answer, now)
         return answer
 
     def _record_query(
         self,
-        text: str,
+        query: str,
         job: ids.JobId,
         answer: job_manager.JobReply,
-        asked_at: float,
+        started_at: float,
     ) -> None:
         self._metrics.count(
-            'stored_job_questions_total', question=text, answer=answer.value
+            'stored_job_questions_total', question=query, answer=answer.value
         )
         _LOG.info(
-            text,
+            query,
             extra={
                 'job': job,
                 'answer': answer.value,
                 'home': self._job_service.home_shard(job),
                 'version': self._versions.number,
-                'took_s': round(self._clock.now() - asked_at, 4),
+                'took_s': round(self._clock.now() - started_at, 4),
             },
         )
 
     def _refuse(
         self, job: jobs.Job, route: routes.Route, now: float
     ) -> jobs.Outcome | None:
-        """Refuse a job that would not be answered before the process ends."""
+        """Return a refusal if the job would outlast the process, else None."""
         if self.shutdown_at is None:
             return None
-        if now + route.bound_s(job.total_estimate_s) <= self.shutdown_at:
+        if now + route.time_limit_s(job.total_estimate_s) <= self.shutdown_at:
             return None
         return jobs.NotRun(
             detail='process ends before the job would',
@@ -129,7 +135,7 @@
         deadline = now + wait_s
         if self.shutdown_at is not None:
             deadline = min(deadline, self.shutdown_at)
-        return await self._board.run(
+        return await self._active_jobs.run(
             coordinator.Coordinator(
                 job=job,
                 route=route,
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -8,7 +8,12 @@
 from sardineproxy.connection import link, messages
 from sardineproxy.process import metrics
 from sardineproxy.process.shards import shard as shards
-from sardineproxy.process.shards import fences, rooms, times, workers
+from sardineproxy.process.shards import (
+    fencing,
+    shard_capacities,
+    times,
+    workers,
+)
 from sardineproxy.process.stored_jobs import job_service, job_manager
 from sardineproxy.process.membership import links
 from sardineproxy.process.node import claiming
@@ -25,7 +30,7 @@
 _LOG = logs.get_logger('node')
 
 
-class Surroundings(shards.Surroundings, Protocol):
+class LedShardsContext(shards.ShardContext, Protocol):
     """Process-wide state that led shards read, and callbacks for changes."""
 
     @property
@@ -37,7 +42,7 @@
         """Return all shards of the deployment."""
 
     @property
-    def rooms(self) -> rooms.Rooms:
+    def capacities(self) -> shard_capacities.ShardCapacities:
         """Return the free capacities of other shards."""
 
     def leader_of(self, shard: ids.ShardId) -> ids.VmId | None:
@@ -68,7 +73,7 @@
     metrics: metrics.Metrics
     cfg: times.ShardTiming
     new_job_manager: Callable[
-        [ids.ShardId, fences.Right], job_manager.JobManager
+        [ids.ShardId, fencing.FencingToken], job_manager.JobManager
     ]
 
 
@@ -79,18 +84,18 @@
         self,
         *,
         dependencies: ShardDependencies,
-        claims: claiming.ShardClaimer,
+        claimer: claiming.ShardClaimer,
         links: links.Links,
-        around: Surroundings,
+        context: LedShardsContext,
         job_service: job_service.JobService,
         tasks: background.Tasks,
     ) -> None:
         """Create an instance without shards."""
         self._dependencies = dependencies
         self._job_service = job_service
-        self._claims = claims
+        self._claimer = claimer
         self._links = links
-        self._around = around
+        self._context = context
         self._tasks = tasks
         self._claims_in_progress: set[ids.ShardId] = set()
         self._return_at: float = 0
@@ -108,22 +113,22 @@
         for leader in list(self.shards.values()):
             leader.tick(now)
 
-    def offers(self, now: float) -> tuple[messages.Offer, ...]:
+    def shard_statuses(self, now: float) -> tuple[messages.ShardStatus, ...]:
         """Return the status of every led shard, for the heartbeat."""
         return tuple(
             (
                 leader.shard,
-                leader.right.epoch,
-                leader.right.rank,
+                leader.token.epoch,
+                leader.token.rank,
                 leader.free_tasks(now),
                 self._job_service.managers[leader.shard].is_loaded,
             )
             for leader in self.shards.values()
         )
 
-    def tokens(self) -> dict[ids.ShardId, fences.Right]:
+    def tokens(self) -> dict[ids.ShardId, fencing.FencingToken]:
         """Return the fencing tokens of the led shards."""
-        return {shard: leader.right for shard, leader in self.shards.items()}
+        return {shard: leader.token for shard, leader in self.shards.items()}
 
     def submit(
         self, source: link.Link, message: messages.Submit, now: float
@@ -131,7 +136,7 @@
         """Submit tasks to their shard, or reply that it is not led here."""
         leader = self.shards.get(message.shard)
         if leader is None:
-            source.send(messages.Disowned(shard=message.shard))
+            source.send(messages.ShardReleased(shard=message.shard))
         else:
             leader.submit(source, message, now)
 
@@ -143,11 +148,11 @@
         if leader is not None:
             leader.withdraw(source, job)
 
-    def acknowledge_results(self, message: messages.EndsNoted) -> None:
+    def acknowledge_results(self, message: messages.ResultsStored) -> None:
         """Acknowledge stored results to the workers, which then drop them."""
         leader = self.shards.get(message.shard)
         if leader is not None:
-            leader.note_ends(message)
+            leader.acknowledge_results(message)
 
     def link_lost(self, lost: link.Link, now: float) -> None:
         """Notify all led shards that the link to a coordinator was lost."""
@@ -157,7 +162,7 @@
     def mark_all_unconfirmed(self, cause: str) -> None:
         """Send no orders to a worker until its next report."""
         for leader in self.shards.values():
-            leader.doubt_all(cause)
+            leader.mark_all_unconfirmed(cause)
 
     def update_workers(self) -> None:
         """Apply the current list of workers to all led shards."""
@@ -170,22 +175,22 @@
             self._claims_in_progress.add(shard)
             self._tasks.spawn(self._claim(shard))
 
-    def lead(self, shard: ids.ShardId, token: fences.Right) -> None:
+    def lead(self, shard: ids.ShardId, token: fencing.FencingToken) -> None:
         """Start to lead a shard, or renew the token if it is led already."""
         existing = self.shards.get(shard)
         if existing is not None:
-            if token > existing.right:
-                existing.renew(token)
+            if token > existing.token:
+                existing.renew_token(token)
             return
         leader = shards.ShardLeader(
             shard=shard,
-            right=token,
+            token=token,
             api=self._dependencies.api,
             clock=self._dependencies.clock,
             metrics=self._dependencies.metrics,
             events=self,
-            others=self._around.rooms,
-            around=self._around,
+            capacities=self._context.capacities,
+            context=self._context,
             cfg=self._dependencies.cfg,
         )
         self.shards[shard] = leader
@@ -193,7 +198,7 @@
             self._dependencies.new_job_manager(shard, token)
         )
         self._update_workers(leader)
-        self._around.shard_gained(shard)
+        self._context.shard_gained(shard)
 
     def give_up(self, shard: ids.ShardId, cause: str) -> None:
         """Stop leading a shard immediately."""
@@ -202,14 +207,14 @@
             'Shard leadership lost.',
             extra={
                 'cell': shard,
-                'epoch': lost.right.epoch,
-                'rank': lost.right.rank,
+                'epoch': lost.token.epoch,
+                'rank': lost.token.rank,
                 'cause': cause,
             },
         )
         self._job_service.remove_manager(shard)
         self._tasks.spawn(lost.close())
-        self._around.shard_lost(shard)
+        self._context.shard_lost(shard)
 
     def superseded(self, lost: shards.ShardLeader) -> None:
         """Give up a shard that another process has taken over."""
@@ -223,35 +228,35 @@
 
     def _update_workers(self, leader: shards.ShardLeader) -> None:
         leader.set_workers(
-            self._around.workers_of(leader.shard),
-            complete=self._around.is_worker_list_complete(),
+            self._context.workers_of(leader.shard),
+            complete=self._context.is_worker_list_complete(),
         )
 
     def _claim_and_return(self, now: float) -> None:
         self._refresh(now)
         if now >= self._return_at:
             self._return_shards(now)
-        in_reach = frozenset(self._links.open_links)
-        for shard in self._around.all_shards:
-            vm = self._around.leader_of(shard)
-            if self._claims.should_claim(
-                shard, leader=vm, in_reach=in_reach, now=now
+        connected_vms = frozenset(self._links.open_links)
+        for shard in self._context.all_shards:
+            vm = self._context.leader_of(shard)
+            if self._claimer.should_claim(
+                shard, leader=vm, connected_vms=connected_vms, now=now
             ):
                 self.start_claim(shard)
 
     def _refresh(self, now: float) -> None:
         """Rewrite outdated claim rows of led shards."""
-        isolated = self._around.is_isolated()
+        isolated = self._context.is_isolated()
         for shard, leader in self.shards.items():
-            if self._claims.needs_refresh(
-                shard, leader.right, isolated=isolated, now=now
+            if self._claimer.needs_refresh(
+                shard, leader.token, isolated=isolated, now=now
             ):
                 self.start_claim(shard)
 
     def _return_shards(self, now: float) -> None:
         """Return shards of other zones to VMs of those zones."""
         for shard in self.shards:
-            if shard == self._around.home_shard:
+            if shard == self._context.home_shard:
                 continue
             successor = self._stable_successor(shard, now)
             if successor is not None:
@@ -265,7 +270,7 @@
 
         Connected means for more than ``RETURN_AFTER_S``.
         """
-        for vm, _ in self._claims.successors(shard):
+        for vm, _ in self._claimer.successors(shard):
             successor = self._links.get(vm)
             if (
                 successor is not None
@@ -277,11 +282,11 @@
     async def _claim(self, shard: ids.ShardId) -> None:
         try:
             if (
-                shard == self._around.home_shard
+                shard == self._context.home_shard
                 or shard in self.shards
                 or await self._may_claim(shard)
             ):
-                await self._claims.claim(shard, self._dependencies.clock.now())
+                await self._claimer.claim(shard, self._dependencies.clock.now())
         finally:
             self._claims_in_progress.discard(shard)
 
@@ -291,17 +296,17 @@
         If most of its workers are unreachable, this VM rather than the
         shard's leader may be cut off from the network.
         """
-        self._claims.postpone(shard, self._dependencies.clock.now())
-        probed = self._around.workers_of(shard)[:PROBE_SAMPLE_SIZE]
+        self._claimer.postpone(shard, self._dependencies.clock.now())
+        probed = self._context.workers_of(shard)[:PROBE_SAMPLE_SIZE]
         answers = await asyncio.gather(*map(self._probe, probed))
         reached = sum(
             not isinstance(answer, workers.Unanswered) for answer in answers
         )
         _LOG.info(
-            'Workers of an unled shard probed.',
+            'Probed the workers of a shard without a leader.',
             extra={'cell': shard, 'asked': len(probed), 'reached': reached},
         )
-        return self._claims.record_probe(
+        return self._claimer.record_probe(
             shard,
             reached=reached * 2 > len(probed),
             now=self._dependencies.clock.now(),
@@ -311,14 +316,14 @@
         self, worker: workers.Worker
     ) -> workers.Report | workers.Refused | workers.Unanswered:
         """Poll a worker without side effects: no acks, no lease extension."""
-        return await self._dependencies.api.look(
+        return await self._dependencies.api.poll(
             worker,
-            workers.Look(fence=0, acked=0, expires_ms=None, wait_s=0),
+            workers.Poll(fence=0, acked=0, expires_ms=None, wait_s=0),
             timeout_s=PROBE_TIMEOUT_S,
         )
 
     def _hand_over(self, shard: ids.ShardId) -> None:
-        for vm, _ in self._claims.successors(shard):
+        for vm, _ in self._claimer.successors(shard):
             successor = self._links.get(vm)
             if successor is not None:
                 _LOG.info(
--- a/sardineproxy/process/node/local_link.py
+++ b/sardineproxy/process/node/local_link.py
@@ -1,4 +1,4 @@
-"""The link from this process to itself, for cells that it owns."""
+"""In-process link of a process to itself, for shards that it leads."""
 
 import asyncio
 from typing import Protocol
@@ -7,28 +7,30 @@
 
 
 class Receiver(Protocol):
-    """Acts on messages."""
+    """Handles messages."""
 
     def received(self, source: link.Link, message: messages.Message) -> None:
-        """Act on a message."""
+        """Handle a message."""
 
 
 class LocalLink(link.Link):
-    """Hands messages over on the next turn of the event loop."""
+    """Delivers messages in the next iteration of the event loop."""
 
-    def __init__(self, *, me: messages.Greeting, receiver: Receiver) -> None:
-        """Link a process to itself."""
-        self.peer = me
+    def __init__(
+        self, *, identity: messages.Greeting, receiver: Receiver
+    ) -> None:
+        """Create a link that delivers messages to ``receiver``."""
+        self.peer = identity
         self.dialed = True
         self._receiver = receiver
 
     def send(self, message: messages.Message) -> bool:
-        """Queue a message."""
+        """Schedule the delivery of a message."""
         asyncio.get_running_loop().call_soon(
             self._receiver.received, self, message
         )
         return True
 
     def is_closing(self) -> bool:
-        """Tell that this link never closes."""
+        """Return False, as this link never closes."""
         return False
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -1,4 +1,4 @@
-"""The entry process: accepts jobs, and owns cells if it falls to it."""
+"""The entry process: accepts jobs, and leads shards that it has claimed."""
 
 import asyncio
 import secrets
@@ -7,7 +7,7 @@
 from sardineproxy import background, deployment, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import store
-from sardineproxy.process.shards import fences, rooms, workers
+from sardineproxy.process.shards import fencing, shard_capacities, workers
 from sardineproxy.process.stored_jobs import (
     fenced_rows,
     job_service,
@@ -34,19 +34,19 @@
     state_dump,
 )
 from sardineproxy.request import active_jobs, open_tasks
-from sardineproxy.version import in_force, routes
+from sardineproxy.version import active_config, routes
 
-#: Time between two rounds of what is due, in seconds: half a beat, and less
-#: for owners of cells, whose queues move on with time.
+#: Interval of the periodic work, in seconds: half of the shortest heartbeat
+#: interval, and less for shard leaders, whose queues advance with time.
 TICK_S = 0.05
 LEADER_TICK_S = 0.025
 
-#: A gap between two rounds that shows that the process stood still, in
-#: seconds. Links are given up after a silence of 0.4 s.
+#: Gap between two ticks that counts as a stall of the process, in seconds.
+#: Peers close a link after 0.4 s without a heartbeat.
 STALL_S = 0.3
 
-#: Time after a stall in which requests are refused, in seconds: they may
-#: have been read from connections that their clients have given up.
+#: Time after a stall in which requests are refused, in seconds. Such requests
+#: may come from connections that the clients have abandoned during the stall.
 STALL_REFUSAL_S = 0.05
 
 INCARNATION_BYTES = 6
@@ -55,27 +55,27 @@
 
 
 class Node:  # noqa: WPS214, WPS230
-    """All parts of one entry process."""
+    """Connects the components of one entry process."""
 
     def __init__(
         self,
         *,
         cfg: deployment.Deployment,
-        rules: policy.Policy,
+        node_policy: policy.Policy,
         dependencies: dependencies.Dependencies,
     ) -> None:
-        """Prepare the process; ``start`` opens its listener for links."""
+        """Create the components; ``start`` opens the listener for links."""
         self.cfg = cfg
         self._clock = dependencies.clock
         self._tasks = background.Tasks()
         self._formats = dependencies.formats
         self.metrics = dependencies.metrics
-        self.me = messages.Greeting(
+        self.identity = messages.Greeting(
             vm=cfg.vm,
             incarnation=ids.Incarnation(secrets.token_hex(INCARNATION_BYTES)),
             zone=cfg.zone,
         )
-        self.versions = in_force.InForce(
+        self.versions = active_config.ActiveConfig(
             decode=dependencies.formats.decode_configuration
         )
         self.active_jobs = active_jobs.ActiveJobs()
@@ -85,7 +85,7 @@
             directory=self.directory,
             on_directory=self._update_links,
         )
-        self.leaders = leaders.Leaders(me=cfg.vm)
+        self.leaders = leaders.Leaders(own_vm=cfg.vm)
         self.workers = worker_list.WorkerList(
             worker_id=dependencies.formats.worker_id,
             decode=dependencies.formats.decode_worker,
@@ -93,14 +93,16 @@
         self.links = links.Links(
             clock=self._clock,
             rng=dependencies.rng,
-            me=self.me,
+            identity=self.identity,
             events=self,
             heartbeat_timing=self._heartbeat_timing,
         )
-        self._local = local_link.LocalLink(me=self.me, receiver=self)
+        self._local_link = local_link.LocalLink(
+            identity=self.identity, receiver=self
+        )
         self.member = registry.Member(
             vm=cfg.vm,
-            incarnation=self.me.incarnation,
+            incarnation=self.identity.incarnation,
             zone=cfg.zone,
             address=cfg.peers,
             cores=cfg.cores,
@@ -109,10 +111,10 @@
         self.job_service = job_service.JobService(
             directory=self, clock=self._clock
         )
-        self._claims = claiming.ShardClaimer(
+        self._claimer = claiming.ShardClaimer(
             store=dependencies.store,
             directory=self.directory,
-            me=self.member,
+            member=self.member,
             on_token=self._lead,
         )
         self.led_shards = led_shards.LedShards(
@@ -120,19 +122,19 @@
                 api=dependencies.workers,
                 clock=self._clock,
                 metrics=self.metrics,
-                cfg=rules.shard,
+                cfg=node_policy.shard,
                 new_job_manager=self._new_job_manager,
             ),
-            claims=self._claims,
+            claimer=self._claimer,
             links=self.links,
-            around=self,
+            context=self,
             job_service=self.job_service,
             tasks=self._tasks,
         )
         self._feeds = feeds.Feeds(
             configuration_table=dependencies.formats.configuration_table,
-            configuration_s=cfg.bounds.version_s,
-            roster_table=dependencies.formats.roster_table,
+            max_config_delay_s=cfg.bounds.version_s,
+            worker_table=dependencies.formats.worker_table,
             source=dependencies.store,
             handler=self,
             clock=self._clock,
@@ -148,43 +150,46 @@
             metrics=self.metrics,
         )
         self._ticked_at = self._clock.now()
-        self._refuse_until: float = 0
+        self._refusing_until: float = 0
 
     async def start(self) -> None:
-        """Listen for links, register, and follow the store."""
+        """Open the listener for links and start the background tasks."""
         await self.links.start(self.cfg.peers)
         self._update_links()
         self._ticked_at = self._clock.now()
-        for work in self._feeds.tasks(self.member):
-            self._tasks.spawn(work)
+        for coroutine in self._feeds.coroutines(self.member):
+            self._tasks.spawn(coroutine)
         self._tasks.spawn(self._run_ticks())
 
     def update_settings(self, cfg: deployment.Deployment) -> None:
-        """Use changed settings."""
+        """Apply changed settings."""
         self.cfg = cfg
         self._update_links()
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop all background tasks and close all links."""
         await self._tasks.close()
         await self.job_service.close()
         await self.led_shards.close()
         await self.links.close()
 
     def drain(self, *, shutdown_at: float) -> None:
-        """Ask other VMs to take the cells; this process ends at ``shutdown_at``."""
+        """Start to shut down: request that other VMs take over the shards.
+
+        ``shutdown_at`` is the local time at which the process ends.
+        """
         self.job_intake.shutdown_at = shutdown_at
         self.led_shards.hand_over()
 
     @property
     def draining(self) -> bool:
-        """Tell whether the process shuts down."""
+        """Return whether the process is shutting down."""
         return self.job_intake.shutdown_at is not None
 
     # Jobs.
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send new connections."""
+        """Return whether the load balancer may send new connections."""
         return (
             not self.draining
             and self.versions.table is not None
@@ -192,38 +197,41 @@
         )
 
     def is_recovering(self) -> bool:
-        """Tell whether requests are refused because the process stood still."""
+        """Return whether requests are refused because of a recent stall."""
         now = self._clock.now()
         self._check_stall(now)
-        return now < self._refuse_until
+        return now < self._refusing_until
 
     def default_shard(self) -> ids.ShardId | None:
-        """Return the cell that takes this VM's jobs."""
+        """Return the shard for this VM's jobs, None if no shard has a leader.
+
+        The home shard if it has a leader, else the one with most free capacity.
+        """
         if self.home_shard in self.leaders.by_shard:
             return self.home_shard
-        free = self.rooms.free(self._clock.now())
+        free_capacity = self.capacities.find_available(self._clock.now())
         return min(
             self.leaders.by_shard,
-            key=lambda other: (-free.get(other, 0), other),
+            key=lambda shard: (-free_capacity.get(shard, 0), shard),
             default=None,
         )
 
     def leader(self, shard: ids.ShardId) -> link.Link | None:
-        """Return the link to a cell's owner."""
+        """Return the link to a shard's leader, None if it is unreachable."""
         vm = self.leader_of(shard)
         if vm is None:
             return None
-        return self._local if vm == self.cfg.vm else self.links.get(vm)
+        return self._local_link if vm == self.cfg.vm else self.links.get(vm)
 
     # Links.
 
     def opened(self, opened: link.Link) -> None:
-        """Exchange what both ends know."""
+        """Send a heartbeat and request the peer's registry rows."""
         opened.send(self._heartbeat(self._clock.now()))
-        opened.send(messages.DirectoryAsk())
+        opened.send(messages.DirectoryRequest())
 
     def closed(self, closed: link.Link) -> None:
-        """Forget what the link told."""
+        """Remove state that depends on a closed link."""
         self.led_shards.link_lost(closed, self._clock.now())
         self.job_service.link_closed(closed)
         if self.links.get(closed.peer.vm) is None:
@@ -233,53 +241,57 @@
             self._notify_leader_lost(shard, closed)
 
     def received(self, source: link.Link, message: messages.Message) -> None:
-        """Act on a message."""
+        """Dispatch a message to the component that handles it."""
         if self.job_service.handle_message(source, message):
             return
         match message:
-            case messages.EndsNoted():
+            case messages.ResultsStored():
                 self.led_shards.acknowledge_results(message)
             case messages.Submit():
                 self.led_shards.submit(source, message, self._clock.now())
             case messages.Withdraw(shard=shard, job=job):
                 self.led_shards.withdraw(source, shard, job)
-            case messages.Ended() | messages.Declined():
+            case messages.RunEnded() | messages.Declined():
                 self.active_jobs.deliver(message)
             case messages.Greeting():
                 source.abort()
-            case messages.Beat() | messages.Disowned() | messages.TakeOver():
-                self._receive_leaderships(source, message)
+            case (
+                messages.Heartbeat()
+                | messages.ShardReleased()
+                | messages.TakeOver()
+            ):
+                self._handle_leadership(source, message)
             case _:
                 self._peer_sync.received(source, message)
 
-    # Surroundings of the holdings.
+    # State that led shards and stored jobs read.
 
     @property
     def home_shard(self) -> ids.ShardId:
-        """Return the cell of this VM's zone."""
+        """Return the shard of this VM's zone."""
         return ids.ShardId(self.cfg.zone)
 
     @property
     def all_shards(self) -> Iterable[ids.ShardId]:
-        """Return all cells of the deployment."""
+        """Return all shards of the deployment."""
         return map(ids.ShardId, self.cfg.zones)
 
     @property
-    def rooms(self) -> rooms.Rooms:
-        """Return how much room other cells have."""
-        return self.leaders.rooms
+    def capacities(self) -> shard_capacities.ShardCapacities:
+        """Return the free capacities of other shards."""
+        return self.leaders.capacities
 
     def leader_of(self, shard: ids.ShardId) -> ids.VmId | None:
-        """Return which VM owns a cell."""
+        """Return the VM that leads a shard, None if there is none."""
         return self.leaders.by_shard.get(shard)
 
-    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
-        """Return who keeps a stored job, None if that is not known."""
+    def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
+        """Return the loaded home shard of a stored job, None if unknown."""
         home = self.job_service.home_shard(job)
         return self.leaders.loaded_shards.get(home, self.leader_of(home))
 
-    def keeper_of(self, job: ids.JobId) -> link.Link | None:
-        """Return the link to the owner of a stored job's home cell."""
+    def manager_link(self, job: ids.JobId) -> link.Link | None:
+        """Return the link to the leader of a stored job's home shard."""
         return self.leader(self.job_service.home_shard(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
@@ -287,8 +299,8 @@
         table = self.versions.table
         return None if table is None else table.get(route)
 
-    def waiting_for(self, route: ids.RouteId) -> int:
-        """Return how many jobs of a route have not begun."""
+    def count_unstarted(self, route: ids.RouteId) -> int:
+        """Return how many jobs of a route have not started."""
         return (
             self.active_jobs.count_unstarted(route)
             + self.job_service.pending().get(route, 0)
@@ -296,75 +308,79 @@
         )
 
     def workers_of(self, shard: ids.ShardId) -> list[workers.Worker]:
-        """Return the listed workers of a cell."""
+        """Return the listed workers of a shard."""
         return self.workers.of_shard(shard)
 
     def is_worker_list_complete(self) -> bool:
-        """Tell whether no worker can be missing from the list."""
+        """Return whether the list is certain to contain every worker."""
         return self._feeds.is_worker_list_complete()
 
-    def listed_at(self) -> float:
-        """Return the local time of the list of workers, in seconds."""
-        return self._feeds.listed_at()
+    def workers_listed_at(self) -> float:
+        """Return the local time of the last read of the worker list."""
+        return self._feeds.workers_listed_at()
 
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
-        """Return when this process last knew that it owns a cell."""
-        successors = self._claims.successors_of_claim(shard)
+        """Return the local time at which leadership was last confirmed.
+
+        This is ``now`` if all successors are connected, as they would report
+        a takeover, else the time of the store's last response.
+        """
+        successors = self._claimer.successors_of_claim(shard)
         if all(self.links.get(vm) is not None for vm in successors):
             return now
         return self._feeds.last_response_at()
 
-    def list_answers(self) -> bool:
-        """Tell whether the store answers about the list of workers."""
-        return self._feeds.list_answers()
+    def is_list_available(self) -> bool:
+        """Return whether the store can currently read the list of workers."""
+        return self._feeds.is_list_available()
 
     def is_isolated(self) -> bool:
-        """Tell whether no other VM of several is in reach."""
+        """Return whether other VMs exist but none is connected."""
         return not self.links.open_links and len(self.directory.members) > 1
 
     def shard_gained(self, shard: ids.ShardId) -> None:
-        """Tell others that this process owns a cell."""
-        self._feeds.roster.poll_now()
+        """Announce that this process leads a shard."""
+        self._feeds.worker_list.poll_now()
         self._choose_leaders()
         self.links.broadcast(self._heartbeat(self._clock.now()))
 
     def shard_lost(self, shard: ids.ShardId) -> None:
-        """Tell others that this process no longer owns a cell."""
-        self.links.broadcast(messages.Disowned(shard=shard))
+        """Announce that this process no longer leads a shard."""
+        self.links.broadcast(messages.ShardReleased(shard=shard))
         self.links.broadcast(self._heartbeat(self._clock.now()))
         self._choose_leaders()
-        self._notify_leader_lost(shard, self._local)
+        self._notify_leader_lost(shard, self._local_link)
 
     def state(self) -> dict[str, object]:
-        """Return what this process believes, for the state dump."""
-        return state_dump.describe(self, self._clock.now())
+        """Return the state of the process for the state dump."""
+        return state_dump.build_state_dump(self, self._clock.now())
 
     # Rows of the store.
 
     def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
-        """Use changed rows of the operator's table."""
+        """Apply changed rows of the operator's table."""
         for row in rows:
             if row.key == self._formats.configuration_row and row.body:
                 self.versions.offer(row.body, 'store')
 
     def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
-        """Use changed members and claims."""
+        """Apply changed members and claims."""
         self._peer_sync.apply_rows(rows)
 
-    def roster_changed(self, rows: tuple[store.Row, ...]) -> None:
-        """Use changed entries of workers."""
+    def worker_rows_changed(self, rows: tuple[store.Row, ...]) -> None:
+        """Apply changed entries of workers."""
         now = self._clock.now()
         self.workers.update(rows, now)
-        self.workers.drop_removed(self._feeds.roster.healthy_since, now)
+        self.workers.drop_removed(self._feeds.worker_list.healthy_since, now)
         self.led_shards.update_workers()
 
-    def roster_timing(self) -> table_follower.PollTiming:
-        """Return how often the list of workers is needed."""
+    def worker_list_timing(self) -> table_follower.PollTiming:
+        """Return the polling intervals for the list of workers."""
         if self.led_shards.shards:
-            return feeds.LEADER_ROSTER_TIMING
-        if self._claims.is_successor():
-            return feeds.SUCCESSOR_ROSTER_TIMING
-        return feeds.FOLLOWER_ROSTER_TIMING
+            return feeds.LEADER_POLL_TIMING
+        if self._claimer.is_candidate():
+            return feeds.CANDIDATE_POLL_TIMING
+        return feeds.FOLLOWER_POLL_TIMING
 
     # Internals.
 
@@ -389,19 +405,19 @@
         if gap_s < STALL_S:
             return
         self._ticked_at = now
-        _LOG.warning('Process stood still.', extra={'gap_s': round(gap_s, 3)})
+        _LOG.warning('Process stalled.', extra={'gap_s': round(gap_s, 3)})
         self.metrics.count('stalls_total')
-        self._refuse_until = now + STALL_REFUSAL_S
+        self._refusing_until = now + STALL_REFUSAL_S
         self.active_jobs.notify_stalled()
         self.links.abort_all()
-        self.led_shards.mark_all_unconfirmed('process stood still')
+        self.led_shards.mark_all_unconfirmed('process stalled')
 
     def _heartbeat_timing(
         self, peer: messages.Greeting
     ) -> links.HeartbeatTiming:
-        """Return the signs of life between this VM and another."""
-        owns_home = self.home_shard in self.led_shards.shards
-        if owns_home and peer.zone == self.cfg.zone:
+        """Return the heartbeat timing between this VM and a peer."""
+        leads_home = self.home_shard in self.led_shards.shards
+        if leads_home and peer.zone == self.cfg.zone:
             return links.HOME_LEADER_HEARTBEAT
         if self.leader_of(self.home_shard) == peer.vm:
             return links.HOME_LEADER_HEARTBEAT
@@ -409,31 +425,33 @@
             return links.LEADER_HEARTBEAT
         return links.FOLLOWER_HEARTBEAT
 
-    def _heartbeat(self, now: float) -> messages.Beat:
-        return messages.Beat(
+    def _heartbeat(self, now: float) -> messages.Heartbeat:
+        return messages.Heartbeat(
             version=self.versions.number,
-            shards=self.led_shards.offers(now),
+            shards=self.led_shards.shard_statuses(now),
             pending=tuple(self.job_service.pending().items()),
         )
 
-    def _receive_leaderships(
+    def _handle_leadership(
         self,
         source: link.Link,
-        message: messages.Beat | messages.Disowned | messages.TakeOver,
+        message: messages.Heartbeat
+        | messages.ShardReleased
+        | messages.TakeOver,
     ) -> None:
-        """Act on a message about owners of cells."""
+        """Handle a message about the leadership of shards."""
         match message:
-            case messages.Beat(version=version):
+            case messages.Heartbeat(version=version):
                 now = self._clock.now()
                 if self.leaders.update(source.peer.vm, message, now):
                     self._choose_leaders()
                 self._peer_sync.version_reported(
                     source,
                     version,
-                    store_answers=self._feeds.is_configuration_available(),
+                    store_available=self._feeds.is_configuration_available(),
                     now=now,
                 )
-            case messages.Disowned(shard=shard):
+            case messages.ShardReleased(shard=shard):
                 self.leaders.remove(source.peer.vm, shard)
                 self._choose_leaders()
                 self._notify_leader_lost(shard, source)
@@ -443,43 +461,46 @@
     def _choose_leaders(self) -> None:
         change = self.leaders.choose(self.led_shards.tokens())
         for shard, vm in change.lost.items():
-            # Each loss leads to a new choice, which may have lost them all.
+            # ``give_up`` calls this method again, so that the nested call may
+            # have given up the remaining shards already.
             if shard in self.led_shards.shards:
-                self.led_shards.give_up(shard, f'{vm} has a higher right')
+                self.led_shards.give_up(
+                    shard, f'{vm} has a higher fencing token'
+                )
         for shard in change.with_new_leader:
             self.active_jobs.notify_leader_found(shard)
             self.job_service.broadcast(open_tasks.LeaderFound(shard=shard))
 
     def _notify_leader_lost(
-        self, shard: ids.ShardId, source: link.Link
+        self, shard: ids.ShardId, former_leader: link.Link
     ) -> None:
-        self.active_jobs.notify_leader_lost(shard, source)
+        self.active_jobs.notify_leader_lost(shard, former_leader)
         self.job_service.broadcast(
-            open_tasks.LeaderLost(shard=shard, former_leader=source)
+            open_tasks.LeaderLost(shard=shard, former_leader=former_leader)
         )
 
     def _new_job_manager(
-        self, shard: ids.ShardId, right: fences.Right
+        self, shard: ids.ShardId, token: fencing.FencingToken
     ) -> job_manager.JobManager:
-        """Return the keeper of a cell that this process owns now."""
+        """Return a stored-job manager for a newly led shard."""
         return dependencies.new_job_manager(
             self._dependencies,
             shard=shard,
             writer=fenced_rows.Writer(
-                token=right, incarnation=self.me.incarnation
+                token=token, incarnation=self.identity.incarnation
             ),
             router=self,
             states_s=self.cfg.bounds.states_s,
         )
 
     def _update_links(self) -> None:
-        """Keep links to all members, and to the seeds while there are none."""
+        """Set link targets: members, or the seeds while none is known."""
         peering.update_link_targets(
             self.links,
             members=self.directory.members.values(),
-            claims=self._claims,
+            claimer=self._claimer,
             cfg=self.cfg,
         )
 
-    def _lead(self, shard: ids.ShardId, right: fences.Right) -> None:
-        self.led_shards.lead(shard, right)
+    def _lead(self, shard: ids.ShardId, token: fencing.FencingToken) -> None:
+        self.led_shards.lead(shard, token)
