--- a/sardineproxy/process/node/peer_sync.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -1,6 +1,6 @@
-"""What entry VMs tell each other of the store's contents.
+"""Exchange of the store's contents between entry VMs.
 
-VMs that cannot reach the store learn versions and claims from those that can.
+VMs that cannot reach the store obtain versions and registry rows from peers.
 """
 
 import zlib
@@ -12,104 +12,121 @@
 from sardineproxy.connection import link, messages
 from sardineproxy.process import store
 from sardineproxy.process.membership import registry
-from sardineproxy.version import asking, in_force
+from sardineproxy.version import fetch_policy, active_config
 
-#: Largest version that is accepted from another VM, in bytes: ten times the
-#: one that the users' largest test makes.
+#: Largest version that is accepted from a peer, in bytes: ten times the size
+#: of the version in the users' largest test.
 MAX_VERSION_BYTES = 8_388_608
 
 _LOG = logs.get_logger('config')
 
 
 class PeerSync:
-    """Asks other VMs for versions and claims, and answers their questions."""
+    """Requests versions from peers, and exchanges registry rows with them."""
 
     def __init__(
         self,
         *,
-        versions: in_force.InForce,
+        versions: active_config.ActiveConfig,
         directory: registry.Registry,
         on_directory: Callable[[], None],
     ) -> None:
-        """Call ``on_directory`` whenever members or claims have changed."""
+        """Create an instance.
+
+        ``on_directory`` is called when members or claims have changed.
+        """
         self._versions = versions
         self._directory = directory
         self._on_directory = on_directory
-        self._asking = asking.Asking()
+        self._fetch_policy = fetch_policy.FetchPolicy()
 
     def version_reported(
-        self, source: link.Link, number: int, *, store_answers: bool, now: float
+        self,
+        source: link.Link,
+        number: int,
+        *,
+        store_available: bool,
+        now: float,
     ) -> None:
-        """Note a VM's version, and ask for it if that is due."""
-        if self._asking.should_ask(
+        """Handle the version number in a peer's heartbeat.
+
+        Requests that version from the peer if this process needs it.
+        """
+        if self._fetch_policy.should_fetch(
             number,
-            own=self._versions.number,
-            store_answers=store_answers,
+            active_number=self._versions.number,
+            store_available=store_available,
             now=now,
         ):
-            source.send(messages.VersionAsk())
+            source.send(messages.VersionRequest())
 
     def apply_rows(self, rows: tuple[store.Row, ...]) -> None:
-        """Use members and claims that are newer than those known."""
+        """Apply members and claims that are newer than the current ones."""
         if self._directory.apply(rows):
             self._on_directory()
 
     def received(self, source: link.Link, message: messages.Message) -> None:
-        """Act on a question or an answer."""
+        """Handle a request or a response."""
         match message:
-            case messages.DirectoryAsk():
+            case messages.DirectoryRequest():
                 source.send(pack_directory(self._directory))
-            case messages.DirectoryGive():
+            case messages.DirectoryResponse():
                 self.apply_rows(unpack_directory(message))
-            case messages.VersionAsk():
+            case messages.VersionRequest():
                 source.send(pack_version(self._versions))
-            case messages.VersionGive():
+            case messages.VersionResponse():
                 self._receive_version(source, message)
 
     def _receive_version(
-        self, source: link.Link, given: messages.VersionGive
+        self, source: link.Link, message: messages.VersionResponse
     ) -> None:
-        unpacked = unpack_version(given)
+        unpacked = unpack_version(message)
         if isinstance(unpacked, result.Err):
             _LOG.error(
-                'Version refused.',
+                'Malformed version from a peer rejected.',
                 extra={'source': source.peer.vm, 'cause': unpacked.err_value},
             )
         else:
             self._versions.offer(unpacked.ok_value, source.peer.vm)
 
 
-def pack_version(versions: in_force.InForce) -> messages.VersionGive:
-    """Encode the version in force; routes are much alike and pack well."""
-    return messages.VersionGive(
+def pack_version(
+    versions: active_config.ActiveConfig,
+) -> messages.VersionResponse:
+    """Encode the version in force; similar routes make it compress well."""
+    return messages.VersionResponse(
         number=versions.number, packed=zlib.compress(versions.body)
     )
 
 
-def unpack_version(given: messages.VersionGive) -> result.Result[bytes, str]:
-    """Return a version's body; the error is one sentence."""
-    unpacker = zlib.decompressobj()
+def unpack_version(
+    message: messages.VersionResponse,
+) -> result.Result[bytes, str]:
+    """Return the decompressed body of a version, or an error sentence."""
+    decompressor = zlib.decompressobj()
     try:
-        body = unpacker.decompress(given.packed, MAX_VERSION_BYTES)
+        body = decompressor.decompress(message.packed, MAX_VERSION_BYTES)
     except zlib.error as exc:
-        return result.Err(f'version {given.number} is damaged: {exc}')
-    if not unpacker.eof:
-        return result.Err(f'version {given.number} is cut short or too large')
+        return result.Err(f'version {message.number} is corrupt: {exc}')
+    if not decompressor.eof:
+        return result.Err(f'version {message.number} is truncated or too large')
     return result.Ok(body)
 
 
-def pack_directory(directory: registry.Registry) -> messages.DirectoryGive:
-    """Encode the members and claims."""
-    return messages.DirectoryGive(
+def pack_directory(directory: registry.Registry) -> messages.DirectoryResponse:
+    """Encode the rows of members and claims."""
+    return messages.DirectoryResponse(
         rows=tuple(
             (row.key, row.revision, row.body or b'') for row in directory.rows()
         )
     )
 
 
-def unpack_directory(given: messages.DirectoryGive) -> tuple[store.Row, ...]:
-    """Return the members and claims that a peer sent."""
+def unpack_directory(
+    message: messages.DirectoryResponse,
+) -> tuple[store.Row, ...]:
+    """Return the rows of members and claims that a peer sent."""
     return tuple(
         store.Row(key=key, revision=revision, body=body)
-        for key, revision, body in given.rows
+        for key, revision, body in message.rows
     )
--- a/sardineproxy/process/node/peering.py
+++ b/sardineproxy/process/node/peering.py
@@ -1,4 +1,4 @@
-"""Which other entry VMs a node keeps links to."""
+"""Selects the entry VMs that a node maintains links to."""
 
 from typing import Iterable
 
@@ -6,33 +6,38 @@
 from sardineproxy.process.membership import links, registry
 from sardineproxy.process.node import claiming
 
-#: Of two VMs the one with the lower name opens their link; the other one
-#: does so after this time, in seconds.
+#: Delay before the VM with the higher name dials, in seconds. The VM with the
+#: lower name dials immediately, so that usually only one link is opened.
 DIAL_DELAY_S = 0.5
 
 
 def update_link_targets(
-    own: links.Links,
+    peer_links: links.Links,
     *,
     members: Iterable[registry.Member],
-    claims: claiming.ShardClaimer,
+    claimer: claiming.ShardClaimer,
     cfg: deployment.Deployment,
 ) -> None:
-    """Keep links to the members that need one, to the seeds if none does."""
-    others = [
+    """Set the link targets to the members that need a link.
+
+    Without such members, the seeds are the targets.
+    """
+    linked_members = [
         member
         for member in members
-        if member.vm != cfg.vm and claims.needs_link(cfg.vm, member.vm)
+        if member.vm != cfg.vm and claimer.needs_link(cfg.vm, member.vm)
     ]
-    if not others:
-        own.set_targets({seed: 0 for seed in cfg.seeds if seed != cfg.peers})
+    if not linked_members:
+        peer_links.set_targets(
+            {seed: 0 for seed in cfg.seeds if seed != cfg.peers}
+        )
         return
-    own.set_targets(
+    peer_links.set_targets(
         {
             member.address: 0 if cfg.vm < member.vm else DIAL_DELAY_S
-            for member in others
+            for member in linked_members
         }
     )
-    own.set_needed({member.vm for member in others})
-    for known in others:
-        own.set_peer_vm(known.address, known.vm)
+    peer_links.set_needed({member.vm for member in linked_members})
+    for linked in linked_members:
+        peer_links.set_peer_vm(linked.address, linked.vm)
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -1,4 +1,4 @@
-"""Settings of the node's own policy, JSON with comments, checked whole."""
+"""Policy settings of the node: JSON with comments, fully validated."""
 
 import dataclasses
 import pathlib
@@ -13,25 +13,26 @@
 #: Largest settings file, in bytes.
 MAX_SETTINGS_BYTES = 65_536
 
-#: Longest time that a setting may name, in seconds.
+#: Largest value of a setting, in seconds.
 MAX_SETTING_S = 3600
 
-#: Longest wait of a look, as a part of the lease, which it must extend twice
-#: even if one answer is lost.
+#: Upper bound of a poll's wait, as a fraction of the lease: two polls must fit
+#: into a lease, so that it is extended even if one response is lost.
 POLL_WAIT_SHARE = 0.3
 
-#: A stop is repeated after this multiple of the platform's bound for one.
+#: Minimum delay before a stop is retried, as a multiple of the platform's
+#: bound for a stop.
 STOP_RETRY_FACTOR = 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Policy:
-    """Times of cells and of calls to workers."""
+    """Timing of shards and of calls to workers."""
 
     shard: times.ShardTiming = times.ShardTiming()
 
     def fit(self, bounds: deployment.Bounds) -> 'Policy':
-        """Return the policy as far as the platform's bounds allow it."""
+        """Return the policy, adjusted to the platform's bounds."""
         calls = self.shard.calls
         lease_s = min(calls.lease_s, bounds.lease_s)
         fitted = dataclasses.replace(
@@ -51,7 +52,7 @@
 
 
 def load(path: pathlib.Path) -> result.Result[Policy, str]:
-    """Read and check a settings file; the error is one sentence."""
+    """Return the policy from a file, or an error sentence."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
@@ -60,7 +61,7 @@
 
 
 def parse(text: str) -> result.Result[Policy, str]:
-    """Check the text of a settings file."""
+    """Return the policy from the text of a file, or an error sentence."""
     parsed = json_text.parse_object(text, max_bytes=MAX_SETTINGS_BYTES)
     if isinstance(parsed, result.Err):
         return parsed
@@ -71,50 +72,52 @@
     workers = _section(times.CallTiming, document.get('workers', {}), 'workers')
     if isinstance(workers, result.Err):
         return workers
-    of_shard = _section(times.ShardTiming, document.get('cell', {}), 'cell')
-    if isinstance(of_shard, result.Err):
-        return of_shard
-    shard_cfg = dataclasses.replace(of_shard.ok_value, calls=workers.ok_value)
-    return result.Ok(Policy(shard=shard_cfg))
+    shard = _section(times.ShardTiming, document.get('cell', {}), 'cell')
+    if isinstance(shard, result.Err):
+        return shard
+    shard_timing = dataclasses.replace(shard.ok_value, calls=workers.ok_value)
+    return result.Ok(Policy(shard=shard_timing))
 
 
-#: Fields that the platform's bounds set, and no settings file.
-_OF_PLATFORM = frozenset(('distance_factor',))
+#: Fields that are set from the platform's bounds, not from a settings file.
+_PLATFORM_FIELDS = frozenset(('distance_factor',))
 
 _SECTIONS = types.MappingProxyType(
-    {'cell': 'times of a cell', 'workers': 'times of calls to workers'}
+    {'cell': 'timing of a shard', 'workers': 'timing of calls to workers'}
 )
 
 
 def _section(
     kind: type[Any], document: Any, name: str
 ) -> result.Result[Any, str]:
-    """Build a data class of numbers from a section."""
+    """Return a data class of numbers built from a section, or an error."""
     if not isinstance(document, dict):
         return result.Err(f'{name}: expected an object')
-    known = {
+    setting_names = {
         field.name
         for field in dataclasses.fields(kind)
-        if field.type in {float, 'float'} and field.name not in _OF_PLATFORM
+        if field.type in {float, 'float'} and field.name not in _PLATFORM_FIELDS
     }
-    for key, found in document.items():
-        error = _check(f'{name}.{key}', found, known=key in known)
+    for key, setting in document.items():
+        error = _check(f'{name}.{key}', setting, is_known=key in setting_names)
         if error is not None:
             return result.Err(error)
     return result.Ok(kind(**_to_floats(document)))
 
 
-def _check(place: str, found: object, *, known: bool) -> str | None:
-    if not known:
+def _check(place: str, setting: object, *, is_known: bool) -> str | None:
+    if not is_known:
         return f'{place}: unknown setting'
-    is_number = isinstance(found, (int, float)) and not isinstance(found, bool)
-    if not is_number or not 0 < float(found) <= MAX_SETTING_S:  # type: ignore[arg-type]
+    is_number = isinstance(setting, (int, float)) and not isinstance(
+        setting, bool
+    )
+    if not is_number or not 0 < float(setting) <= MAX_SETTING_S:  # type: ignore[arg-type]
         return (
             f'{place}: expected a number over 0 and up to {MAX_SETTING_S}, '
-            f'found {found!r:.60}'
+            f'found {setting!r:.60}'
         )
     return None
 
 
 def _to_floats(document: Mapping[str, Any]) -> dict[str, float]:
-    return {key: float(found) for key, found in document.items()}
+    return {key: float(setting) for key, setting in document.items()}
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -1,4 +1,4 @@
-"""Life of a node process: its listeners, its reload and its shutdown."""
+"""Lifecycle of a node process: listeners, settings reload and shutdown."""
 
 import asyncio
 import dataclasses
@@ -11,9 +11,9 @@
 from sardineproxy.connection import admin
 from sardineproxy.platform import (
     configuration,
-    front_http,
+    client_http,
     http_calls,
-    roster,
+    worker_entries,
     store_http,
     worker_http,
 )
@@ -23,17 +23,17 @@
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
 
-#: Least time from SIGTERM until the listeners close, in seconds. The
-#: balancer takes two failed checks, one each second, to notice.
+#: Minimum time from SIGTERM until the listeners close, in seconds. The load
+#: balancer checks every second and needs two failed checks.
 MIN_DRAIN_S = 2.6
 
-#: Time of the grace that is kept for closing, in seconds.
+#: Part of the grace period that is reserved for closing, in seconds.
 CLOSE_RESERVE_S = 0.5
 
-#: Time between two looks at whether all requests are answered, in seconds.
+#: Interval of the check for unanswered requests while draining, in seconds.
 DRAIN_POLL_S = 0.05
 
-#: Settings that a running process cannot change.
+#: Settings that only take effect at the start of the process.
 _FIXED = frozenset(('vm', 'zone', 'front', 'ready', 'peers'))
 
 _LOG = logs.get_logger('node')
@@ -46,11 +46,11 @@
         self,
         *,
         cfg: deployment.Deployment,
-        rules: policy.Policy,
+        node_policy: policy.Policy,
         metrics_port: int | None,
         clock: clock.Clock,
     ) -> None:
-        """Prepare the process; ``start`` opens its listeners."""
+        """Create the components; ``start`` opens the listeners."""
         self._cfg = cfg
         self._clock = clock
         self._metrics_port = metrics_port
@@ -60,7 +60,7 @@
         )
         self._node = node.Node(
             cfg=cfg,
-            rules=rules.fit(cfg.bounds),
+            node_policy=node_policy.fit(cfg.bounds),
             dependencies=dependencies.Dependencies(
                 clock=clock,
                 rng=random.Random(),
@@ -70,11 +70,13 @@
                 metrics=metrics.Metrics(),
             ),
         )
-        self._front = front_http.Front(acceptor=_Acceptor(own=self._node))
+        self._front = client_http.ClientServer(
+            request_handler=_RequestHandler(served=self._node)
+        )
         self._admin: web.AppRunner | None = None
 
     async def start(self) -> result.Result[None, str]:
-        """Open all listeners; the error is one sentence."""
+        """Open all listeners; return an error sentence on failure."""
         try:
             await self._open()
         except OSError as exc:
@@ -84,7 +86,7 @@
             extra={
                 'vm': self._cfg.vm,
                 'zone': self._cfg.zone,
-                'incarnation': self._node.me.incarnation,
+                'incarnation': self._node.identity.incarnation,
                 'front': str(self._cfg.front),
                 'peers': str(self._cfg.peers),
             },
@@ -92,7 +94,7 @@
         return result.Ok(None)
 
     def update_settings(self, cfg: deployment.Deployment) -> None:
-        """Use changed settings as far as a running process can."""
+        """Apply changed settings, except those fixed at the start."""
         changed = [
             field.name
             for field in dataclasses.fields(cfg)
@@ -108,11 +110,11 @@
         self._cfg = dataclasses.replace(
             cfg, **{name: getattr(self._cfg, name) for name in _FIXED}
         )
-        self._store.use(self._cfg.store)
+        self._store.set_address(self._cfg.store)
         self._node.update_settings(self._cfg)
 
     async def shut_down(self) -> None:
-        """Hand the cells over, answer what is in progress, and close."""
+        """Hand over the shards, finish requests in progress, and close."""
         await self._drain()
         await self._front.close()
         await self._node.close()
@@ -136,76 +138,79 @@
         ).start()
 
     async def _drain(self) -> None:
-        """Answer what is in progress before the grace ends."""
-        started = self._clock.now()
-        _LOG.info('Stopping.', extra={'requests': self._front.busy})
-        limit = started + self._cfg.bounds.grace_s - CLOSE_RESERVE_S
-        self._node.drain(shutdown_at=limit)
-        while self._clock.now() < limit:
+        """Wait for requests in progress, until shortly before the grace ends.
+
+        Waits for at least ``MIN_DRAIN_S`` unless the grace period is shorter.
+        """
+        started_at = self._clock.now()
+        _LOG.info('Stopping.', extra={'requests': self._front.active_requests})
+        deadline = started_at + self._cfg.bounds.grace_s - CLOSE_RESERVE_S
+        self._node.drain(shutdown_at=deadline)
+        while self._clock.now() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
-            has_waited = self._clock.now() - started > MIN_DRAIN_S
-            if has_waited and not self._front.busy:
+            has_waited = self._clock.now() - started_at > MIN_DRAIN_S
+            if has_waited and not self._front.active_requests:
                 return
         _LOG.warning(
-            'Grace ends with requests in progress.',
-            extra={'requests': self._front.busy},
+            'Grace period ended with requests in progress.',
+            extra={'requests': self._front.active_requests},
         )
 
 
-class _Acceptor:
-    """Joins the front to the node."""
+class _RequestHandler:
+    """Adapts the node to the front's interface."""
 
-    def __init__(self, *, own: node.Node) -> None:
-        self._own = own
+    def __init__(self, *, served: node.Node) -> None:
+        self._node = served
 
     @property
     def table(self) -> routes.RoutingTable | None:
-        """Return the routes in force."""
-        return self._own.versions.table
+        """Return the routes of the version in force."""
+        return self._node.versions.table
 
     @property
     def draining(self) -> bool:
-        """Tell whether the process shuts down."""
-        return self._own.draining
+        """Return whether the process is shutting down."""
+        return self._node.draining
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send new connections."""
-        return self._own.is_ready()
+        """Return whether the load balancer may send new connections."""
+        return self._node.is_ready()
 
     def is_recovering(self) -> bool:
-        """Tell whether requests must be refused for the moment."""
-        return self._own.is_recovering()
+        """Return whether requests are refused because of a recent stall."""
+        return self._node.is_recovering()
 
     async def run_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> jobs.Outcome:
         """Run a job for a client that waits ``wait_s`` seconds."""
-        return await self._own.job_intake.run(job, route, wait_s)
+        return await self._node.job_intake.run(job, route, wait_s)
 
-    async def keep_job(
+    async def store_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
         """Store a job for a client that waits ``wait_s`` seconds."""
-        return await self._own.job_intake.store(job, route, wait_s)
+        return await self._node.job_intake.store(job, route, wait_s)
 
-    async def ask_job(
+    async def query_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
         """Return the state of a stored job, or cancel it."""
-        return await self._own.job_intake.query(job, wait_s, cancel=cancel)
+        return await self._node.job_intake.query(job, wait_s, cancel=cancel)
 
-    def waiting_for(self, route: routes.Route) -> int:
-        """Return how many jobs of a route wait for their first start."""
-        return self._own.waiting_for(route.route)
+    def count_unstarted(self, route: routes.Route) -> int:
+        """Return how many jobs of a route have not started."""
+        return self._node.count_unstarted(route.route)
 
 
 def platform_formats() -> dependencies.RowFormats:
-    """Return the decoders of the platform's rows."""
+    """Return the table names and row decoders of the platform."""
     return dependencies.RowFormats(
         configuration_table=configuration.TABLE,
         configuration_row=configuration.ROW,
-        roster_table=roster.TABLE,
+        worker_table=worker_entries.TABLE,
         decode_configuration=configuration.decode,
-        worker_id=roster.worker_id,
-        decode_worker=roster.decode,
+        worker_id=worker_entries.worker_id,
+        decode_worker=worker_entries.decode,
     )
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -1,4 +1,4 @@
-"""The state dump of a node."""
+"""State dump of a node."""
 
 import dataclasses
 from typing import TYPE_CHECKING
@@ -7,26 +7,34 @@
     from sardineproxy.process.node import node
 
 
-def describe(own: 'node.Node', now: float) -> dict[str, object]:
-    """Return what a process believes."""
+def build_state_dump(described: 'node.Node', now: float) -> dict[str, object]:
+    """Return the state of a process as a JSON-serializable document."""
     return {
-        'vm': own.cfg.vm,
-        'incarnation': own.me.incarnation,
+        'vm': described.cfg.vm,
+        'incarnation': described.identity.incarnation,
         'config': {
-            'number': own.versions.number,
-            'digest': own.versions.digest,
+            'number': described.versions.number,
+            'digest': described.versions.digest,
         },
-        'ready': own.is_ready(),
-        'draining': own.draining,
-        'owners': dict(own.leaders.by_shard),
-        'rooms': own.rooms.state(now),
-        'links': {vm: len(of_vm) for vm, of_vm in own.links.open_links.items()},
-        'members': sorted(own.directory.members),
+        'ready': described.is_ready(),
+        'draining': described.draining,
+        'owners': dict(described.leaders.by_shard),
+        'rooms': described.capacities.state(now),
+        'links': {
+            vm: len(vm_links)
+            for vm, vm_links in described.links.open_links.items()
+        },
+        'members': sorted(described.directory.members),
         'claims': {
             shard: dataclasses.asdict(claim)
-            for shard, claim in own.directory.claims.items()
+            for shard, claim in described.directory.claims.items()
         },
-        'jobs': own.active_jobs.state(),
-        'kept': [kept.state(now) for kept in own.job_service.managers.values()],
-        'cells': [owned.state(now) for owned in own.led_shards.shards.values()],
+        'jobs': described.active_jobs.state(),
+        'kept': [
+            manager.state(now)
+            for manager in described.job_service.managers.values()
+        ],
+        'cells': [
+            leader.state(now) for leader in described.led_shards.shards.values()
+        ],
     }
--- a/sardineproxy/process/ownership.py
+++ b/sardineproxy/process/ownership.py
@@ -1,10 +1,10 @@
-"""Applies the zone's views to the slot table."""
+"""Ownership of slots: applies the membership views to the slot table."""
 
 from sardineproxy.process import borrowing, slots, views
 
 
 class SlotOwnership:
-    """Gives up and takes up slots as the views of the zone change."""
+    """Updates the owned slots and limits when the zone's view changes."""
 
     def __init__(
         self,
@@ -13,18 +13,26 @@
         table: slots.SlotTable,
         drain_s: float,
     ) -> None:
-        """Wait at most ``drain_s`` for tasks on slots that are given up."""
+        """Create an ownership without slots.
+
+        After a change of the view, tasks may still run on slots that the new
+        view assigns to other VMs. The view counts as settled after ``drain_s``
+        in any case.
+        """
         self._views = views
         self._table = table
         self._drain_s = drain_s
+
+        #: Divisions of the last confirmed view and of all views since.
         self._divisions: tuple[slots.LimitDivision, ...] = ()
 
-        #: True if all use and loans are within the candidate view.
+        #: True if used and lent slots are within the candidate view, or the
+        #: drain time is over.
         self.settled = False
         self._drain_until: float = 0
 
     def update(self, now: float) -> borrowing.OutgoingFrames:
-        """Apply what changed and return the views to state, and to whom."""
+        """Apply changes of the view; return the announcements to send."""
         if self._views.update_candidate(now):
             self.settled = False
             self._drain_until = now + self._drain_s
@@ -39,20 +47,23 @@
             )
         if self._views.confirm_candidate(now, settled=self.settled):
             self._adopt_candidate()
-        return self._views.pending_statements(settled=self.settled)
+        return self._views.pending_announcements(settled=self.settled)
 
     def drop_owned(self) -> None:
-        """Give up all slots until the peers confirm a view anew."""
+        """Release all slots until the peers confirm a view again."""
         self._views.drop_owned()
         self._table.set_owned({})
 
     def leave(self) -> None:
-        """Give up all slots for good."""
+        """Release all slots for good."""
         self._views.leave()
         self._table.set_owned({})
 
     def _restrict(self) -> None:
-        """Use only what every view since the last confirmed one gives."""
+        """Restrict use to what all views since the last confirmed one allow.
+
+        Peers may still act on any of these views.
+        """
         division = self._views.candidate.division
         if division not in self._divisions:
             self._divisions = (*self._divisions, division)
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -103,11 +103,11 @@
         )
         self._streams = streams.Streams(
             cfg=cfg.stream,
-            ctx=peer.Context(
+            ctx=peer.StreamContext(
                 clock=clock,
                 metrics=metrics,
-                hello=self._hello,
-                free=lambda: slot_table.free_slots,
+                make_hello=self._hello,
+                count_free_slots=lambda: slot_table.free_slots,
             ),
             rng=rng,
             vm=vm,
@@ -232,11 +232,11 @@
                     'vm': vm,
                     'incarnation': stream.hello.incarnation,
                     'zone': stream.hello.zone,
-                    'open_s': round(now - stream.since, 3),
-                    'silent_s': round(now - stream.heard_at, 3),
+                    'open_s': round(now - stream.opened_at, 3),
+                    'silent_s': round(now - stream.last_received_at, 3),
                     'version': stream.version,
                     'revision': stream.revision,
-                    'free': stream.free,
+                    'free': stream.free_slots,
                 }
                 for vm, stream in sorted(self._streams.by_vm.items())
             ],
@@ -271,7 +271,7 @@
             borrowing.LenderPeer(
                 vm=vm,
                 is_same_zone=stream.hello.zone == self._own_hello.zone,
-                free_slots=stream.free,
+                free_slots=stream.free_slots,
             )
             for vm, stream in self._streams.by_vm.items()
         ]
--- a/sardineproxy/process/shards/__init__.py
+++ b/sardineproxy/process/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatch of tasks to the workers of a cell by the VM that owns it."""
+"""Dispatch of a shard's tasks to its workers by the leader VM."""
--- a/sardineproxy/process/shards/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -1,7 +1,8 @@
-"""Orders to one worker, and what may run on it.
+"""Starts and stops runs on one worker, and tracks its free capacity.
 
-The worker does not guard its capacity, so that a run takes room here from
-its order until a report shows that it has ended or can never start.
+The worker does not enforce its capacity. A run therefore occupies capacity
+here from its start order until a report shows that it has ended or can never
+start.
 """
 
 from typing import Protocol
@@ -9,62 +10,64 @@
 from sardineproxy import background, clock, logs
 from sardineproxy.process import metrics
 from sardineproxy.process.shards import (
-    fences,
+    fencing,
     health,
-    held_ends,
+    unacked_results,
     lease,
     ledger,
-    reports,
+    reconciler,
     runs,
     times,
-    watch,
+    poller,
     workers,
 )
 
-#: Ends that a worker lists and that are not stored, over which it gets no
-#: more orders. A worker lists 500 ends.
-MAX_HELD_ENDS = 300
+#: A worker with more unstored results than this gets no more runs. It lists
+#: up to 500 results.
+MAX_UNSTORED_RESULTS = 300
 
 _LOG = logs.get_logger('worker')
 
 _State = runs.RunState
 
 
-class Events(reports.Events, Protocol):
-    """Hears what becomes of runs and of the worker."""
+class Events(reconciler.Events, Protocol):
+    """Receives the events of one worker and its runs."""
 
-    def has_room(self) -> None:
-        """Room became free."""
+    def capacity_freed(self) -> None:
+        """Handle that capacity became available."""
 
     def superseded(self, agent: 'Agent') -> None:
-        """The worker has seen a higher fence of another owner."""
+        """Handle that the worker has seen the fence of a newer leader."""
 
-    def strays(self, agent: 'Agent', found: list[workers.Running]) -> None:
-        """The worker runs what this process did not order."""
+    def unrequested_runs(
+        self, agent: 'Agent', unrequested: list[workers.ActiveRun]
+    ) -> None:
+        """Handle runs that this process did not start."""
 
 
 class Agent:  # noqa: WPS214
-    """The owner's side of one worker."""
+    """The leader's representation of one worker."""
 
     def __init__(
         self,
         *,
         worker: workers.Worker,
-        right: fences.Right,
+        token: fencing.FencingToken,
         api: workers.WorkerApi,
         clock: clock.Clock,
         metrics: metrics.Metrics,
         events: Events,
         cfg: times.CallTiming,
-        count: int = 0,
+        fence_count: int = 0,
     ) -> None:
-        """Start without knowledge of what runs on the worker.
+        """Create an agent; the runs on the worker are not known yet.
 
-        ``count`` is that of a former agent of this owner, as the worker may
-        have seen its fence.
+        ``fence_count`` exceeds the count of the leader's previous agent for
+        this worker, because the worker may have seen its fences.
         """
         self.worker = worker
-        self.right = right
+        self.token = token
         self.health = health.Health()
         self.ledger = ledger.Ledger(capacity=worker.capacity)
         self._api = api
@@ -73,44 +76,44 @@
         self._events = events
         self._cfg = cfg
         self._lease = lease.Lease(cfg=cfg)
-        self._reports = reports.Reports(
+        self._reconciler = reconciler.Reconciler(
             worker=worker.worker,
             ledger=self.ledger,
             health=self.health,
             events=events,
-            orders=self,
+            stopper=self,
             cfg=cfg,
         )
-        self._watch = watch.Watch(
-            subject=self,
+        self._poller = poller.Poller(
+            agent=self,
             api=api,
             ledger=self.ledger,
             lease=self._lease,
             health=self.health,
-            reports=self._reports,
+            reconciler=self._reconciler,
             clock=clock,
             metrics=metrics,
             cfg=cfg,
         )
-        self.count = count
+        self.fence_count = fence_count
 
-        #: False while another process may own the cell: runs of stored jobs
-        #: must lapse then.
-        self.is_confirmed = True
-        self._leaving = False
+        #: False while another process may lead the shard. The leases of
+        #: stored jobs' runs must expire then.
+        self.is_leadership_confirmed = True
+        self._is_unlisted = False
         self._tasks = background.Tasks()
 
     def open(self) -> None:
-        """Start to watch the worker."""
-        self._tasks.spawn(self._watch.run())
+        """Start to poll the worker."""
+        self._tasks.spawn(self._poller.run())
 
     async def close(self) -> None:
-        """Stop all calls."""
+        """Stop all calls and wait for their end."""
         await self._tasks.close()
 
     def acknowledge(self) -> None:
-        """Acknowledge ends that were released."""
-        self._watch.acknowledge()
+        """Acknowledge released results to the worker."""
+        self._poller.acknowledge()
 
     def abandon(self) -> None:
         """Stop all calls without waiting for their end."""
@@ -118,184 +121,193 @@
 
     @property
     def fence(self) -> int:
-        """Return the fence of orders from now on."""
-        return self.right.fence(self.count)
+        """Return the current fence of calls to the worker."""
+        return self.token.fence(self.fence_count)
 
     @property
-    def held(self) -> held_ends.HeldEnds:
-        """Return the ends that must not be acknowledged yet."""
-        return self._reports.held
+    def unacked(self) -> unacked_results.UnackedResults:
+        """Return the results that must not be acknowledged yet."""
+        return self._reconciler.unacked
 
     @property
     def is_synced(self) -> bool:
-        """Tell whether a report under the present fence is known."""
-        return not self._watch.in_doubt
+        """Return whether a report for the current fence was received."""
+        return not self._poller.is_unconfirmed
 
     @property
-    def is_silent(self) -> bool:
-        """Tell whether the worker has not answered its last call."""
-        return self._watch.silent_since is not None
+    def is_unresponsive(self) -> bool:
+        """Return whether the worker did not answer its last call."""
+        return self._poller.unresponsive_since is not None
 
-    def is_gone(self, now: float) -> bool:
-        """Tell whether the worker has left and nothing can run on it."""
+    def is_removable(self, now: float) -> bool:
+        """Return whether the worker is unlisted and nothing can run on it."""
         return (
-            self._leaving
+            self._is_unlisted
             and self.ledger.is_empty
             and self._lease.has_expired(now)
         )
 
     @property
     def extends_lease(self) -> bool:
-        """Tell whether the lease of what runs may be extended."""
-        return self.is_confirmed or not self.ledger.has_stored
+        """Return whether the lease of the worker's runs may be extended."""
+        return self.is_leadership_confirmed or not self.ledger.has_stored_runs
 
-    def takes_work(self, now: float) -> bool:
-        """Tell whether runs may be ordered."""
+    def accepts_work(self, now: float) -> bool:
+        """Return whether runs may be started on the worker."""
         if not self.extends_lease:
-            # An order extends the lease of all that runs.
+            # A start order extends the lease of all runs of the worker.
             return False
-        if self._leaving or self.is_silent or not self.is_synced:
+        if self._is_unlisted or self.is_unresponsive or not self.is_synced:
             return False
         if self.worker.state is not workers.WorkerState.READY:
             return False
-        if self.worker.born_ms != self._watch.born_ms:
-            # A new life may have another capacity, which the list tells.
+        if self.worker.started_ms != self._poller.started_ms:
+            # The restarted worker may have another capacity, which becomes
+            # known from its next entry in the list.
             return False
-        if self.ledger.unknown or len(self.held) > MAX_HELD_ENDS:
+        if self.ledger.unrequested or len(self.unacked) > MAX_UNSTORED_RESULTS:
             return False
         if self.health.on_probation and self.ledger.runs:
             return False
-        return self.health.is_open(now)
+        return self.health.is_available(now)
 
     def update(self, worker: workers.Worker) -> None:
-        """Use the worker's newer entry in the list."""
+        """Apply a newer list entry of the worker."""
         if worker.state is not self.worker.state:
             _LOG.info(
-                'State changed.',
+                'Worker changed its state.',
                 extra={
                     'worker': worker.worker,
                     'state': worker.state.value,
                     'running': len(self.ledger.runs),
                 },
             )
-        reborn = worker.born_ms != self.worker.born_ms
+        is_restarted = worker.started_ms != self.worker.started_ms
         self.ledger.resize(self.worker.capacity, worker.capacity)
         self.worker = worker
-        self._leaving = False
-        if reborn and worker.born_ms != self._watch.born_ms:
-            self.doubt('started anew')
-
-    def leave(self) -> None:
-        """Order nothing more: the worker is not listed any more."""
-        if not self._leaving:
-            self._leaving = True
+        self._is_unlisted = False
+        if is_restarted and worker.started_ms != self._poller.started_ms:
+            self.mark_unconfirmed('worker restarted')
+
+    def mark_unlisted(self) -> None:
+        """Start no more runs: the worker is no longer listed."""
+        if not self._is_unlisted:
+            self._is_unlisted = True
             _LOG.info(
-                'Not listed any more.', extra={'worker': self.worker.worker}
+                'Worker is no longer listed.',
+                extra={'worker': self.worker.worker},
             )
-            self.doubt('not listed')
+            self.mark_unconfirmed('worker not listed')
 
-    def renew(self, right: fences.Right) -> None:
-        """Use a higher right of the same owner from now on."""
-        self.right = right
-        self.count = 0
+    def renew_token(self, token: fencing.FencingToken) -> None:
+        """Use a higher fencing token of the same leader from now on."""
+        self.token = token
+        self.fence_count = 0
 
     def start(self, run: runs.Run, now: float) -> None:
-        """Order a run; its room is taken from now on."""
+        """Start a run; it occupies capacity from now on."""
         run.ordered_at = now
         run.fence = self.fence
         run.expires_ms = self._lease.extend(now)
-        self.ledger.hold(run)
-        self._tasks.spawn(self._order(run))
-        self._watch.wake()
+        self.ledger.add(run)
+        self._tasks.spawn(self._send_start(run))
+        self._poller.wake()
 
     def stop(self, run: runs.Run) -> None:
-        """Order the stop of a run."""
+        """Stop a run unless a stop is already in progress."""
         if run.state is _State.STOPPING:
             return
         run.state = _State.STOPPING
-        run.stop_at = self._clock.now()
-        if run.sent:
-            self._tasks.spawn(self._order_stop(run.task, run.number, run))
-        self._watch.wake()
+        run.stop_sent_at = self._clock.now()
+        if run.is_sent:
+            self._tasks.spawn(self._send_stop(run.task, run.number, run))
+        self._poller.wake()
 
-    def stop_again(self, run: runs.Run) -> None:
-        """Order the stop of a run once more."""
-        self._tasks.spawn(self._order_stop(run.task, run.number, run))
+    def retry_stop(self, run: runs.Run) -> None:
+        """Send the stop of a run again."""
+        self._tasks.spawn(self._send_stop(run.task, run.number, run))
 
-    def stop_unknown(self) -> None:
-        """Stop what another process ordered and nobody asks for."""
-        for task, found in self.ledger.unknown.items():
-            self._tasks.spawn(self._order_stop(task, found.run))
-        self._watch.wake()
+    def stop_unrequested(self) -> None:
+        """Stop the runs that another process started and nobody resumed."""
+        for task, active_run in self.ledger.unrequested.items():
+            self._tasks.spawn(self._send_stop(task, active_run.run))
+        self._poller.wake()
 
     def adopt(self, run: runs.Run, now: float) -> None:
-        """Take over a run that another process ordered."""
-        found = self.ledger.unknown.pop(run.task)
+        """Take over a run that another process started."""
+        active_run = self.ledger.unrequested.pop(run.task)
         run.state = _State.RUNNING
         run.started_at = now
-        run.percent = found.percent
-        run.sent = True
-        self.ledger.hold(run)
-        self._watch.wake()
+        run.percent = active_run.percent
+        run.is_sent = True
+        self.ledger.add(run)
+        self._poller.wake()
 
-    def doubt(self, why: str) -> None:
-        """Order nothing until a report under a higher fence is known.
+    def mark_unconfirmed(self, cause: str) -> None:
+        """Start no runs until a report for a higher fence has arrived.
 
-        The higher fence makes sure that orders without an answer are not
-        carried out after that report.
+        The higher fence ensures that the worker does not execute unanswered
+        orders after that report.
         """
-        self.count += 1
+        self.fence_count += 1
         self._metrics.count('worker_doubts_total')
         _LOG.info(
-            'In doubt.',
+            'Worker state unknown, report required.',
             extra={
                 'worker': self.worker.worker,
-                'cause': why,
+                'cause': cause,
                 'fence': self.fence,
                 'runs': len(self.ledger.runs),
             },
         )
-        self._watch.restart()
+        self._poller.restart()
 
-    # What the watch tells.
+    # Implementation of poller.PolledAgent.
 
-    def fenced(self) -> None:
-        """The worker has seen a higher fence of another owner."""
+    def handle_fenced(self) -> None:
+        """Report that the worker has seen the fence of a newer leader."""
         self._events.superseded(self)
 
-    def heard(self, strays: list[workers.Running], *, ends_doubt: bool) -> None:
-        """A report was used; ``strays`` are runs that others ordered."""
-        if strays:
-            self._events.strays(self, strays)
-        if ends_doubt:
-            self._events.has_room()
+    def handle_report(
+        self, unrequested: list[workers.ActiveRun], *, is_newly_confirmed: bool
+    ) -> None:
+        """Handle an applied report.
+
+        ``unrequested`` are runs that this process did not start.
+        ``is_newly_confirmed`` is true if the worker's state became known.
+        """
+        if unrequested:
+            self._events.unrequested_runs(self, unrequested)
+        if is_newly_confirmed:
+            self._events.capacity_freed()
 
-    def lapsed(self, run: runs.Run) -> None:
-        """The lease of a run has expired on a silent worker."""
-        self._events.lost(run, 'lease expired on a silent worker')
+    def handle_lease_expired(self, run: runs.Run) -> None:
+        """Report a run as lost whose lease expired without a response."""
+        self._events.run_lost(run, 'lease expired on an unresponsive worker')
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what is believed of the worker, for the state dump."""
-        silent_since = self._watch.silent_since
+        """Return the state of the worker for the state dump."""
+        unresponsive_since = self._poller.unresponsive_since
         return {
             'worker': self.worker.worker,
             'state': self.worker.state.value,
             'fence': self.fence,
-            'in_doubt': self._watch.in_doubt,
-            'silent_s': silent_since and round(now - silent_since, 3),
+            'in_doubt': self._poller.is_unconfirmed,
+            'silent_s': unresponsive_since
+            and round(now - unresponsive_since, 3),
             'free_millicores': self.ledger.free.millicores,
             'runs': {
                 run.task: run.state.value for run in self.ledger.runs.values()
             },
-            'unknown': list(self.ledger.unknown),
+            'unknown': list(self.ledger.unrequested),
             'health': self.health.state(now),
         }
 
-    async def _order(self, run: runs.Run) -> None:
+    async def _send_start(self, run: runs.Run) -> None:
         if run.state is _State.STOPPING:
-            self._never_started(run, 'withdrawn before its order was sent')
+            self._handle_not_started(run, 'stopped before its start was sent')
             return
-        run.sent = True
+        run.is_sent = True
         answer = await self._api.start(
             self.worker,
             workers.Order(
@@ -313,58 +325,60 @@
             return
         match answer:
             case workers.Accepted():
-                run.note_running(now)
+                run.mark_running(now)
             case workers.Refused():
-                self._note_refused(run, answer, now)
+                self._handle_refusal(run, answer, now)
             case workers.Unanswered(unsent=True):
-                self._never_started(run, answer.cause)
-                self._watch.note_silent(answer.cause, now)
+                self._handle_not_started(run, answer.cause)
+                self._poller.mark_unresponsive(answer.cause, now)
             case workers.Unanswered():
-                self._note_doubtful(run)
-                self.doubt(f'order of {run.task} not answered: {answer.cause}')
+                self._mark_run_unconfirmed(run)
+                self.mark_unconfirmed(
+                    f'start of {run.task} not answered: {answer.cause}'
+                )
 
-    def _note_doubtful(self, run: runs.Run) -> None:
+    def _mark_run_unconfirmed(self, run: runs.Run) -> None:
         if run.state is _State.ORDERED:
-            run.state = _State.DOUBTFUL
+            run.state = _State.UNCONFIRMED
         elif run.state is _State.STOPPING:
-            # The stop is sent again under a higher fence, if it runs.
-            run.state = _State.DOUBTFUL
-            run.withdrawn = True
+            # The stop is sent again with a higher fence if the run is listed.
+            run.state = _State.UNCONFIRMED
+            run.stop_when_running = True
 
-    def _note_refused(
+    def _handle_refusal(
         self, run: runs.Run, refused: workers.Refused, now: float
     ) -> None:
         _LOG.info(
-            'Order refused.',
+            'Worker refused to start a run.',
             extra={
                 'worker': self.worker.worker,
                 'task': run.task,
                 'run': run.number,
-                'why': refused.why.value,
+                'why': refused.reason.value,
                 'detail': refused.detail,
                 'fence': run.fence,
             },
         )
-        match refused.why:
+        match refused.reason:
             case workers.Refusal.FENCED if run.fence >= self.fence:
-                self._never_started(run, 'fenced')
+                self._handle_not_started(run, 'fenced')
                 self._events.superseded(self)
                 return
-            case workers.Refusal.NOT_DONE | workers.Refusal.NO_ROOM:
-                self.health.refused(now)
+            case workers.Refusal.NOT_DONE | workers.Refusal.NO_CAPACITY:
+                self.health.record_refusal(now)
             case workers.Refusal.OTHER_WORKER:
-                self.leave()
+                self.mark_unlisted()
             case _:
                 pass
-        self._never_started(run, refused.why.value)
+        self._handle_not_started(run, refused.reason.value)
 
-    def _never_started(self, run: runs.Run, cause: str) -> None:
+    def _handle_not_started(self, run: runs.Run, cause: str) -> None:
         if run.state is _State.RUNNING:
             return
-        self.ledger.release(run)
-        self._events.lost(run, cause)
+        self.ledger.remove(run)
+        self._events.run_lost(run, cause)
 
-    async def _order_stop(
+    async def _send_stop(
         self,
         task: workers.TaskName,
         number: int,
@@ -379,11 +393,13 @@
         )
         match answer:
             case workers.Accepted() if run is not None:
-                run.stopped_at = self._clock.now()
+                run.stop_accepted_at = self._clock.now()
             case workers.Unanswered():
                 if run is not None:
-                    # It is stopped again as soon as it is seen to run.
-                    run.stop_at = 0
-                self.doubt(f'stop of {task} not answered: {answer.cause}')
+                    # The stop is sent again as soon as the run is listed.
+                    run.stop_sent_at = 0
+                self.mark_unconfirmed(
+                    f'stop of {task} not answered: {answer.cause}'
+                )
             case _:
                 pass
--- a/sardineproxy/process/shards/backlog.py
+++ b/sardineproxy/process/shards/backlog.py
@@ -1,22 +1,22 @@
-"""Tasks that a cell holds for coordinators, and what they are told of them."""
+"""Queue of a shard's tasks, and the replies to their coordinators."""
 
 from typing import Callable
 
 from sardineproxy import clock, ids, logs
 from sardineproxy.connection import link, messages
 from sardineproxy.process import metrics
-from sardineproxy.process.shards import recall, runs, workers
+from sardineproxy.process.shards import recent_results, runs, workers
 from sardineproxy.request import jobs
 
-#: When to come back after a refusal for want of room, in seconds: some of the
-#: longest usual tasks have ended by then.
-NO_ROOM_RETRY_S = 1.0
+#: Suggested retry delay after a refusal for lack of capacity, in seconds. Some
+#: of the longest typical tasks have ended by then.
+NO_CAPACITY_RETRY_S = 1.0
 
 _LOG = logs.get_logger('cell')
 
 
 class Backlog:
-    """Batches of a cell, and the runs that may exist for them."""
+    """Batches of a shard, and the runs that may exist for them."""
 
     def __init__(
         self,
@@ -24,28 +24,30 @@
         shard: ids.ShardId,
         clock: clock.Clock,
         metrics: metrics.Metrics,
-        recall_s: float,
+        result_retention_s: float,
     ) -> None:
-        """Start empty; ends are remembered for ``recall_s``."""
+        """Create an empty backlog; results stay for ``result_retention_s``."""
         self._shard = shard
         self._clock = clock
         self._metrics = metrics
-        self._recall = recall.Recall(keep_s=recall_s)
+        self._recent_results = recent_results.RecentResults(
+            retention_s=result_retention_s
+        )
         self._batches: dict[runs.BatchKey, runs.Batch] = {}
 
-        #: Runs that may exist, also of tasks that are no longer wanted.
-        self.live: dict[workers.TaskName, runs.Run] = {}
+        #: Runs that may exist, including those of dropped tasks.
+        self.live_runs: dict[workers.TaskName, runs.Run] = {}
 
     def __len__(self) -> int:
         """Return the number of batches."""
         return len(self._batches)
 
     def get(self, key: runs.BatchKey) -> runs.Batch | None:
-        """Return a batch."""
+        """Return a batch, None if there is none."""
         return self._batches.get(key)
 
     def add(self, batch: runs.Batch) -> None:
-        """Keep a batch as long as it has tasks."""
+        """Add a batch if it has tasks."""
         if batch.tasks:
             self._batches[batch.key] = batch
 
@@ -62,93 +64,104 @@
         return sum(len(batch.waiting()) for batch in self._batches.values())
 
     def expire(self, now: float) -> None:
-        """Forget ends that are too old."""
-        self._recall.expire(now)
+        """Remove recent results that are older than the retention time."""
+        self._recent_results.expire(now)
 
     # Runs.
 
     def release(self, run: runs.Run) -> None:
-        """Note that a run does not exist any more."""
-        if self.live.get(run.task) is run:
-            self.live.pop(run.task)
+        """Remove a run that no longer exists."""
+        if self.live_runs.get(run.task) is run:
+            self.live_runs.pop(run.task)
         batch = self._batches.get(run.batch.key)
         if batch is not None and run.index in batch.tasks:
             task = batch.tasks[run.index]
             task.number = max(task.number, run.number + 1)
 
     def requeue(self, run: runs.Run) -> None:
-        """Let a task wait again whose run does not exist."""
+        """Return the task of a run that no longer exists to the queue."""
         task = run.batch.tasks.get(run.index)
         if task is not None and task.run is run:
             task.run = None
 
-    def end(self, run: runs.Run, how: jobs.TaskResult) -> None:
-        """End a task as its run ended, and tell its coordinator."""
+    def finish_task(self, run: runs.Run, result: jobs.TaskResult) -> None:
+        """Remove a finished task and send its result to the coordinator."""
         run.batch.tasks.pop(run.index)
-        self._forget_if_empty(run.batch)
-        self.send_end(run.batch, run.index, run.number, how)
+        self._remove_if_empty(run.batch)
+        self.send_result(run.batch, run.index, run.number, result)
 
-    def note_dropped_end(self, run: runs.Run, how: workers.Ending) -> None:
-        """Remember that a task ended well after its job was given up."""
+    def record_dropped_result(
+        self, run: runs.Run, result: workers.RunResult
+    ) -> None:
+        """Record the result of a run whose task was dropped before it ended."""
         _LOG.info(
-            'End of a dropped task.',
+            'Run of a dropped task ended.',
             extra={
                 'job': run.batch.job,
                 'task': run.task,
                 'run': run.number,
-                'how': how.value,
+                'how': result.value,
             },
         )
-        if how is workers.Ending.DONE:
-            self._note(run.task, run.number, jobs.TaskResult.DONE)
+        if result is workers.RunResult.DONE:
+            self._record(run.task, run.number, jobs.TaskResult.DONE)
 
     # Batches.
 
-    def rejoin(
-        self, known: runs.Batch, source: link.Link, tasks: dict[int, int]
+    def reattach(
+        self, batch: runs.Batch, source: link.Link, tasks: dict[int, int]
     ) -> None:
-        """Give a batch that exists to the coordinator that asks now.
+        """Assign an existing batch to the coordinator that submits it now.
 
-        ``tasks`` gives the number of the next run of each task.
+        ``tasks`` maps task indices to the numbers of their next runs.
         """
-        if known.link is not None and known.link is not source:
-            for index, task in known.tasks.items():
-                self.send_end(
-                    known, index, task.number, jobs.TaskResult.REPLACED
+        if batch.link is not None and batch.link is not source:
+            for index, task in batch.tasks.items():
+                self.send_result(
+                    batch, index, task.number, jobs.TaskResult.REPLACED
                 )
-        known.link = source
+        batch.link = source
         for index, number in tasks.items():
-            if index in known.tasks:
+            if index in batch.tasks:
                 continue
-            last = self._recall.find(known.task_name(index))
-            if last is None or number > last.number:
-                known.tasks[index] = runs.Task(number=number)
+            recent_result = self._recent_results.find(batch.task_name(index))
+            if recent_result is None or number > recent_result.run:
+                batch.tasks[index] = runs.Task(number=number)
             else:
-                self.send_end(known, index, last.number, last.how)
+                self.send_result(
+                    batch, index, recent_result.run, recent_result.result
+                )
 
-    def answer_done(
+    def report_done(
         self, batch: runs.Batch, tasks: dict[int, int]
     ) -> dict[int, int]:
-        """Answer for tasks that have ended well; return the others."""
-        left: dict[int, int] = {}
+        """Send the results of tasks already done; return the other tasks."""
+        remaining: dict[int, int] = {}
         for index, number in tasks.items():
-            last = self._recall.find(batch.task_name(index))
-            if last is not None and last.how is jobs.TaskResult.DONE:
-                self.send_end(batch, index, last.number, last.how)
+            recent_result = self._recent_results.find(batch.task_name(index))
+            if (
+                recent_result is not None
+                and recent_result.result is jobs.TaskResult.DONE
+            ):
+                self.send_result(
+                    batch, index, recent_result.run, recent_result.result
+                )
             else:
-                left[index] = number
-        if len(left) < len(tasks):
+                remaining[index] = number
+        if len(remaining) < len(tasks):
             _LOG.info(
-                'Done tasks are not repeated.',
+                'Tasks already done are not repeated.',
                 extra={
                     'job': batch.job,
                     'step': batch.step,
-                    'done': sorted(set(tasks).difference(left)),
-                    'left': sorted(left),
+                    'done': sorted(set(tasks).difference(remaining)),
+                    'left': sorted(remaining),
                 },
             )
-            self._metrics.count('tasks_recalled_total', len(tasks) - len(left))
-        return left
+            self._metrics.count(
+                'tasks_recalled_total', len(tasks) - len(remaining)
+            )
+        return remaining
 
     def decline(
         self,
@@ -158,10 +171,10 @@
         cause: str,
         other: str = '',
     ) -> None:
-        """Tell the coordinator that tasks will not start here."""
+        """Notify the coordinator that tasks will not start in this shard."""
         for index in indices:
             batch.tasks.pop(index)
-        self._forget_if_empty(batch)
+        self._remove_if_empty(batch)
         _LOG.info(
             'Tasks declined.',
             extra={
@@ -181,9 +194,9 @@
                     job=batch.job,
                     step=batch.step,
                     indices=tuple(indices),
-                    other=other,
+                    suggested_shard=other,
                     cause=cause,
-                    retry_s=NO_ROOM_RETRY_S,
+                    retry_after_s=NO_CAPACITY_RETRY_S,
                     stored=batch.stored,
                 )
             )
@@ -191,7 +204,7 @@
     def drop(
         self, batch: runs.Batch, cause: str, stop: Callable[[runs.Run], None]
     ) -> None:
-        """Forget a batch and ``stop`` what runs of it."""
+        """Remove a batch and call ``stop`` for each of its runs."""
         _LOG.info(
             'Batch dropped.',
             extra={
@@ -204,34 +217,40 @@
         )
         tasks = list(batch.tasks.values())
         batch.tasks.clear()
-        self._forget_if_empty(batch)
+        self._remove_if_empty(batch)
         for task in tasks:
             if task.run is not None:
                 stop(task.run)
 
-    def send_end(
-        self, batch: runs.Batch, index: int, number: int, how: jobs.TaskResult
+    def send_result(
+        self,
+        batch: runs.Batch,
+        index: int,
+        number: int,
+        result: jobs.TaskResult,
     ) -> None:
-        """Tell a coordinator how a task ended, and remember it."""
-        self._note(batch.task_name(index), number, how)
+        """Send a task's result to its coordinator, and record it."""
+        self._record(batch.task_name(index), number, result)
         if batch.link is not None:
             batch.link.send(
-                messages.Ended(
+                messages.RunEnded(
                     shard=self._shard,
                     job=batch.job,
                     step=batch.step,
                     index=index,
                     run=number,
-                    how=how.value,
+                    result=result.value,
                     stored=batch.stored,
                 )
             )
 
-    def _note(
-        self, task: workers.TaskName, number: int, how: jobs.TaskResult
+    def _record(
+        self, task: workers.TaskName, number: int, result: jobs.TaskResult
     ) -> None:
-        self._recall.note(task, number=number, how=how, now=self._clock.now())
+        self._recent_results.add(
+            task, run=number, result=result, now=self._clock.now()
+        )
 
-    def _forget_if_empty(self, batch: runs.Batch) -> None:
+    def _remove_if_empty(self, batch: runs.Batch) -> None:
         if not batch.tasks and self._batches.get(batch.key) is batch:
             self._batches.pop(batch.key)
--- /dev/null
+++ b/sardineproxy/process/shards/fencing.py
@@ -0,0 +1,31 @@
+"""Fencing of orders to workers.
+
+A worker refuses an order whose fence is lower than the highest one that it
+has seen. A fence combines the epoch of the claim, the rank of the leader
+among the claim's successors (0 for the claim's own leader), and a counter
+that the leader keeps per worker.
+"""
+
+import dataclasses
+
+_RANK_BITS = 4
+_COUNT_BITS = 18
+
+#: Largest number of successors of a claim.
+MAX_SUCCESSORS = 2**_RANK_BITS - 1
+
+
+@dataclasses.dataclass(frozen=True, kw_only=True, slots=True, order=True)
+class FencingToken:
+    """A leader's authority over the workers of a shard.
+
+    Tokens are ordered; a higher one supersedes a lower one.
+    """
+
+    epoch: int
+    rank: int
+
+    def fence(self, count: int) -> int:
+        """Return the fence for a count, which must only increase."""
+        high = (self.epoch << _RANK_BITS) | self.rank
+        return (high << _COUNT_BITS) | count
--- a/sardineproxy/process/shards/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -1,129 +1,133 @@
-"""What a worker's reports tell about its soundness and its speed."""
+"""Health and speed of a worker, estimated from the results of its runs."""
 
 import math
 
 from sardineproxy.process.shards import runs, workers
 
-#: Failures of this many jobs in a row, with no success between, count as the
-#: worker's own fault. One in 500 tasks fails by its own fault.
-SUSPECT_JOBS = 2
+#: Failures of this many jobs in a row, without a success in between, are
+#: attributed to the worker. One in 500 tasks fails through its own fault.
+SUSPECT_FAILED_JOBS = 2
 
-#: Shortest and longest time without orders after failures, in seconds.
-CLOSED_MIN_S = 0.5
-CLOSED_MAX_S = 4.0
+#: Shortest and longest ejection of a worker after failures, in seconds.
+EJECTION_MIN_S = 0.5
+EJECTION_MAX_S = 4.0
 
-#: Weight of one duration in the learned speed. Clients' estimates are off by
-#: a factor of 1.5 (standard deviation), so that one duration says little.
+#: Weight of one run time in the speed estimate. Clients' estimates are off by
+#: a factor of 1.5 (standard deviation), so that one run time says little.
 SPEED_WEIGHT = 0.05
 
-#: Durations that count as much as the prior speed of 1.
+#: Number of run times that weigh as much as the prior speed of 1.
 PRIOR_WEIGHT = 4
 
-#: A run that takes this much longer than expected shows a slow worker by
-#: itself: three standard deviations of the estimates' error.
+#: A run that takes this many times as long as expected is sufficient evidence
+#: of a slow worker: three standard deviations of the estimates' error.
 SLOW_FACTOR = 3.5
 
-#: Weight of such a run in the learned speed.
+#: Weight of such a run in the speed estimate.
 SLOW_WEIGHT = 0.5
 
-#: Progress from which a run's duration can be projected, in percent, and the
-#: shortest time that it must have run, in seconds.
-PROJECTED_FROM = 2
-PROJECTED_AFTER_S = 0.1
+#: Progress from which a run's total time can be projected, in percent, and
+#: the shortest elapsed time, in seconds.
+PROJECTION_MIN_PERCENT = 2
+PROJECTION_MIN_RUN_S = 0.1
 
 
 class Health:
-    """Failures and speed of one worker."""
+    """Failures and estimated speed of one worker."""
 
     def __init__(self) -> None:
-        """Start as sound and of average speed."""
+        """Create the state of a healthy worker of average speed."""
         self.reset()
 
     def reset(self) -> None:
-        """Forget everything: the worker started anew."""
+        """Discard all observations after a restart of the worker."""
         self._failed_jobs: set[str] = set()
-        self._closures = 0
-        self._closed_until: float = 0
+        self._ejections = 0
+        self._ejected_until: float = 0
         self._log_speed: float = 0
-        self._seen = 0
+        self._sample_count = 0
 
-        #: True after a closure until a run has ended well: the worker is
-        #: given one run at a time.
+        #: True after an ejection until a run has succeeded. The worker gets
+        #: one run at a time then.
         self.on_probation = False
 
-        #: How many seconds of estimated work end in a second.
+        #: Seconds of estimated work that complete in one second.
         self.speed = 1.0
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether the worker itself seems to fail what it runs."""
-        return len(self._failed_jobs) >= SUSPECT_JOBS
-
-    def is_open(self, now: float) -> bool:
-        """Tell whether the worker may be given work."""
-        return now >= self._closed_until
-
-    def refused(self, now: float) -> None:
-        """Note that the worker refused an order."""
-        self._close(now)
-
-    def stood_still(self, now: float) -> None:
-        """Note that a run made no progress."""
-        self._close(now)
-
-    def ended(self, run: runs.Run, how: workers.Ending, now: float) -> None:
-        """Note the end of a run."""
-        if how is workers.Ending.DONE:
+        """Return whether recent failures are attributed to the worker."""
+        return len(self._failed_jobs) >= SUSPECT_FAILED_JOBS
+
+    def is_available(self, now: float) -> bool:
+        """Return whether the worker is not ejected."""
+        return now >= self._ejected_until
+
+    def record_refusal(self, now: float) -> None:
+        """Record that the worker refused an order."""
+        self._eject(now)
+
+    def record_stall(self, now: float) -> None:
+        """Record that a run made no progress."""
+        self._eject(now)
+
+    def record_result(
+        self, run: runs.Run, result: workers.RunResult, now: float
+    ) -> None:
+        """Record the result of a run."""
+        if result is workers.RunResult.DONE:
             self._failed_jobs.clear()
-            self._closures = 0
+            self._ejections = 0
             self.on_probation = False
-            self._learn(run, now)
-        elif how is workers.Ending.FAILED:
+            self._learn_speed(run, now)
+        elif result is workers.RunResult.FAILED:
             self._failed_jobs.add(run.batch.job)
             if self.is_suspect:
-                self._close(now)
+                self._eject(now)
 
-    def progressed(self, run: runs.Run, now: float) -> None:
-        """Notice a slow worker before the run has ended."""
+    def record_progress(self, run: runs.Run, now: float) -> None:
+        """Detect a slow worker from the progress of an active run."""
         ran_s = now - run.started_at
-        if run.slow or not run.work_s or ran_s < PROJECTED_AFTER_S:
+        if run.is_slow or not run.expected_s or ran_s < PROJECTION_MIN_RUN_S:
             return
-        projected_s = ran_s * 100 / max(run.percent, PROJECTED_FROM)
-        if projected_s > SLOW_FACTOR * run.work_s / self.speed:
-            run.slow = True
-            self._move(math.log(run.work_s / projected_s), SLOW_WEIGHT)
+        projected_s = ran_s * 100 / max(run.percent, PROJECTION_MIN_PERCENT)
+        if projected_s > SLOW_FACTOR * run.expected_s / self.speed:
+            run.is_slow = True
+            self._update_speed(
+                math.log(run.expected_s / projected_s), SLOW_WEIGHT
+            )
 
     def state(self, now: float) -> dict[str, object]:
-        """Return what is believed, for the state dump."""
+        """Return the estimates for the state dump."""
         return {
             'speed': round(self.speed, 3),
-            'seen': self._seen,
+            'seen': self._sample_count,
             'failed_jobs': len(self._failed_jobs),
-            'closed_s': round(max(0, self._closed_until - now), 3),
+            'closed_s': round(max(0, self._ejected_until - now), 3),
             'on_probation': self.on_probation,
         }
 
-    def _close(self, now: float) -> None:
-        if not self.is_open(now):
+    def _eject(self, now: float) -> None:
+        if not self.is_available(now):
             return
-        self._closures += 1
+        self._ejections += 1
         self.on_probation = True
-        self._closed_until = now + min(
-            CLOSED_MIN_S * 2 ** min(self._closures - 1, 8), CLOSED_MAX_S
+        self._ejected_until = now + min(
+            EJECTION_MIN_S * 2 ** min(self._ejections - 1, 8), EJECTION_MAX_S
         )
 
-    def _learn(self, run: runs.Run, now: float) -> None:
-        took_s = now - run.started_at
-        if not run.started_at or took_s <= 0 or not run.work_s:
+    def _learn_speed(self, run: runs.Run, now: float) -> None:
+        duration_s = now - run.started_at
+        if not run.started_at or duration_s <= 0 or not run.expected_s:
             return
-        ratio = math.log(run.work_s / took_s)
-        if run.slow:
+        log_ratio = math.log(run.expected_s / duration_s)
+        if run.is_slow:
             return
-        self._seen += 1
-        is_fast = ratio - self._log_speed > math.log(SLOW_FACTOR)
-        weight = max(SPEED_WEIGHT, 1 / (self._seen + PRIOR_WEIGHT))
-        self._move(ratio, SLOW_WEIGHT if is_fast else weight)
+        self._sample_count += 1
+        is_fast = log_ratio - self._log_speed > math.log(SLOW_FACTOR)
+        weight = max(SPEED_WEIGHT, 1 / (self._sample_count + PRIOR_WEIGHT))
+        self._update_speed(log_ratio, SLOW_WEIGHT if is_fast else weight)
 
-    def _move(self, ratio: float, weight: float) -> None:
-        self._log_speed += weight * (ratio - self._log_speed)
+    def _update_speed(self, log_ratio: float, weight: float) -> None:
+        self._log_speed += weight * (log_ratio - self._log_speed)
         self.speed = math.exp(self._log_speed)
--- a/sardineproxy/process/shards/lease.py
+++ b/sardineproxy/process/shards/lease.py
@@ -1,4 +1,4 @@
-"""The lease of what runs on a worker, on the worker's clock and on ours."""
+"""Lease of a worker's runs, on the worker's clock and on the local one."""
 
 from sardineproxy.process.shards import times
 
@@ -6,39 +6,39 @@
 
 
 class Lease:
-    """Newest reading of a worker's clock, and the end of its lease."""
+    """Newest reading of a worker's clock, and the end of the lease."""
 
     def __init__(self, *, cfg: times.CallTiming) -> None:
-        """Start without a reading."""
+        """Create a lease without a clock reading."""
         self._cfg = cfg
         self._clock_ms = 0
         self._read_at: float = 0
         self._until: float = 0
 
     @property
-    def is_known(self) -> bool:
-        """Tell whether the worker's clock was read in its present life."""
+    def has_clock(self) -> bool:
+        """Return whether the clock was read since the worker's last restart."""
         return self._clock_ms > 0
 
     @property
     def clock_ms(self) -> int:
-        """Return the newest reading."""
+        """Return the newest clock reading, in milliseconds."""
         return self._clock_ms
 
-    def read(self, clock_ms: int, now: float) -> None:
-        """Note a reading of the worker's clock."""
+    def set_clock(self, clock_ms: int, now: float) -> None:
+        """Record a reading of the worker's clock."""
         self._clock_ms = clock_ms
         self._read_at = now
 
-    def forget_clock(self) -> None:
-        """Forget the reading: the worker started anew."""
+    def reset_clock(self) -> None:
+        """Discard the clock reading after a restart of the worker."""
         self._clock_ms = 0
 
     def extend(self, now: float) -> int:
-        """Return the end of a lease from now on, on the worker's clock.
+        """Extend the lease; return its end on the worker's clock, in ms.
 
-        The worker's clock is taken for as slow as it may be: an order that is
-        carried out late must find its lease expired.
+        The calculation assumes the slowest permitted worker clock, so that an
+        order that is executed late finds its lease expired.
         """
         self._until = (
             now
@@ -49,5 +49,5 @@
         return self._clock_ms + int((since_s + self._cfg.lease_s) * _MS_PER_S)
 
     def has_expired(self, now: float) -> bool:
-        """Tell whether nothing that was ordered can run any more."""
+        """Return whether the lease has expired on the worker for certain."""
         return now >= self._until
--- a/sardineproxy/process/shards/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -1,4 +1,4 @@
-"""What may run on one worker, and the room that it takes."""
+"""Runs that may exist on one worker, and its remaining capacity."""
 
 from typing import Mapping
 
@@ -7,60 +7,64 @@
 
 
 class Ledger:
-    """Runs that this process ordered, and those that others did."""
+    """Runs on one worker, started by this process or by another one."""
 
     def __init__(self, *, capacity: jobs.Resources) -> None:
-        """Start without runs."""
+        """Create a ledger without runs."""
         self.runs: dict[workers.TaskName, runs.Run] = {}
 
-        #: Runs that were ordered by another process, by task.
-        self.unknown: dict[workers.TaskName, workers.Running] = {}
+        #: Runs that were started by another process, by task.
+        self.unrequested: dict[workers.TaskName, workers.ActiveRun] = {}
 
-        #: Room that nothing takes.
+        #: Capacity that no run of this process occupies.
         self.free = capacity
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing may run."""
-        return not self.runs and not self.unknown
+        """Return whether no run can exist."""
+        return not self.runs and not self.unrequested
 
     @property
-    def has_stored(self) -> bool:
-        """Tell whether a run of a stored job may exist."""
+    def has_stored_runs(self) -> bool:
+        """Return whether a run of a stored job may exist."""
         return any(run.batch.stored for run in self.runs.values())
 
-    def hold(self, run: runs.Run) -> None:
-        """Take room for a run."""
+    def add(self, run: runs.Run) -> None:
+        """Add a run and reserve its capacity."""
         self.runs[run.task] = run
         self.free = self.free.minus(run.batch.resources)
 
-    def release(self, run: runs.Run) -> None:
-        """Free the room of a run that does not exist any more."""
+    def remove(self, run: runs.Run) -> None:
+        """Remove a run that no longer exists and free its capacity."""
         self.runs.pop(run.task)
         self.free = self.free.plus(run.batch.resources)
 
     def resize(self, before: jobs.Resources, after: jobs.Resources) -> None:
-        """Use a changed capacity."""
+        """Apply a change of the worker's total capacity."""
         self.free = after.minus(before.minus(self.free))
 
     def find(self, task: workers.TaskName, number: int) -> runs.Run | None:
-        """Return a run that this process ordered, by task and number."""
+        """Return a run that this process started, by task and number."""
         run = self.runs.get(task)
         return run if run is not None and run.number == number else None
 
-    def count_of(self, batch: runs.Batch) -> int:
-        """Return how many tasks of a batch may run here."""
+    def count_tasks(self, batch: runs.Batch) -> int:
+        """Return how many tasks of a batch may run on the worker."""
         prefix = batch.task_prefix
-        mine = sum(run.batch.key == batch.key for run in self.runs.values())
-        return mine + sum(task.startswith(prefix) for task in self.unknown)
+        started_count = sum(
+            run.batch.key == batch.key for run in self.runs.values()
+        )
+        return started_count + sum(
+            task.startswith(prefix) for task in self.unrequested
+        )
 
-    def list_unknown(
-        self, listed: Mapping[workers.TaskName, workers.Running]
-    ) -> list[workers.Running]:
-        """Note which listed runs this process did not order."""
-        self.unknown = {
-            task: row
-            for task, row in listed.items()
-            if self.find(task, row.run) is None
+    def update_unrequested(
+        self, listed: Mapping[workers.TaskName, workers.ActiveRun]
+    ) -> list[workers.ActiveRun]:
+        """Update and return the listed runs of other processes."""
+        self.unrequested = {
+            task: active_run
+            for task, active_run in listed.items()
+            if self.find(task, active_run.run) is None
         }
-        return list(self.unknown.values())
+        return list(self.unrequested.values())
--- /dev/null
+++ b/sardineproxy/process/shards/poller.py
@@ -0,0 +1,323 @@
+"""Polls one worker as long as runs may exist on it.
+
+A poll returns the results of runs, extends the lease of those that are still
+active, and confirms the worker's state after an unanswered call.
+"""
+
+import asyncio
+from typing import Protocol
+
+from sardineproxy import clock, logs
+from sardineproxy.process import metrics
+from sardineproxy.process.shards import (
+    health,
+    lease,
+    ledger,
+    reconciler,
+    runs,
+    times,
+    workers,
+)
+
+_LOG = logs.get_logger('worker')
+
+_State = runs.RunState
+
+
+class PolledAgent(Protocol):
+    """The agent of the polled worker."""
+
+    @property
+    def worker(self) -> workers.Worker:
+        """Return the worker's entry in the platform's list."""
+
+    @property
+    def fence(self) -> int:
+        """Return the current fence of calls to the worker."""
+
+    @property
+    def extends_lease(self) -> bool:
+        """Return whether the lease of the worker's runs may be extended."""
+
+    def mark_unconfirmed(self, cause: str) -> None:
+        """Start no runs until a report for a higher fence has arrived."""
+
+    def handle_fenced(self) -> None:
+        """Handle that the worker has seen the fence of a newer leader."""
+
+    def handle_report(
+        self, unrequested: list[workers.ActiveRun], *, is_newly_confirmed: bool
+    ) -> None:
+        """Handle an applied report.
+
+        ``unrequested`` are runs that this process did not start.
+        ``is_newly_confirmed`` is true if the worker's state became known.
+        """
+
+    def handle_lease_expired(self, run: runs.Run) -> None:
+        """Handle that a run's lease expired on an unresponsive worker."""
+
+
+class Poller:
+    """Polls one worker and detects when it is unresponsive or restarted."""
+
+    def __init__(
+        self,
+        *,
+        agent: PolledAgent,
+        api: workers.WorkerApi,
+        ledger: ledger.Ledger,
+        lease: lease.Lease,
+        health: health.Health,
+        reconciler: reconciler.Reconciler,
+        clock: clock.Clock,
+        metrics: metrics.Metrics,
+        cfg: times.CallTiming,
+    ) -> None:
+        """Create a poller; ``run`` makes the calls."""
+        self._agent = agent
+        self._api = api
+        self._ledger = ledger
+        self._lease = lease
+        self._health = health
+        self._reconciler = reconciler
+        self._clock = clock
+        self._metrics = metrics
+        self._cfg = cfg
+
+        #: True until a report for the current fence has arrived.
+        self.is_unconfirmed = True
+
+        #: Start of the worker process according to its newest report, in Unix
+        #: milliseconds; 0 before the first report.
+        self.started_ms = 0
+
+        #: Local time of the first unanswered call, in seconds; None if the
+        #: last call was answered.
+        self.unresponsive_since: float | None = None
+        self._failed_polls = 0
+        self._ack_sent = 0
+        self._wake = asyncio.Event()
+        self._released = asyncio.Event()
+        self._poll: asyncio.Task[object] | None = None
+
+    def wake(self) -> None:
+        """Check at once whether a poll is needed."""
+        self._wake.set()
+
+    def acknowledge(self) -> None:
+        """Send the acknowledgement of released results soon."""
+        self._released.set()
+        self._wake.set()
+
+    def restart(self) -> None:
+        """Cancel the current poll and send a new one at once."""
+        self.is_unconfirmed = True
+        self._released.set()
+        if self._poll is not None:
+            self._poll.cancel()
+        self._wake.set()
+
+    def mark_unresponsive(self, cause: str, now: float) -> None:
+        """Record that the worker did not answer a call."""
+        if self.unresponsive_since is not None:
+            return
+        self.unresponsive_since = now
+        if not self.is_unconfirmed:
+            self._agent.mark_unconfirmed(cause)
+        _LOG.warning(
+            'Worker stopped answering.',
+            extra={'worker': self._agent.worker.worker, 'cause': cause},
+        )
+
+    async def run(self) -> None:
+        """Poll the worker until cancelled."""
+        while True:
+            await self._wait_until_needed()
+            now = self._clock.now()
+            poll = self._build_poll(now)
+            self._metrics.count('worker_looks_total')
+            self._poll = asyncio.create_task(
+                self._api.poll(
+                    self._agent.worker,
+                    poll,
+                    timeout_s=poll.wait_s + self._cfg.look_timeout_s,
+                )
+            )
+            try:
+                answer = await self._poll
+            except asyncio.CancelledError:
+                if asyncio.current_task().cancelling():  # type: ignore[union-attr]
+                    raise
+                continue
+            finally:
+                self._poll = None
+            await self._handle_answer(poll, answer, now)
+
+    async def _wait_until_needed(self) -> None:
+        if self._is_poll_needed():
+            await self._pause_while_unacked()
+        while not self._is_poll_needed():
+            self._wake.clear()
+            has_new_acks = (
+                self._reconciler.unacked.acked_through > self._ack_sent
+            )
+            pause_s = (
+                self._cfg.ack_pause_s
+                if has_new_acks
+                else self._cfg.idle_pause_s
+            )
+            try:
+                async with asyncio.timeout(pause_s):
+                    await self._wake.wait()
+            except TimeoutError:
+                return
+
+    async def _pause_while_unacked(self) -> None:
+        """Pause before a poll that the worker would answer at once.
+
+        The worker does not wait for a new result while it lists an
+        unacknowledged one.
+        """
+        self._released.clear()
+        if self._reconciler.unacked.is_empty or self.is_unconfirmed:
+            return
+        try:
+            async with asyncio.timeout(self._cfg.held_pause_s):
+                await self._released.wait()
+        except TimeoutError:
+            return
+
+    def _is_poll_needed(self) -> bool:
+        if self.is_unconfirmed or self.unresponsive_since is not None:
+            return True
+        return not self._ledger.is_empty
+
+    def _build_poll(self, now: float) -> workers.Poll:
+        has_needed_runs = any(
+            run.state is not _State.STOPPING
+            for run in self._ledger.runs.values()
+        )
+        expires_ms = None
+        # The leases on an unresponsive worker are not extended, so that its
+        # runs end at a known time even if it never answers again.
+        is_responsive = self.unresponsive_since is None
+        may_extend = is_responsive and self._agent.extends_lease
+        if may_extend and self._lease.has_clock:
+            if has_needed_runs or self._ledger.unrequested:
+                expires_ms = self._lease.extend(now)
+        at_once = self.is_unconfirmed or self._ledger.is_empty
+        return workers.Poll(
+            fence=self._agent.fence,
+            acked=self._reconciler.unacked.acked_through,
+            expires_ms=expires_ms,
+            wait_s=0 if at_once else self._cfg.look_wait_s,
+        )
+
+    async def _handle_answer(
+        self,
+        poll: workers.Poll,
+        answer: workers.Report | workers.Refused | workers.Unanswered,
+        sent_at: float,
+    ) -> None:
+        now = self._clock.now()
+        match answer:
+            case workers.Report():
+                self._mark_responsive(now)
+                self._ack_sent = max(self._ack_sent, poll.acked)
+                self._apply_report(poll, answer, sent_at, now)
+            case workers.Refused(reason=workers.Refusal.FENCED):
+                if poll.fence >= self._agent.fence:
+                    self._agent.handle_fenced()
+                    await asyncio.sleep(self._cfg.silent_pause_s)
+            case workers.Refused():
+                self.mark_unresponsive(
+                    f'{answer.reason.value} {answer.detail}', now
+                )
+                await self._pause()
+            case workers.Unanswered():
+                if self.is_unconfirmed:
+                    self.mark_unresponsive(answer.cause, now)
+                    await self._pause()
+                else:
+                    self._agent.mark_unconfirmed(
+                        f'poll not answered: {answer.cause}'
+                    )
+
+    async def _pause(self) -> None:
+        self._failed_polls += 1
+        self._drop_expired(self._clock.now())
+        await asyncio.sleep(
+            min(
+                self._cfg.silent_pause_s * self._failed_polls,
+                self._cfg.silent_pause_max_s,
+            )
+        )
+
+    def _drop_expired(self, now: float) -> None:
+        """Report the runs as lost once the worker's lease has expired."""
+        if not self._lease.has_expired(now):
+            return
+        self._ledger.unrequested.clear()
+        for run in list(self._ledger.runs.values()):
+            self._ledger.remove(run)
+            self._agent.handle_lease_expired(run)
+
+    def _mark_responsive(self, now: float) -> None:
+        self._failed_polls = 0
+        if self.unresponsive_since is None:
+            return
+        _LOG.info(
+            'Worker answers again.',
+            extra={
+                'worker': self._agent.worker.worker,
+                'silent_s': round(now - self.unresponsive_since, 3),
+            },
+        )
+        self.unresponsive_since = None
+
+    def _apply_report(
+        self,
+        poll: workers.Poll,
+        report: workers.Report,
+        sent_at: float,
+        now: float,
+    ) -> None:
+        if report.started_ms != self.started_ms:
+            self._handle_restart(report)
+            if poll.acked:
+                return
+        if report.clock_ms < self._lease.clock_ms:
+            # A newer report has already arrived.
+            return
+        self._lease.set_clock(report.clock_ms, now)
+        was_unconfirmed = self.is_unconfirmed
+        if poll.fence == self._agent.fence:
+            self.is_unconfirmed = False
+        unrequested = self._reconciler.apply(
+            poll, report, sent_at=sent_at, now=now
+        )
+        self._agent.handle_report(
+            unrequested,
+            is_newly_confirmed=was_unconfirmed and not self.is_unconfirmed,
+        )
+
+    def _handle_restart(self, report: workers.Report) -> None:
+        """Discard the state of the worker's previous process."""
+        if self.started_ms:
+            _LOG.warning(
+                'Worker restarted.',
+                extra={
+                    'worker': self._agent.worker.worker,
+                    'born_ms': report.started_ms,
+                    'runs': len(self._ledger.runs),
+                },
+            )
+            # Orders to the previous process may still be executed.
+            self._agent.mark_unconfirmed('worker restarted')
+        self.started_ms = report.started_ms
+        self._reconciler.unacked.reset()
+        self._ack_sent = 0
+        self._lease.reset_clock()
+        self._ledger.unrequested.clear()
+        self._health.reset()
--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -1,4 +1,4 @@
-"""Tasks that a cell holds for its coordinators, and runs of them."""
+"""Batches, tasks and runs of a shard."""
 
 import dataclasses
 import enum
@@ -10,23 +10,23 @@
 
 
 class RunState(enum.Enum):
-    """What is known of a run at its worker."""
+    """State of a run at its worker."""
 
-    #: The order is on its way.
+    #: The start order was created; its answer is pending.
     ORDERED = 'ordered'
 
-    #: The order got no answer; the run may exist, now or later.
-    DOUBTFUL = 'doubtful'
+    #: The start order was not answered; the run may exist, now or later.
+    UNCONFIRMED = 'doubtful'
 
     RUNNING = 'running'
 
-    #: A stop is on its way; the run still takes its room.
+    #: A stop was requested; the run still occupies its capacity.
     STOPPING = 'stopping'
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Run:
-    """One run of a task, ordered from a worker."""
+    """One run of a task on a worker."""
 
     task: workers.TaskName
     number: int
@@ -34,41 +34,42 @@
     index: int
     worker: ids.WorkerId
 
-    #: Expected run time on this worker if it had speed 1, in seconds.
-    work_s: float
+    #: Expected run time on this worker at speed 1, in seconds.
+    expected_s: float
     state: RunState = RunState.ORDERED
 
-    #: Local time of the order, in seconds.
+    #: Local time of the start order, in seconds.
     ordered_at: float
 
-    #: Fence and end of the lease of the order.
+    #: Fence of the start order, and end of its lease on the worker's clock.
     fence: int = 0
     expires_ms: int = 0
 
-    #: True once the order was handed to the connection.
-    sent: bool = False
+    #: True once the start order was passed to the connection.
+    is_sent: bool = False
 
-    #: Local time when it was first known to run, in seconds, 0 if not known.
+    #: Local time at which the start was confirmed, in seconds, 0 before.
     started_at: float = 0
 
-    #: True if it is to be stopped once it is known to run.
-    withdrawn: bool = False
+    #: True if the run must be stopped once its start is confirmed.
+    stop_when_running: bool = False
 
     #: Newest progress that the worker reported, in percent, and the local
-    #: time when it last changed, in seconds.
+    #: time of its last increase, in seconds.
     percent: float = 0
     progress_at: float = 0
 
-    #: True if it has shown that its worker is slow.
-    slow: bool = False
+    #: True if the run's progress has shown that its worker is slow.
+    is_slow: bool = False
 
-    #: Local times of the newest stop and of its acceptance, 0 for none.
-    stop_at: float = 0
-    stopped_at: float = 0
+    #: Local times of the newest stop and of its acceptance, in seconds, 0 for
+    #: none.
+    stop_sent_at: float = 0
+    stop_accepted_at: float = 0
 
-    def note_running(self, now: float) -> None:
-        """Note that its worker has started it."""
-        if self.state in {RunState.ORDERED, RunState.DOUBTFUL}:
+    def mark_running(self, now: float) -> None:
+        """Record that the worker has started the run."""
+        if self.state in {RunState.ORDERED, RunState.UNCONFIRMED}:
             self.state = RunState.RUNNING
         if not self.started_at:
             self.started_at = now
@@ -80,73 +81,74 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Task:
-    """A task of a batch that has not ended."""
+    """An unfinished task of a batch."""
 
-    #: Number of its next run.
+    #: Number of the task's next run.
     number: int
     run: Run | None = None
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Batch:
-    """Tasks of one step of a job."""
+    """Unfinished tasks of one step of a job."""
 
     job: ids.JobId
     step: int
     route: ids.RouteId
 
-    #: Priority of its route; lower numbers go first.
+    #: Priority of the route; lower numbers go first.
     priority: int
     service: ids.ServiceId
     payload: str
     resources: jobs.Resources
     requires: str
 
-    #: Rack that has the tasks' data, empty for none.
+    #: Rack that holds the tasks' data, empty for none.
     rack: str
 
     #: Most tasks of the step on one worker, 0 for any number.
     per_worker: int
 
-    #: Where to tell how tasks end, None while the coordinator's link is lost.
+    #: Link to the coordinator that receives the results, None while it is
+    #: lost.
     link: link.Link | None
 
-    #: Local time when the link was lost.
+    #: Local time at which the link was lost, in seconds.
     orphaned_at: float = 0
 
     #: Expected run time on a worker of speed 1, in seconds.
-    work_s: float
+    expected_s: float
 
-    #: Local times, in seconds: arrival of the job at its coordinator, end of
-    #: the time in which it is on time, end of the time in which it is worth
-    #: anything, end of the client's wait.
+    #: Local times, in seconds: arrival of the job at its coordinator, latest
+    #: completion that is in time, latest completion that has any value, end
+    #: of the client's wait.
     arrived_at: float
     due_at: float
-    late_at: float
+    worthless_at: float
     deadline: float
 
-    #: True if the tasks may not be sent on to another cell.
-    firm: bool
+    #: True if the tasks must not be moved to another shard.
+    pinned: bool
 
-    #: True if the job is stored: its tasks run however late they are.
+    #: True if the job is stored. Its tasks run even after their deadline.
     stored: bool
 
-    #: True once a run of one of the tasks may have started.
+    #: True once a run of any task may have started.
     started: bool = False
 
-    #: True once the coordinator of a stored job knows that it has begun.
-    told_begun: bool = False
+    #: True once a stored job's manager was notified that the job has begun.
+    begun_reported: bool = False
 
     tasks: dict[int, Task] = dataclasses.field(default_factory=dict)
 
     @property
     def key(self) -> BatchKey:
-        """Return the job and the step."""
+        """Return the key of the batch."""
         return self.job, self.step
 
     @property
     def task_prefix(self) -> str:
-        """Return the beginning of the names of all its tasks."""
+        """Return the common prefix of the batch's task names."""
         return task_name(self.job, self.step, 0)[:-1]
 
     def task_name(self, index: int) -> workers.TaskName:
@@ -154,12 +156,12 @@
         return task_name(self.job, self.step, index)
 
     def waiting(self) -> list[int]:
-        """Return the tasks without a run."""
+        """Return the indices of the tasks without a run."""
         return [index for index, task in self.tasks.items() if not task.run]
 
 
 def task_name(job: ids.JobId, step: int, index: int) -> workers.TaskName:
-    """Return the name of a task of a job without occurrences."""
+    """Return the name of a task of a job that does not recur."""
     return workers.TaskName(f'{job}.0.{step}.{index}')
 
 
@@ -175,37 +177,37 @@
 
 
 def make_batch(
-    asked: messages.Submit, *, link: link.Link, late_factor: float, now: float
+    message: messages.Submit, *, link: link.Link, late_factor: float, now: float
 ) -> Batch:
-    """Return a batch without tasks for what a coordinator asks.
+    """Return a batch without tasks for a submission.
 
-    It is worth nothing after ``late_factor`` times the time in which it is on
-    time.
+    Its results have no value after ``late_factor`` times the time in which
+    they are in time.
     """
-    arrived_at = now - asked.age_s
-    bound_s = asked.estimate_s * asked.stretch + asked.slack_s
+    arrived_at = now - message.age_s
+    bound_s = message.estimate_s * message.stretch + message.slack_s
     return Batch(
-        job=asked.job,
-        step=asked.step,
-        route=asked.route,
-        priority=asked.priority,
-        service=asked.service,
-        payload=asked.payload,
+        job=message.job,
+        step=message.step,
+        route=message.route,
+        priority=message.priority,
+        service=message.service,
+        payload=message.payload,
         resources=jobs.Resources(
-            millicores=asked.millicores,
-            memory_mb=asked.memory_mb,
-            gpus=asked.gpus,
+            millicores=message.millicores,
+            memory_mb=message.memory_mb,
+            gpus=message.gpus,
         ),
-        requires=asked.requires,
-        rack=asked.rack,
-        per_worker=asked.per_worker,
+        requires=message.requires,
+        rack=message.rack,
+        per_worker=message.per_worker,
         link=link,
-        work_s=asked.estimate_s,
+        expected_s=message.estimate_s,
         arrived_at=arrived_at,
         due_at=arrived_at + bound_s,
-        late_at=arrived_at + bound_s * late_factor,
-        deadline=now + asked.left_s,
-        firm=asked.firm,
-        stored=asked.stored,
-        started=asked.resumed or asked.begun,
+        worthless_at=arrived_at + bound_s * late_factor,
+        deadline=now + message.timeout_s,
+        pinned=message.pinned,
+        stored=message.stored,
+        started=message.resumed or message.job_started,
     )
--- a/sardineproxy/process/shards/ordering.py
+++ b/sardineproxy/process/shards/scheduler.py
@@ -1,4 +1,4 @@
-"""Orders of a cell's waiting tasks: which goes first, where, and how long."""
+"""Scheduling of a shard's waiting tasks: order, placement and expiry."""
 
 from typing import Mapping, Protocol
 
@@ -8,79 +8,83 @@
 from sardineproxy.process.shards import (
     agent,
     backlog,
-    fences,
+    fencing,
     placement,
-    rooms,
+    shard_capacities,
     runs,
     times,
 )
 from sardineproxy.request import jobs
 
-#: Size of a task before any is known, in thousandths of a core, and weight of
-#: a new one in the average, which tells other cells how much room there is.
-TYPICAL_MILLICORES = 14_000.0
-TYPICAL_WEIGHT = 0.05
+#: Average task size before the first task, in thousandths of a core, and
+#: weight of a new task in the average. The free capacity that is reported to
+#: other shards is a number of average tasks.
+INITIAL_TASK_MILLICORES = 14_000.0
+TASK_SIZE_WEIGHT = 0.05
 
 _LOG = logs.get_logger('cell')
 
 
-class Listing(Protocol):
-    """Tells how old the list of workers is."""
+class WorkerListStatus(Protocol):
+    """Age and availability of the list of workers."""
 
-    def listed_at(self) -> float:
-        """Return the local time of the list of workers, in seconds."""
+    def workers_listed_at(self) -> float:
+        """Return the local time of the newest worker list, in seconds."""
 
-    def list_answers(self) -> bool:
-        """Tell whether the store answers about the list of workers."""
+    def is_list_available(self) -> bool:
+        """Return whether the worker list can be read from the store."""
 
 
-class Ordering:
-    """Orders runs of waiting tasks, and gives tasks up that wait too long."""
+class Scheduler:
+    """Starts waiting tasks, and declines those that wait too long."""
 
     def __init__(
         self,
         *,
         shard: ids.ShardId,
-        right: fences.Right,
+        token: fencing.FencingToken,
         agents: Mapping[ids.WorkerId, agent.Agent],
         backlog: backlog.Backlog,
-        others: rooms.Rooms,
-        listing: Listing,
+        capacities: shard_capacities.ShardCapacities,
+        list_status: WorkerListStatus,
         metrics: metrics.Metrics,
         cfg: times.ShardTiming,
     ) -> None:
-        """Order from ``agents``; ``others`` tells the room of other cells."""
+        """Create a scheduler for the workers of ``agents``.
+
+        ``capacities`` holds the free capacity of the other shards.
+        """
         self._shard = shard
         self._agents = agents
         self._backlog = backlog
-        self._others = others
-        self._listing = listing
+        self._capacities = capacities
+        self._list_status = list_status
         self._metrics = metrics
         self._cfg = cfg
-        self._typical_millicores = TYPICAL_MILLICORES
-        self._best_speed = 1.0
+        self._average_millicores = INITIAL_TASK_MILLICORES
+        self._fastest_speed = 1.0
 
-        #: Right of the owner, for the log.
-        self.right = right
+        #: Fencing token of the leader, for the log.
+        self.token = token
 
     def free_tasks(self, now: float) -> int:
-        """Return how many more average tasks could start now."""
+        """Return how many additional tasks of average size could start."""
         free = placement.count_free(
-            int(self._typical_millicores),
-            placement.usable(self._agents.values(), now),
+            int(self._average_millicores),
+            placement.usable_workers(self._agents.values(), now),
         )
         return max(0, free - self._backlog.count_waiting())
 
-    def note_size(self, millicores: int) -> None:
-        """Note the size of new tasks."""
-        self._typical_millicores += TYPICAL_WEIGHT * (
-            millicores - self._typical_millicores
+    def record_task_size(self, millicores: int) -> None:
+        """Include the size of a new task in the average."""
+        self._average_millicores += TASK_SIZE_WEIGHT * (
+            millicores - self._average_millicores
         )
 
     def dispatch(self, *, with_stored: bool, now: float) -> None:
-        """Order runs of waiting tasks as far as there is room.
+        """Start waiting tasks as far as free capacity allows.
 
-        Tasks of stored jobs wait unless ``with_stored``.
+        Tasks of stored jobs are started only if ``with_stored`` is true.
         """
         waiting = [
             batch
@@ -89,9 +93,9 @@
         ]
         if not waiting:
             return
-        candidates = placement.usable(self._agents.values(), now)
+        candidates = placement.usable_workers(self._agents.values(), now)
         if candidates:
-            self._best_speed = placement.best_speed(candidates)
+            self._fastest_speed = placement.find_fastest_speed(candidates)
         waiting.sort(key=self._urgency)
         for batch in waiting:
             self._place(batch, candidates, now)
@@ -99,17 +103,20 @@
                 self._review(batch, now)
 
     def move_overflow(self, batch: runs.Batch, now: float) -> None:
-        """Send tasks that find no room here to cells that have some."""
-        if batch.firm:
+        """Decline tasks that exceed the free capacity of this shard.
+
+        The coordinator is referred to a shard with free capacity for each.
+        """
+        if batch.pinned:
             return
-        mine = len(batch.waiting())
+        waiting_count = len(batch.waiting())
         free = placement.count_free(
             batch.resources.millicores,
-            placement.usable(self._agents.values(), now),
+            placement.usable_workers(self._agents.values(), now),
         )
-        excess = min(mine, self._backlog.count_waiting() - free)
-        for shard, room in self._others.free(now).items():
-            count = min(excess, room)
+        excess = min(waiting_count, self._backlog.count_waiting() - free)
+        for shard, free_count in self._capacities.find_available(now).items():
+            count = min(excess, free_count)
             if shard == self._shard or count <= 0:
                 continue
             excess -= count
@@ -121,26 +128,26 @@
             )
 
     def drop(self, batch: runs.Batch, cause: str) -> None:
-        """Forget a batch and stop what runs of it."""
+        """Remove a batch and stop its runs."""
         self._backlog.drop(batch, cause, self._stop)
 
-    def tell_begun_anew(self, batch: runs.Batch) -> None:
-        """Tell a keeper that asks again that tasks were ordered."""
-        batch.told_begun = False
+    def report_begun_again(self, batch: runs.Batch) -> None:
+        """Report to a reattached job manager that tasks were started."""
+        batch.begun_reported = False
         if any(task.run for task in batch.tasks.values()):
-            self._tell_begun(batch)
+            self._report_begun(batch)
 
     def _place(
         self, batch: runs.Batch, candidates: list[agent.Agent], now: float
     ) -> None:
         placed: dict[int, ids.WorkerId] = {}
         for index in batch.waiting():
-            if batch.task_name(index) in self._backlog.live:
+            if batch.task_name(index) in self._backlog.live_runs:
                 continue
             chosen = placement.choose(
                 batch,
                 candidates,
-                best=self._best_speed,
+                fastest_speed=self._fastest_speed,
                 distance_factor=self._cfg.distance_factor,
                 now=now,
             )
@@ -149,9 +156,9 @@
             self._start(batch, index, chosen, now)
             placed[index] = chosen.worker.worker
         if placed:
-            self._tell_begun(batch)
+            self._report_begun(batch)
             _LOG.info(
-                'Tasks ordered.',
+                'Tasks started on workers.',
                 extra={
                     'job': batch.job,
                     'step': batch.step,
@@ -159,9 +166,11 @@
                     'waiting': len(batch.waiting()),
                     'age_s': round(now - batch.arrived_at, 4),
                     'due_s': round(batch.due_at - now, 4),
-                    'epoch': self.right.epoch,
-                    'rank': self.right.rank,
-                    'list_age_s': round(now - self._listing.listed_at(), 3),
+                    'epoch': self.token.epoch,
+                    'rank': self.token.rank,
+                    'list_age_s': round(
+                        now - self._list_status.workers_listed_at(), 3
+                    ),
                 },
             )
 
@@ -175,39 +184,41 @@
             batch=batch,
             index=index,
             worker=chosen.worker.worker,
-            work_s=batch.work_s
-            * placement.distance(batch, chosen, self._cfg.distance_factor),
+            expected_s=batch.expected_s
+            * placement.distance_penalty(
+                batch, chosen, self._cfg.distance_factor
+            ),
             ordered_at=now,
         )
         task.number += 1
         task.run = run
         batch.started = True
-        self._backlog.live[run.task] = run
+        self._backlog.live_runs[run.task] = run
         self._metrics.count('runs_ordered_total')
         chosen.start(run, now)
 
     def _review(self, batch: runs.Batch, now: float) -> None:
-        """Give a batch up whose tasks wait too long."""
+        """Decline or drop a batch whose tasks cannot complete in time."""
         if batch.stored:
             return
         if not batch.started and now > self._latest_start(batch):
             self._backlog.decline(
                 batch, batch.waiting(), cause='no room in time'
             )
-        elif now + batch.work_s > min(batch.late_at, batch.deadline):
+        elif now + batch.expected_s > min(batch.worthless_at, batch.deadline):
             self._give_up(batch)
 
     def _urgency(self, batch: runs.Batch) -> tuple[int, float]:
-        """Return the order of the queue, the most urgent first."""
+        """Return the sort key of the queue, the most urgent batch first."""
         return batch.priority, self._latest_start(batch)
 
     def _latest_start(self, batch: runs.Batch) -> float:
-        """Return when a task must start to be on time, in local seconds."""
-        return batch.due_at - batch.work_s / self._best_speed
+        """Return the latest start that is in time, in local seconds."""
+        return batch.due_at - batch.expected_s / self._fastest_speed
 
     def _give_up(self, batch: runs.Batch) -> None:
         for index in list(batch.tasks):
-            self._backlog.send_end(
+            self._backlog.send_result(
                 batch, index, batch.tasks[index].number, jobs.TaskResult.LATE
             )
         self.drop(batch, 'too late')
@@ -215,8 +226,10 @@
     def _stop(self, run: runs.Run) -> None:
         self._agents[run.worker].stop(run)
 
-    def _tell_begun(self, batch: runs.Batch) -> None:
-        """Tell the keeper of a stored job that one of its tasks was ordered."""
-        if batch.stored and not batch.told_begun and batch.link is not None:
-            batch.told_begun = True
-            batch.link.send(messages.JobBegun(shard=self._shard, job=batch.job))
+    def _report_begun(self, batch: runs.Batch) -> None:
+        """Report to a stored job's manager that a task was started."""
+        if batch.stored and not batch.begun_reported and batch.link is not None:
+            batch.begun_reported = True
+            batch.link.send(
+                messages.JobStarted(shard=self._shard, job=batch.job)
+            )
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -1,4 +1,4 @@
-"""A cell that this process owns: queue, placement, and ends of tasks."""
+"""Leads one shard: queues its tasks, dispatches them and handles results."""
 
 import dataclasses
 from typing import Iterable, Protocol
@@ -9,11 +9,11 @@
 from sardineproxy.process.shards import (
     agent,
     backlog,
-    fences,
-    ordering,
-    rooms,
+    fencing,
+    scheduler,
+    shard_capacities,
     runs,
-    stored_ends,
+    stored_results,
     takeover,
     times,
     workers,
@@ -24,55 +24,64 @@
 
 
 class Events(Protocol):
-    """Hears of the cell's end."""
+    """Receives the events of a shard leader."""
 
     def superseded(self, shard: 'ShardLeader') -> None:
-        """Another process has taken the cell over."""
+        """Handle that another process leads the shard now."""
 
 
-class Surroundings(ordering.Listing, stored_ends.Homes, Protocol):
-    """What a cell must know of the rest of its process."""
+class ShardContext(
+    scheduler.WorkerListStatus, stored_results.JobManagers, Protocol
+):
+    """State of the rest of the process that a shard leader depends on."""
 
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
-        """Return when this process last knew that it owns a cell.
+        """Return when leadership of a shard was last confirmed.
 
-        Local time, in seconds: the store has answered, or all that may
-        inherit the cell were in reach.
+        Local time, in seconds. Leadership is confirmed when the store
+        answers, or while all possible successors are reachable.
         """
 
 
 class ShardLeader:  # noqa: WPS214
-    """The workers of one cell and the tasks for them."""
+    """Dispatches the tasks of one shard to its workers."""
 
     def __init__(
         self,
         *,
         shard: ids.ShardId,
-        right: fences.Right,
+        token: fencing.FencingToken,
         api: workers.WorkerApi,
         clock: clock.Clock,
         metrics: metrics.Metrics,
         events: Events,
-        others: rooms.Rooms,
-        around: Surroundings,
+        capacities: shard_capacities.ShardCapacities,
+        context: ShardContext,
         cfg: times.ShardTiming,
     ) -> None:
-        """Own a cell; ``others`` tells how much room other cells have."""
+        """Start to lead a shard.
+
+        ``capacities`` holds the free capacity of the other shards.
+        """
         self.shard = shard
-        self.right = right
+        self.token = token
         self._api = api
         self._clock = clock
         self._metrics = metrics
         self._events = events
-        self._around = around
+        self._context = context
         self._cfg = cfg
         self._opened_at = clock.now()
         self._agents: dict[ids.WorkerId, agent.Agent] = {}
 
-        #: Counts of fences of workers that have left, as one may come back.
-        self._former_counts: dict[ids.WorkerId, int] = {}
+        #: Fence counts of removed workers. A worker that is listed again
+        #: refuses lower fences than it has already seen.
+        self._former_fence_counts: dict[ids.WorkerId, int] = {}
         self._backlog = backlog.Backlog(
-            shard=shard, clock=clock, metrics=metrics, recall_s=cfg.recall_s
+            shard=shard,
+            clock=clock,
+            metrics=metrics,
+            result_retention_s=cfg.recall_s,
         )
         self._is_confirmed = True
         self._takeover = takeover.Takeover(
@@ -81,166 +90,173 @@
             cfg=cfg,
             opened_at=self._opened_at,
         )
-        self._stored_ends = stored_ends.StoredEnds(
+        self._stored_results = stored_results.StoredResults(
             shard=shard,
             agents=self._agents,
-            homes=around,
+            job_managers=context,
             takeover=self._takeover,
             clock=clock,
             cfg=cfg,
         )
-        self._ordering = ordering.Ordering(
+        self._scheduler = scheduler.Scheduler(
             shard=shard,
-            right=right,
+            token=token,
             agents=self._agents,
             backlog=self._backlog,
-            others=others,
-            listing=around,
+            capacities=capacities,
+            list_status=context,
             metrics=metrics,
             cfg=cfg,
         )
 
     async def close(self) -> None:
-        """Stop all calls to workers; what runs there runs on."""
-        for each in self._agents.values():
-            await each.close()
+        """Stop all calls to workers; their runs continue."""
+        for worker_agent in self._agents.values():
+            await worker_agent.close()
 
     def set_workers(
         self, listed: Iterable[workers.Worker], *, complete: bool
     ) -> None:
-        """Use the newest list of the cell's workers.
+        """Apply the newest list of the shard's workers.
 
-        It is ``complete`` if it is no older than a former owner's.
+        ``complete`` means that the list is at least as new as the one that
+        the previous leader used.
         """
         if complete:
-            self._takeover.knows_workers = True
+            self._takeover.is_worker_list_complete = True
         by_id = {worker.worker: worker for worker in listed}
         for worker_id, worker in by_id.items():
-            known = self._agents.get(worker_id)
-            if known is None:
+            existing = self._agents.get(worker_id)
+            if existing is None:
                 self._add(worker)
-            elif known.worker != worker:
-                known.update(worker)
-        for worker_id, gone in self._agents.items():
+            elif existing.worker != worker:
+                existing.update(worker)
+        for worker_id, unlisted in self._agents.items():
             if worker_id not in by_id:
-                gone.leave()
+                unlisted.mark_unlisted()
 
     def submit(
-        self, source: link.Link, asked: messages.Submit, now: float
+        self, source: link.Link, message: messages.Submit, now: float
     ) -> None:
-        """Take tasks from a coordinator."""
-        known = self._backlog.get((asked.job, asked.step))
-        if known and asked.stored:
-            self._rejoin_stored(known, source, asked, now)
-        elif known:
-            self._backlog.rejoin(known, source, dict(asked.tasks))
+        """Queue the tasks that a coordinator submits."""
+        existing = self._backlog.get((message.job, message.step))
+        if existing and message.stored:
+            self._reattach_stored(existing, source, message, now)
+        elif existing:
+            self._backlog.reattach(existing, source, dict(message.tasks))
             self.dispatch(now)
-        elif asked.resumed and self._takeover.must_wait(asked, now):
-            self._takeover.wait(source, asked)
-        elif asked.resumed:
-            self._resume(source, asked, now)
+        elif message.resumed and self._takeover.must_defer(message, now):
+            self._takeover.defer(source, message)
+        elif message.resumed:
+            self._resume(source, message, now)
         else:
-            self._take(source, asked, dict(asked.tasks), now)
+            self._enqueue(source, message, dict(message.tasks), now)
 
     def withdraw(self, source: link.Link, job: ids.JobId) -> None:
-        """Drop all tasks of a job."""
+        """Drop all tasks of a job and stop their runs."""
         for batch in self._backlog.all():
             if batch.job == job and batch.link is source:
-                self._ordering.drop(batch, 'withdrawn')
-        self._takeover.forget(source, job)
+                self._scheduler.drop(batch, 'withdrawn')
+        self._takeover.discard(source, job)
 
     def link_lost(self, lost: link.Link, now: float) -> None:
-        """Keep the tasks of a coordinator for a short while."""
+        """Detach a coordinator's batches.
+
+        They are dropped if no coordinator asks for them in time.
+        """
         for batch in self._backlog.all():
             if batch.link is lost:
                 batch.link = None
                 batch.orphaned_at = now
-        self._stored_ends.unclaim(lost)
-        self._takeover.forget(lost)
+        self._stored_results.release_claims(lost)
+        self._takeover.discard(lost)
 
-    def note_ends(self, noted: messages.EndsNoted) -> None:
-        """Let workers forget ends of a stored job that are stored now."""
-        self._stored_ends.note(noted)
+    def acknowledge_results(self, message: messages.ResultsStored) -> None:
+        """Acknowledge results that are stored now to their workers."""
+        self._stored_results.acknowledge(message)
 
     def free_tasks(self, now: float) -> int:
-        """Return how many more average tasks could start now."""
-        return self._ordering.free_tasks(now)
-
-    def renew(self, right: fences.Right) -> None:
-        """Use a higher right of this owner from now on."""
-        self.right = right
-        self._ordering.right = right
-        self._former_counts.clear()
-        for each in self._agents.values():
-            each.renew(right)
-
-    def doubt_all(self, why: str) -> None:
-        """Order nothing from a worker until it has reported anew."""
-        for each in self._agents.values():
-            each.doubt(why)
+        """Return how many additional tasks of average size could start."""
+        return self._scheduler.free_tasks(now)
+
+    def renew_token(self, token: fencing.FencingToken) -> None:
+        """Use a higher fencing token of this leader from now on."""
+        self.token = token
+        self._scheduler.token = token
+        self._former_fence_counts.clear()
+        for worker_agent in self._agents.values():
+            worker_agent.renew_token(token)
+
+    def mark_all_unconfirmed(self, cause: str) -> None:
+        """Start no runs on any worker until it has sent a new report."""
+        for worker_agent in self._agents.values():
+            worker_agent.mark_unconfirmed(cause)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        for request in self._takeover.due(now):
-            self.submit(request.source, request.asked, now)
-        self._takeover.tick(now)
-        self._drop_gone(now)
-        self._stored_ends.report(now)
+        """Run the periodic work: takeover, removals, expiry and dispatch."""
+        for request in self._takeover.pop_ready(now):
+            self.submit(request.source, request.submit, now)
+        self._takeover.stop_unresumed(now)
+        self._remove_unlisted(now)
+        self._stored_results.send_unclaimed(now)
         self._check_confirmed(now)
         for batch in self._backlog.all():
-            if batch.link is None and self._stored_ends.is_abandoned(
+            if batch.link is None and self._stored_results.is_abandoned(
                 batch, now
             ):
-                self._ordering.drop(batch, 'coordinator lost')
+                self._scheduler.drop(batch, 'coordinator lost')
         self._backlog.expire(now)
         self.dispatch(now)
 
     def dispatch(self, now: float) -> None:
-        """Order runs of waiting tasks as far as there is room."""
-        if self._knows_list(now):
-            self._ordering.dispatch(with_stored=self._is_confirmed, now=now)
+        """Start waiting tasks as far as free capacity allows."""
+        if self._is_list_current(now):
+            self._scheduler.dispatch(with_stored=self._is_confirmed, now=now)
 
     def state(self, now: float) -> dict[str, object]:
-        """Return workers and queue for the state dump."""
+        """Return the workers and queue lengths for the state dump."""
         return {
             'cell': self.shard,
-            'epoch': self.right.epoch,
-            'rank': self.right.rank,
-            'workers': [each.state(now) for each in self._agents.values()],
+            'epoch': self.token.epoch,
+            'rank': self.token.rank,
+            'workers': [
+                worker_agent.state(now)
+                for worker_agent in self._agents.values()
+            ],
             'batches': len(self._backlog),
             'waiting': self._backlog.count_waiting(),
         }
 
-    # Events of agents.
+    # Implementation of agent.Events.
 
-    def ended(self, run: runs.Run, how: workers.Ending) -> None:
-        """Note the end of a run as its worker says."""
-        owner = self._agents[run.worker]
+    def run_finished(self, run: runs.Run, result: workers.RunResult) -> None:
+        """Settle the task of a run that its worker reports as finished."""
+        worker_agent = self._agents[run.worker]
         self._backlog.release(run)
         took_s = self._clock.now() - run.ordered_at
-        self._metrics.count('runs_ended_total', how=how.value)
-        self._metrics.observe('run_seconds', took_s, how=how.value)
-        if how is not workers.Ending.DONE:
+        self._metrics.count('runs_ended_total', how=result.value)
+        self._metrics.observe('run_seconds', took_s, how=result.value)
+        if result is not workers.RunResult.DONE:
             _LOG.info(
-                'Run ended.',
+                'Run ended without success.',
                 extra={
                     'job': run.batch.job,
                     'task': run.task,
                     'run': run.number,
                     'worker': run.worker,
-                    'how': how.value,
+                    'how': result.value,
                     'took_s': round(took_s, 4),
-                    'suspect': owner.health.is_suspect,
+                    'suspect': worker_agent.health.is_suspect,
                 },
             )
-        self._settle(run, how, is_suspect=owner.health.is_suspect)
+        self._settle(run, result, is_suspect=worker_agent.health.is_suspect)
         self.dispatch(self._clock.now())
 
-    def lost(self, run: runs.Run, cause: str) -> None:
-        """Queue a task again whose run does not exist."""
+    def run_lost(self, run: runs.Run, cause: str) -> None:
+        """Requeue the task of a run that no longer exists."""
         self._backlog.release(run)
         _LOG.info(
-            'Run lost.',
+            'Run lost, task requeued.',
             extra={
                 'job': run.batch.job,
                 'task': run.task,
@@ -253,153 +269,160 @@
         self._backlog.requeue(run)
         self.dispatch(self._clock.now())
 
-    def has_room(self) -> None:
-        """Use room that became free."""
+    def capacity_freed(self) -> None:
+        """Dispatch waiting tasks to the freed capacity."""
         self.dispatch(self._clock.now())
 
     def superseded(self, source: agent.Agent) -> None:
-        """Give the cell up: a worker knows a newer owner."""
+        """Give up the shard: a worker has seen the fence of a newer leader."""
         self._events.superseded(self)
 
-    def strays(self, source: agent.Agent, found: list[workers.Running]) -> None:
-        """Stop runs that nobody asked for, unless they may be adopted."""
-        if not self._takeover.is_open:
-            source.stop_unknown()
+    def unrequested_runs(
+        self, source: agent.Agent, unrequested: list[workers.ActiveRun]
+    ) -> None:
+        """Stop unrequested runs, unless they may still be adopted."""
+        if not self._takeover.accepts_resumes:
+            source.stop_unrequested()
 
-    # Life of a batch.
+    # Internals.
 
-    def _knows_list(self, now: float) -> bool:
-        """Tell whether workers that leave are known, as far as they can be.
+    def _is_list_current(self, now: float) -> bool:
+        """Return whether the worker list is recent enough to dispatch.
 
-        A VM that does not own a cell reads the list seldom.
+        A VM that leads no shard reads the list rarely, so that its copy may
+        miss workers that are draining. A new leader waits for a newer list,
+        but no longer than ``list_wait_s``, and not if the store is down.
         """
-        if self._around.listed_at() >= self._opened_at:
+        if self._context.workers_listed_at() >= self._opened_at:
             return True
         waited = now >= self._opened_at + self._cfg.list_wait_s
-        return waited or not self._around.list_answers()
+        return waited or not self._context.is_list_available()
 
     def _check_confirmed(self, now: float) -> None:
-        """Let stored jobs' runs lapse while another owner may exist.
+        """Let leases of stored jobs' runs expire if leadership is uncertain.
 
-        The next owner starts them elsewhere even if their worker is silent.
+        Another leader may exist then, and it starts the runs elsewhere even
+        if their worker does not respond.
         """
-        unconfirmed_s = now - self._around.confirmed_at(self.shard, now)
+        unconfirmed_s = now - self._context.confirmed_at(self.shard, now)
         is_confirmed = unconfirmed_s < self._cfg.unconfirmed_s
         if is_confirmed is not self._is_confirmed:
             self._is_confirmed = is_confirmed
             _LOG.warning(
-                'Ownership confirmed again.'
+                'Leadership confirmed again.'
                 if is_confirmed
-                else 'Ownership not confirmed, runs of stored jobs may lapse.',
+                else 'Leadership not confirmed, stored runs may expire.',
                 extra={
                     'cell': self.shard,
-                    'epoch': self.right.epoch,
+                    'epoch': self.token.epoch,
                     'unconfirmed_s': round(unconfirmed_s, 3),
                 },
             )
-        for each in self._agents.values():
-            each.is_confirmed = is_confirmed
+        for worker_agent in self._agents.values():
+            worker_agent.is_leadership_confirmed = is_confirmed
 
-    def _drop_gone(self, now: float) -> None:
-        """Forget workers that have left for good."""
-        for worker_id, each in list(self._agents.items()):
-            if each.is_gone(now):
+    def _remove_unlisted(self, now: float) -> None:
+        """Remove unlisted workers on which nothing can run any more."""
+        for worker_id, worker_agent in list(self._agents.items()):
+            if worker_agent.is_removable(now):
                 self._agents.pop(worker_id)
-                self._former_counts[worker_id] = each.count
-                each.abandon()
+                self._former_fence_counts[worker_id] = worker_agent.fence_count
+                worker_agent.abandon()
 
     def _add(self, worker: workers.Worker) -> None:
         added = agent.Agent(
             worker=worker,
-            right=self.right,
+            token=self.token,
             api=self._api,
             clock=self._clock,
             metrics=self._metrics,
             events=self,
             cfg=self._cfg.calls,
-            count=self._former_counts.pop(worker.worker, -1) + 1,
+            fence_count=self._former_fence_counts.pop(worker.worker, -1) + 1,
         )
         self._agents[worker.worker] = added
         added.open()
 
-    def _rejoin_stored(
+    def _reattach_stored(
         self,
-        known: runs.Batch,
+        batch: runs.Batch,
         source: link.Link,
-        asked: messages.Submit,
+        message: messages.Submit,
         now: float,
     ) -> None:
-        """Go on with a stored job's batch, and take further tasks of it."""
-        tasks = self._stored_ends.answer(known, source, asked)
-        others = {
+        """Reattach a stored job's batch and add its further tasks."""
+        tasks = self._stored_results.send_listed(batch, source, message)
+        new_tasks = {
             index: number
             for index, number in tasks.items()
-            if index not in known.tasks
+            if index not in batch.tasks
         }
-        self._backlog.rejoin(known, source, {})
-        self._ordering.tell_begun_anew(known)
-        if others and asked.resumed:
-            if self._takeover.must_wait(asked, now):
-                self._takeover.wait(
+        self._backlog.reattach(batch, source, {})
+        self._scheduler.report_begun_again(batch)
+        if new_tasks and message.resumed:
+            if self._takeover.must_defer(message, now):
+                self._takeover.defer(
                     source,
-                    dataclasses.replace(asked, tasks=tuple(others.items())),
+                    dataclasses.replace(
+                        message, tasks=tuple(new_tasks.items())
+                    ),
                 )
                 return
-            others = self._takeover.resume(known, others, now)
-        self._backlog.rejoin(known, source, others)
+            new_tasks = self._takeover.resume(batch, new_tasks, now)
+        self._backlog.reattach(batch, source, new_tasks)
         self.dispatch(now)
 
     def _resume(
-        self, source: link.Link, asked: messages.Submit, now: float
+        self, source: link.Link, message: messages.Submit, now: float
     ) -> None:
-        """Take over what a former owner ordered for a coordinator."""
-        batch = self._make_batch(source, asked, now)
-        tasks = self._stored_ends.answer(batch, source, asked)
-        fresh = self._takeover.resume(batch, tasks, now)
+        """Adopt the runs that a previous leader started for a coordinator."""
+        batch = self._make_batch(source, message, now)
+        tasks = self._stored_results.send_listed(batch, source, message)
+        unstarted = self._takeover.resume(batch, tasks, now)
         self._backlog.add(batch)
-        self._ordering.tell_begun_anew(batch)
-        if fresh:
-            self._take(source, asked, fresh, now)
+        self._scheduler.report_begun_again(batch)
+        if unstarted:
+            self._enqueue(source, message, unstarted, now)
 
-    def _take(
+    def _enqueue(
         self,
         source: link.Link,
-        asked: messages.Submit,
+        message: messages.Submit,
         tasks: dict[int, int],
         now: float,
     ) -> None:
-        batch = self._backlog.get((asked.job, asked.step))
+        batch = self._backlog.get((message.job, message.step))
         if batch is None:
-            batch = self._make_batch(source, asked, now)
-        for index, number in self._backlog.answer_done(batch, tasks).items():
+            batch = self._make_batch(source, message, now)
+        for index, number in self._backlog.report_done(batch, tasks).items():
             batch.tasks[index] = runs.Task(number=number)
         if not batch.tasks:
             return
         self._backlog.add(batch)
-        self._ordering.note_size(asked.millicores)
-        self._ordering.move_overflow(batch, now)
+        self._scheduler.record_task_size(message.millicores)
+        self._scheduler.move_overflow(batch, now)
         self.dispatch(now)
 
     def _settle(
-        self, run: runs.Run, how: workers.Ending, *, is_suspect: bool
+        self, run: runs.Run, result: workers.RunResult, *, is_suspect: bool
     ) -> None:
-        """Decide what the end of a run means for its task."""
-        is_wanted = run.index in run.batch.tasks
-        if is_wanted:
-            self._stored_ends.claim(run)
-        match how:
-            case _ if not is_wanted:
-                self._backlog.note_dropped_end(run, how)
-            case workers.Ending.DONE:
-                self._backlog.end(run, jobs.TaskResult.DONE)
-            case workers.Ending.FAILED if run.batch.stored or not is_suspect:
-                self._backlog.end(run, jobs.TaskResult.FAILED)
+        """Finish, requeue or ignore the task of a finished run."""
+        is_pending = run.index in run.batch.tasks
+        if is_pending:
+            self._stored_results.claim(run)
+        match result:
+            case _ if not is_pending:
+                self._backlog.record_dropped_result(run, result)
+            case workers.RunResult.DONE:
+                self._backlog.finish_task(run, jobs.TaskResult.DONE)
+            case workers.RunResult.FAILED if run.batch.stored or not is_suspect:
+                self._backlog.finish_task(run, jobs.TaskResult.FAILED)
             case _:
                 self._backlog.requeue(run)
 
     def _make_batch(
-        self, source: link.Link, asked: messages.Submit, now: float
+        self, source: link.Link, message: messages.Submit, now: float
     ) -> runs.Batch:
         return runs.make_batch(
-            asked, link=source, late_factor=self._cfg.late_factor, now=now
+            message, link=source, late_factor=self._cfg.late_factor, now=now
         )
--- /dev/null
+++ b/sardineproxy/process/shards/stored_results.py
@@ -0,0 +1,159 @@
+"""Passes results of stored jobs' tasks from workers to the job managers."""
+
+import types
+from typing import Mapping, Protocol
+
+from sardineproxy import clock, ids
+from sardineproxy.connection import link, messages
+from sardineproxy.process.shards import agent, runs, takeover, times, workers
+from sardineproxy.process.membership import loaded_shards
+from sardineproxy.request import jobs
+
+
+class JobManagers(Protocol):
+    """Finds the stored-job managers."""
+
+    def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
+        """Return the loaded shard whose manager is responsible for a job.
+
+        None while there may be a manager that has not submitted its tasks
+        yet.
+        """
+
+    def manager_link(self, job: ids.JobId) -> link.Link | None:
+        """Return the link to the manager of a job."""
+
+
+class StoredResults:
+    """Sends results to job managers and acknowledges the stored ones."""
+
+    def __init__(
+        self,
+        *,
+        shard: ids.ShardId,
+        agents: Mapping[ids.WorkerId, agent.Agent],
+        job_managers: JobManagers,
+        takeover: takeover.Takeover,
+        clock: clock.Clock,
+        cfg: times.ShardTiming,
+    ) -> None:
+        """Create an instance for a shard that is led from now on."""
+        self._shard = shard
+        self._agents = agents
+        self._job_managers = job_managers
+        self._takeover = takeover
+        self._clock = clock
+        self._cfg = cfg
+        self._opened_at = clock.now()
+
+    def claim(self, run: runs.Run) -> None:
+        """Record that the manager of a run's job receives the run's result."""
+        if run.batch.stored and run.batch.link is not None:
+            self._agents[run.worker].unacked.claim(
+                run.task, run.batch.link, self._clock.now()
+            )
+
+    def release_claims(self, lost: link.Link) -> None:
+        """Release the claims of a job manager whose link is lost."""
+        for worker_agent in self._agents.values():
+            worker_agent.unacked.release_claims(lost)
+
+    def send_listed(
+        self, batch: runs.Batch, source: link.Link, message: messages.Submit
+    ) -> dict[int, int]:
+        """Send a job manager the results of its tasks that workers list.
+
+        Returns the unfinished tasks with the numbers of their next runs.
+        """
+        remaining = dict(message.tasks)
+        if not message.stored:
+            return remaining
+        for index, number in message.tasks:
+            finished_runs = [
+                finished_run
+                for worker_agent in self._agents.values()
+                for finished_run in worker_agent.unacked.claim(
+                    batch.task_name(index), source, self._clock.now()
+                )
+            ]
+            for finished_run in sorted(
+                finished_runs, key=lambda finished_run: finished_run.run
+            ):
+                source.send(_make_run_ended(self._shard, finished_run))
+                is_new = finished_run.run >= number
+                if is_new or finished_run.result is workers.RunResult.DONE:
+                    remaining.pop(index, None)
+        return remaining
+
+    def acknowledge(self, message: messages.ResultsStored) -> None:
+        """Acknowledge results that are stored now to their workers."""
+        for index, number in message.runs:
+            task = runs.task_name(message.job, message.step, index)
+            for worker_agent in self._agents.values():
+                if worker_agent.unacked.release(task, number):
+                    worker_agent.acknowledge()
+
+    def send_unclaimed(self, now: float) -> None:
+        """Send job managers the results that they did not claim.
+
+        A manager answers with ``ResultsStored`` once it has stored them, or if
+        the job is not stored.
+        """
+        for worker_agent in self._agents.values():
+            for finished_run in worker_agent.unacked.unclaimed(
+                self._claims_valid_from, now
+            ):
+                manager = self._job_managers.manager_link(
+                    runs.job_of(finished_run.task)
+                )
+                if manager is not None:
+                    worker_agent.unacked.claim(finished_run.task, manager, now)
+                    manager.send(_make_run_ended(self._shard, finished_run))
+
+    def is_abandoned(self, batch: runs.Batch, now: float) -> bool:
+        """Return whether no coordinator will claim a detached batch."""
+        since = batch.orphaned_at
+        if batch.stored:
+            manager = self._job_managers.find_manager(batch.job)
+            if manager is None:
+                return False
+            since = max(since, manager.since)
+        return now >= since + self._cfg.orphan_s
+
+    def _claims_valid_from(
+        self, task: workers.TaskName, now: float
+    ) -> float | None:
+        """Return the time from which claims of a task's results are valid.
+
+        None while no unclaimed result of the task may be sent: a new manager
+        submits the tasks of its jobs first.
+        """
+        job = runs.job_of(task)
+        manager = self._job_managers.find_manager(job)
+        if manager is None or self._takeover.has_deferred(job):
+            return None
+        since = max(manager.since, self._opened_at)
+        return manager.since if now >= since + self._cfg.adopt_s else None
+
+
+_TASK_RESULTS = types.MappingProxyType(
+    {
+        workers.RunResult.DONE: jobs.TaskResult.DONE,
+        workers.RunResult.FAILED: jobs.TaskResult.FAILED,
+    }
+)
+
+
+def _make_run_ended(
+    shard: ids.ShardId, finished_run: workers.FinishedRun
+) -> messages.RunEnded:
+    job, step, index = runs.split_task(finished_run.task)
+    return messages.RunEnded(
+        shard=shard,
+        job=job,
+        step=step,
+        index=index,
+        run=finished_run.run,
+        result=_TASK_RESULTS[finished_run.result].value,
+        stored=True,
+    )
--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -1,7 +1,7 @@
-"""What a new owner of a cell takes over from the former one.
+"""Takeover of a shard's runs by a new leader.
 
-Runs of the former owner go on. Coordinators ask for their tasks again; runs
-that none asks for are stopped.
+Runs that the previous leader started continue. Coordinators submit their
+tasks again to resume them; runs that no coordinator resumes are stopped.
 """
 
 import dataclasses
@@ -23,15 +23,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Request:
-    """A coordinator's question for its tasks."""
+class DeferredSubmit:
+    """A resumed submission that waits for reports of workers."""
 
     source: link.Link
-    asked: messages.Submit
+    submit: messages.Submit
 
 
 class Takeover:
-    """Runs and questions that are older than this owner."""
+    """Adopts the runs that the previous leader started."""
 
     def __init__(
         self,
@@ -41,139 +41,152 @@
         cfg: times.ShardTiming,
         opened_at: float,
     ) -> None:
-        """Begin when the cell is won; times are local, in seconds."""
+        """Start a takeover; ``opened_at`` is local time, in seconds."""
         self._agents = agents
         self._backlog = backlog
         self._cfg = cfg
         self._opened_at = opened_at
-        self._waiting: list[Request] = []
+        self._deferred: list[DeferredSubmit] = []
 
-        #: True once all workers are known that a former owner may have used.
-        self.knows_workers = False
+        #: True once all workers are listed that the previous leader may have
+        #: used.
+        self.is_worker_list_complete = False
 
-        #: True while runs of the former owner may be asked for.
-        self.is_open = True
+        #: True while runs of the previous leader may be resumed.
+        self.accepts_resumes = True
 
-    def must_wait(self, asked: messages.Submit, now: float) -> bool:
-        """Tell whether a question must wait for reports of workers.
+    def must_defer(self, message: messages.Submit, now: float) -> bool:
+        """Return whether a submission must wait for reports of workers.
 
-        A stored job waits until no run of the former owner can exist that is
-        not known.
+        A stored job waits until every run of the previous leader is either
+        reported or has certainly ended.
         """
-        if self.knows_all_runs():
+        if self.are_all_runs_reported():
             return False
-        if asked.stored:
-            may_lapse_at = self._opened_at + self._cfg.former_runs_s
-            return not self.knows_workers or now < may_lapse_at
+        if message.stored:
+            all_ended_at = self._opened_at + self._cfg.former_runs_s
+            return not self.is_worker_list_complete or now < all_ended_at
         return now < self._opened_at + self._cfg.sync_s
 
-    def knows_all_runs(self) -> bool:
-        """Tell whether all workers have reported to this owner."""
-        return self.knows_workers and all(
-            each.is_synced for each in self._agents.values()
+    def are_all_runs_reported(self) -> bool:
+        """Return whether all workers have reported to this leader."""
+        return self.is_worker_list_complete and all(
+            worker_agent.is_synced for worker_agent in self._agents.values()
         )
 
-    def wait(self, source: link.Link, asked: messages.Submit) -> None:
-        """Answer a question once the workers have reported."""
-        self._waiting.append(Request(source=source, asked=asked))
-
-    def is_waiting_for(self, job: ids.JobId) -> bool:
-        """Tell whether a question for a job's tasks waits."""
-        return any(each.asked.job == job for each in self._waiting)
-
-    def forget(self, source: link.Link, job: ids.JobId | None = None) -> None:
-        """Drop a coordinator's questions, or those for one job."""
-        self._waiting = [
-            each
-            for each in self._waiting
-            if each.source is not source or job not in {None, each.asked.job}
+    def defer(self, source: link.Link, message: messages.Submit) -> None:
+        """Defer a submission until the workers have reported."""
+        self._deferred.append(DeferredSubmit(source=source, submit=message))
+
+    def has_deferred(self, job: ids.JobId) -> bool:
+        """Return whether a submission of a job is deferred."""
+        return any(deferred.submit.job == job for deferred in self._deferred)
+
+    def discard(self, source: link.Link, job: ids.JobId | None = None) -> None:
+        """Discard a coordinator's deferred submissions, or those of one job."""
+        self._deferred = [
+            deferred
+            for deferred in self._deferred
+            if deferred.source is not source
+            or job not in {None, deferred.submit.job}
         ]
 
-    def due(self, now: float) -> list[Request]:
-        """Return the questions that can be answered now."""
-        found: list[Request] = []
-        left: list[Request] = []
-        for each in self._waiting:
-            waits = self.must_wait(each.asked, now)
-            (left if waits else found).append(each)
-        self._waiting = left
-        return found
-
-    def tick(self, now: float) -> None:
-        """Stop the runs that nobody has asked for in time."""
-        if self.is_open and now >= self._opened_at + self._cfg.adopt_s:
-            self.is_open = False
-            for each in self._agents.values():
-                each.stop_unknown()
+    def pop_ready(self, now: float) -> list[DeferredSubmit]:
+        """Remove and return the submissions that can be processed now."""
+        ready: list[DeferredSubmit] = []
+        remaining: list[DeferredSubmit] = []
+        for deferred in self._deferred:
+            waits = self.must_defer(deferred.submit, now)
+            (remaining if waits else ready).append(deferred)
+        self._deferred = remaining
+        return ready
+
+    def stop_unresumed(self, now: float) -> None:
+        """Stop the runs that no coordinator has resumed in time."""
+        if self.accepts_resumes and now >= self._opened_at + self._cfg.adopt_s:
+            self.accepts_resumes = False
+            for worker_agent in self._agents.values():
+                worker_agent.stop_unrequested()
 
     def resume(
         self, batch: runs.Batch, tasks: dict[int, int], now: float
     ) -> dict[int, int]:
-        """Put into a batch what still runs of it, and answer what ended.
-
-        ``tasks`` gives the number of the next run of each task.
+        """Adopt the active runs of a batch and send the results of others.
 
-        Returns the tasks of which nothing is known and that may start anew,
-        with the numbers of their next runs.
+        ``tasks`` maps task indices to the numbers of their next runs. The
+        returned mapping holds those without a run or a result that may be
+        started.
         """
         missing = {
             index: number
             for index, number in tasks.items()
             if not self._adopt(batch, index, now)
         }
-        is_sure = batch.stored or self.knows_all_runs()
+        may_start_missing = batch.stored or self.are_all_runs_reported()
         _LOG.info(
             'Job resumed.',
             extra={
                 'job': batch.job,
                 'adopted': sorted(batch.tasks),
                 'missing': sorted(missing),
-                'all_workers_known': is_sure,
+                'all_workers_known': may_start_missing,
             },
         )
-        if is_sure:
+        if may_start_missing:
             return missing
-        # They may run on a worker that has not reported.
+        # The tasks may be running on a worker that has not reported.
         for index, number in missing.items():
-            self._backlog.send_end(batch, index, number, jobs.TaskResult.LATE)
+            self._backlog.send_result(
+                batch, index, number, jobs.TaskResult.LATE
+            )
         return {}
 
     def _adopt(self, batch: runs.Batch, index: int, now: float) -> bool:
-        """Take a task over, or answer for it, if a worker lists it."""
+        """Adopt a task's run or send its result; return whether one exists."""
         name = batch.task_name(index)
-        for each in self._agents.values():
-            if name in each.ledger.unknown:
-                run = self._take_run(each, batch, index, now)
+        for worker_agent in self._agents.values():
+            if name in worker_agent.ledger.unrequested:
+                run = self._adopt_run(worker_agent, batch, index, now)
                 batch.tasks[index] = runs.Task(number=run.number + 1, run=run)
                 batch.started = True
                 return True
-        end = self._find_done(name)
-        if end is not None:
-            self._backlog.send_end(batch, index, end.run, jobs.TaskResult.DONE)
-        return end is not None
-
-    def _take_run(
-        self, owner: agent.Agent, batch: runs.Batch, index: int, now: float
+        finished_run = self._find_done_run(name)
+        if finished_run is not None:
+            self._backlog.send_result(
+                batch, index, finished_run.run, jobs.TaskResult.DONE
+            )
+        return finished_run is not None
+
+    def _adopt_run(
+        self,
+        worker_agent: agent.Agent,
+        batch: runs.Batch,
+        index: int,
+        now: float,
     ) -> runs.Run:
         name = batch.task_name(index)
         run = runs.Run(
             task=name,
-            number=owner.ledger.unknown[name].run,
+            number=worker_agent.ledger.unrequested[name].run,
             batch=batch,
             index=index,
-            worker=owner.worker.worker,
-            work_s=batch.work_s
-            * placement.distance(batch, owner, self._cfg.distance_factor),
+            worker=worker_agent.worker.worker,
+            expected_s=batch.expected_s
+            * placement.distance_penalty(
+                batch, worker_agent, self._cfg.distance_factor
+            ),
             ordered_at=now,
         )
-        owner.adopt(run, now)
-        self._backlog.live[name] = run
+        worker_agent.adopt(run, now)
+        self._backlog.live_runs[name] = run
         return run
 
-    def _find_done(self, task: workers.TaskName) -> workers.End | None:
-        """Return a task's end if a worker lists that it ended well."""
-        for each in self._agents.values():
-            end = each.held.find_done(task)
-            if end is not None:
-                return end
+    def _find_done_run(
+        self, task: workers.TaskName
+    ) -> workers.FinishedRun | None:
+        """Return a successful run of a task that a worker still lists."""
+        for worker_agent in self._agents.values():
+            finished_run = worker_agent.unacked.find_done(task)
+            if finished_run is not None:
+                return finished_run
         return None
--- a/sardineproxy/process/shards/workers.py
+++ b/sardineproxy/process/shards/workers.py
@@ -1,4 +1,4 @@
-"""Workers, orders to them, and what they answer."""
+"""Interface to workers: list entries, orders, answers and reports."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class WorkerState(enum.Enum):
-    """What a worker says of itself in the platform's list."""
+    """State of a worker in the platform's list."""
 
     READY = 'ready'
     DRAINING = 'draining'
@@ -28,32 +28,33 @@
     zone: ids.ZoneId
     state: WorkerState
 
-    #: Start of this life in Unix milliseconds; a worker may start again
-    #: under the same id and then knows nothing of before.
-    born_ms: int
+    #: Start of the worker process in Unix milliseconds. A worker may restart
+    #: with the same id and has no state from before then.
+    started_ms: int
 
     capacity: jobs.Resources
 
-    #: Kind of machine and rack, for tasks that require or prefer one.
+    #: Machine type and rack, for tasks that require or prefer one.
     labels: tuple[str, ...]
 
 
 class Refusal(enum.Enum):
-    """Why a worker did nothing for an order."""
+    """Reason why a worker refused an order."""
 
-    #: It has seen a higher fence.
+    #: The worker has seen a higher fence.
     FENCED = 'fenced'
 
-    #: The run is not higher than one that was stopped or ended there.
+    #: The run's number does not exceed that of a run of the task that was
+    #: stopped or ended on this worker.
     OLD_RUN = 'old_run'
 
     #: The order's lease had expired on the worker's clock.
     EXPIRED = 'expired'
 
-    #: The worker has no capacity for it.
-    NO_ROOM = 'no_room'
+    #: The worker has no free capacity for the run.
+    NO_CAPACITY = 'no_room'
 
-    #: The order's permission was missing or has lapsed.
+    #: The order's ticket is missing or has expired.
     NO_TICKET = 'no_ticket'
 
     #: The worker is unhealthy or could not read the order.
@@ -78,48 +79,48 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """The order was carried out."""
+    """The order was executed."""
 
     clock_ms: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """Nothing was done."""
+    """The order was not executed."""
 
-    why: Refusal
+    reason: Refusal
     detail: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unanswered:
-    """No answer; the order may have been carried out, or may be later."""
+    """No answer; the order may have been executed, or may be later."""
 
-    #: True if no connection was established, so nothing was sent.
+    #: True if no connection was established, so that nothing was sent.
     unsent: bool
     cause: str
 
 
-class Ending(enum.Enum):
-    """How a run ended."""
+class RunResult(enum.Enum):
+    """Result of a run."""
 
     DONE = 'done'
 
-    #: Through its own fault or the worker's.
+    #: The task or the worker failed.
     FAILED = 'failed'
 
     STOPPED = 'stopped'
 
-    #: Its lease expired.
-    LAPSED = 'lapsed'
+    #: The lease of the run expired.
+    LEASE_EXPIRED = 'lapsed'
 
-    #: Another member of its gang ended, or did not come.
-    GANG = 'gang'
+    #: Another member of the run's gang ended or did not start.
+    GANG_INCOMPLETE = 'gang'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Running:
-    """A run that a worker lists as running."""
+class ActiveRun:
+    """A run that a worker reports as running."""
 
     task: TaskName
     run: int
@@ -129,42 +130,43 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class End:
-    """A run that a worker lists as ended."""
+class FinishedRun:
+    """A run that a worker reports as finished."""
 
-    #: Position in the worker's list; rises by one with each end.
-    number: int
+    #: Position in the worker's list of results; increases by one per result.
+    position: int
     task: TaskName
     run: int
-    how: Ending
+    result: RunResult
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Report:
-    """What a worker says runs on it, and what ended."""
+    """A worker's report of its active and finished runs."""
 
     clock_ms: int
-    born_ms: int
-    running: tuple[Running, ...]
-    ended: tuple[End, ...]
+    started_ms: int
+    active: tuple[ActiveRun, ...]
+    finished: tuple[FinishedRun, ...]
 
-    #: False if there may be more ends than are listed.
-    is_whole: bool = True
+    #: False if there may be more results than are listed.
+    is_complete: bool = True
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Look:
-    """Asks a worker for a report, and extends the lease of what runs."""
+class Poll:
+    """A request for a report that can extend the lease of the runs."""
 
     fence: int
 
-    #: Ends up to this number are known here and may be forgotten.
+    #: Results up to this position are acknowledged; the worker drops them.
     acked: int
 
-    #: New end of the lease on the worker's clock, None to leave it.
+    #: New end of the lease on the worker's clock, None to keep the current
+    #: one.
     expires_ms: int | None
 
-    #: Longest wait of the worker for a new end, in seconds.
+    #: Longest wait of the worker for a new result, in seconds.
     wait_s: float
 
 
@@ -174,7 +176,7 @@
     async def start(
         self, worker: Worker, order: Order, *, timeout_s: float
     ) -> Accepted | Refused | Unanswered:
-        """Order the start of a run."""
+        """Start a run."""
 
     async def stop(
         self,
@@ -185,9 +187,9 @@
         fence: int,
         timeout_s: float,
     ) -> Accepted | Refused | Unanswered:
-        """Order the stop of a run; it never starts there afterwards."""
+        """Stop a run; the worker never starts it afterwards."""
 
-    async def look(
-        self, worker: Worker, look: Look, *, timeout_s: float
+    async def poll(
+        self, worker: Worker, poll: Poll, *, timeout_s: float
     ) -> Report | Refused | Unanswered:
-        """Ask for a report."""
+        """Request a report."""
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -181,7 +181,7 @@
     def end_loan(
         self, customer: ids.CustomerId, endpoint: ids.EndpointId, count: int
     ) -> None:
-        """Return lent slots to the own ones.
+        """Make lent slots available again.
 
         The caller has to emit ``changed`` afterwards.
         """
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -20,9 +20,9 @@
 #: for.
 FINAL_COMMIT_DELAY_S = 0.005
 
-#: Time from acceptance to the deadline of a job, in seconds. It never
-#: expires in practice: no client holds a connection for the result, and
-#: shard leaders must not abandon the job.
+#: Time to the deadline of a job, in seconds, long enough to never expire: no
+#: client holds a connection for the result, and shard leaders must not abandon
+#: the job.
 NO_DEADLINE_S = 1e6
 
 _LOG = logs.get_logger('jobs')
@@ -49,9 +49,9 @@
 
 
 Event = (
-    messages.Ended
+    messages.RunEnded
     | messages.Declined
-    | messages.JobBegun
+    | messages.JobStarted
     | open_tasks.LeaderLost
     | open_tasks.LeaderFound
     | CancelRequested
@@ -91,7 +91,7 @@
         """
         self._resumed = resumed
         self.stored = stored
-        self.has_begun = bool(progress.done or progress.failed)
+        self.has_started = bool(progress.done or progress.failed)
         self._progress = progress
         self._home_shard = home_shard
         self._router = router
@@ -173,7 +173,7 @@
         """Return the state of the job according to the store."""
         if self.stored.state.is_final:
             return self.stored.state
-        if self.has_begun:
+        if self.has_started:
             return records.JobState.RUNNING
         return records.JobState.QUEUED
 
@@ -183,13 +183,13 @@
             event = await self._events.get()
             self._refresh_route()
             match event:
-                case messages.Ended(how=jobs.TaskResult.REPLACED.value):
+                case messages.RunEnded(result=jobs.TaskResult.REPLACED.value):
                     _LOG.info(
                         'Another leader has taken over the job.',
                         extra={'job': self.stored.job.job_id},
                     )
                     return None
-                case messages.Ended() if self._handle_completion(event):
+                case messages.RunEnded() if self._handle_completion(event):
                     return records.JobState.FAILED
                 case CancelRequested():
                     return records.JobState.CANCELLED
@@ -203,13 +203,13 @@
         match event:
             case messages.Declined():
                 self._handle_declined(event)
-            case messages.JobBegun():
-                self.has_begun = True
+            case messages.JobStarted():
+                self.has_started = True
             case open_tasks.LeaderLost(shard=shard):
                 self._open.unassign(event)
-                self._open.resume(shard, begun=True)
+                self._open.resume(shard, job_started=True)
             case open_tasks.LeaderFound(shard=shard):
-                self._open.resume(shard, begun=True)
+                self._open.resume(shard, job_started=True)
             case _ShardChangeStored(tasks=tasks, shard=shard):
                 self._send_to_new_shard(tasks, shard)
 
@@ -242,8 +242,8 @@
             for shard in shards:
                 self._open.send(
                     [task for task in tasks if task.shard == shard],
-                    firm=shard != self._home_shard,
-                    begun=self._resumed,
+                    pinned=shard != self._home_shard,
+                    job_started=self._resumed,
                 )
 
     def _restore_progress(
@@ -258,11 +258,11 @@
         task.resumed = self._resumed
         return task
 
-    def _handle_completion(self, completion: messages.Ended) -> bool:
+    def _handle_completion(self, completion: messages.RunEnded) -> bool:
         """Count a result; return whether it makes the job fail."""
-        self.has_begun = True
+        self.has_started = True
         key = (completion.step, completion.index)
-        task_result = jobs.TaskResult(completion.how)
+        task_result = jobs.TaskResult(completion.result)
         if task_result is jobs.TaskResult.LATE:
             self._retry(key)
             return False
@@ -304,7 +304,7 @@
         task = self._open.get(key)
         if task is not None:
             self._restore_progress(task)
-            self._open.send([task], firm=True, begun=True)
+            self._open.send([task], pinned=True, job_started=True)
 
     def _handle_declined(self, declined: messages.Declined) -> None:
         """Move declined tasks to a shard with more free capacity.
@@ -317,7 +317,7 @@
         )
         if not tasks:
             return
-        new_shard = ids.ShardId(declined.other or self._home_shard)
+        new_shard = ids.ShardId(declined.suggested_shard or self._home_shard)
         for task in tasks:
             self._progress.moved[task.key] = new_shard
             task.leader = None
@@ -332,7 +332,7 @@
     ) -> None:
         remaining = [task for task in tasks if self._open.get(task.key) is task]
         if remaining:
-            self._open.move(remaining, shard, begun=self.has_begun)
+            self._open.move(remaining, shard, job_started=self.has_started)
 
     def _store_progress(self) -> None:
         """Store new results, then acknowledge them to the workers."""
@@ -364,7 +364,7 @@
         return [
             _to_completion(event)
             for event in events
-            if isinstance(event, messages.Ended)
+            if isinstance(event, messages.RunEnded)
         ]
 
     def _pop_unacknowledged(self) -> list[_Completion]:
@@ -380,19 +380,19 @@
 
     def _acknowledge(self, completions: list[_Completion]) -> None:
         for completion in completions:
-            source = self._router.leader(completion.shard)
-            if source is not None:
-                source.send(
-                    messages.EndsNoted(
+            leader = self._router.leader(completion.shard)
+            if leader is not None:
+                leader.send(
+                    messages.ResultsStored(
                         shard=completion.shard,
                         job=self.stored.job.job_id,
                         step=completion.step,
-                        ends=((completion.index, completion.run),),
+                        runs=((completion.index, completion.run),),
                     )
                 )
 
 
-def _to_completion(event: messages.Ended) -> _Completion:
+def _to_completion(event: messages.RunEnded) -> _Completion:
     return _Completion(
         shard=event.shard, step=event.step, index=event.index, run=event.run
     )
--- a/sardineproxy/process/stored_jobs/fenced_rows.py
+++ b/sardineproxy/process/stored_jobs/fenced_rows.py
@@ -15,7 +15,7 @@
 
 from sardineproxy import ids, logs
 from sardineproxy.process import metrics, store
-from sardineproxy.process.shards import fences
+from sardineproxy.process.shards import fencing
 
 #: Table of stored jobs in the platform's store, one part for each shard.
 TABLE = 'sardineproxy_jobs'
@@ -49,7 +49,7 @@
 class Writer:
     """Process that writes the rows, with its fencing token."""
 
-    token: fences.Right
+    token: fencing.FencingToken
     incarnation: ids.Incarnation
 
 
@@ -224,6 +224,6 @@
 def _decode_writer(row: store.Row) -> Writer:
     epoch, rank, incarnation = msgpack.unpackb(row.body or b'')
     return Writer(
-        token=fences.Right(epoch=epoch, rank=rank),
+        token=fencing.FencingToken(epoch=epoch, rank=rank),
         incarnation=ids.Incarnation(incarnation),
     )
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -113,7 +113,7 @@
         return collections.Counter(
             unfinished.stored.route.route
             for unfinished in self._open.values()
-            if not unfinished.has_begun
+            if not unfinished.has_started
         )
 
     async def accept(self, stored: records.StoredJob) -> JobReply:
@@ -157,22 +157,22 @@
     def handle_message(
         self,
         source: link.Link,
-        message: messages.Ended | messages.Declined | messages.JobBegun,
+        message: messages.RunEnded | messages.Declined | messages.JobStarted,
     ) -> None:
         """Pass a message to the execution of its job."""
         running = self._open.get(message.job)
         if running is not None:
             running.post_event(message)
-        elif isinstance(message, messages.Ended):
+        elif isinstance(message, messages.RunEnded):
             # The job has ended or was never stored, so the result is not
             # needed: the worker can discard it.
             if self.is_loaded:
                 source.send(
-                    messages.EndsNoted(
+                    messages.ResultsStored(
                         shard=message.shard,
                         job=message.job,
                         step=message.step,
-                        ends=((message.index, message.run),),
+                        runs=((message.index, message.run),),
                     )
                 )
 
@@ -220,15 +220,15 @@
 
     def _load(self, rows: Iterable[store.Row]) -> None:
         """Resume the unfinished jobs and load the states of ended ones."""
-        progress = {
+        progress_rows = {
             row.key.removeprefix(job_table.PROGRESS_PREFIX): row
             for row in rows
             if row.key.startswith(job_table.PROGRESS_PREFIX)
         }
         for row in rows:
             if row.key.startswith(job_table.JOB_PREFIX):
-                name = row.key.removeprefix(job_table.JOB_PREFIX)
-                self._load_job(row, progress.get(name))
+                job = row.key.removeprefix(job_table.JOB_PREFIX)
+                self._load_job(row, progress_rows.get(job))
         self._is_loaded = True
         _LOG.info(
             'Stored jobs loaded.',
@@ -303,7 +303,7 @@
             max_delay_s=ACCEPT_COMMIT_DELAY_S,
         )
 
-        def begin(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
+        def on_stored(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
             self._storing.pop(job, None)
             if not done.cancelled() and done.result():
                 self._metrics.count('stored_jobs_total')
@@ -311,7 +311,7 @@
                     stored, records.JobProgress(), resumed=False
                 )
 
-        done.add_done_callback(begin)
+        done.add_done_callback(on_stored)
         return done
 
     async def _wait_stored(
@@ -332,13 +332,15 @@
         """Periodically remove final states past their retention."""
         while True:
             await asyncio.sleep(CLEANUP_PERIOD_S)
-            oldest = self._clock.wall() - self._retention_s - CLEANUP_SLACK_S
-            old = [
+            ended_before = (
+                self._clock.wall() - self._retention_s - CLEANUP_SLACK_S
+            )
+            expired = [
                 job
                 for job, ended in self._finished.items()
-                if ended.ended_at < oldest
+                if ended.ended_at < ended_before
             ]
-            for job in old:
+            for job in expired:
                 self._finished.pop(job)
                 for prefix in (job_table.JOB_PREFIX, job_table.PROGRESS_PREFIX):
                     self._table.put(
@@ -346,8 +348,8 @@
                         None,
                         max_delay_s=execution.PROGRESS_COMMIT_DELAY_S,
                     )
-            if old:
+            if expired:
                 _LOG.info(
                     'Expired job states removed.',
-                    extra={'cell': self.shard, 'jobs': len(old)},
+                    extra={'cell': self.shard, 'jobs': len(expired)},
                 )
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -15,8 +15,8 @@
 
 _Reply = job_manager.JobReply
 
-#: Timeout of a request, including the wait for a leader of the job's home
-#: shard, in seconds. A failed leader is replaced within a second.
+#: Time for attempts to reach a leader of the job's home shard, in seconds. A
+#: failed leader is replaced within a second.
 REPLY_TIMEOUT_S = 2.5
 
 #: Timeout of one attempt in seconds, longer than a manager's store timeout.
@@ -42,7 +42,7 @@
         """Return the link to the leader of a shard, None if unknown."""
 
 
-#: Returns the request to a shard's leader for a shard and a request token.
+#: Returns the request to a shard's leader for a shard and a request id.
 _RequestFactory = Callable[[ids.ShardId, int], messages.Message]
 
 
@@ -55,7 +55,7 @@
         """Create a service without job managers."""
         self._directory = directory
         self._clock = clock
-        self._tokens = itertools.count()
+        self._request_ids = itertools.count()
         self._pending_replies: dict[int, asyncio.Future[_Reply]] = {}
         self._links: dict[int, link.Link] = {}
         self._tasks = background.Tasks()
@@ -87,25 +87,25 @@
     async def store(
         self, stored: records.StoredJob, wait_s: float
     ) -> job_manager.JobReply:
-        """Store a job in its home shard; wait at most ``wait_s`` seconds."""
+        """Store a job in its home shard; retry for up to ``wait_s`` seconds."""
         body = records.encode_job(stored)
         return await self._request_from_leader(
             stored.job.job_id,
             wait_s,
-            lambda shard, token: messages.KeepJob(
-                shard=shard, token=token, record=body
+            lambda shard, request_id: messages.StoreJob(
+                shard=shard, request_id=request_id, record=body
             ),
         )
 
     async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool = False
     ) -> job_manager.JobReply:
-        """Return the state of a job, or cancel it."""
+        """Return the state of a job, or cancel it first if ``cancel``."""
         return await self._request_from_leader(
             job,
             wait_s,
-            lambda shard, token: messages.AskJob(
-                shard=shard, token=token, job=job, cancel=cancel
+            lambda shard, request_id: messages.QueryJob(
+                shard=shard, request_id=request_id, job=job, cancel=cancel
             ),
         )
 
@@ -131,15 +131,17 @@
     ) -> bool:
         """Handle a message; return False if it concerns no stored job."""
         match message:
-            case messages.KeepJob() | messages.AskJob():
+            case messages.StoreJob() | messages.QueryJob():
                 self._tasks.spawn(self._serve(source, message))
-            case messages.TellJob(token=token, answer=answer):
-                reply_fut = self._pending_replies.get(token)
+            case messages.JobResponse(request_id=request_id, answer=answer):
+                reply_fut = self._pending_replies.get(request_id)
                 if reply_fut is not None and not reply_fut.done():
                     reply_fut.set_result(_Reply(answer))
-            case messages.Ended(stored=True) | messages.Declined(stored=True):
+            case (
+                messages.RunEnded(stored=True) | messages.Declined(stored=True)
+            ):
                 self._deliver(source, message)
-            case messages.JobBegun():
+            case messages.JobStarted():
                 self._deliver(source, message)
             case _:
                 return False
@@ -147,8 +149,8 @@
 
     def link_closed(self, lost: link.Link) -> None:
         """Resolve requests sent over a lost link as UNKNOWN."""
-        for token, request_link in self._links.items():
-            reply_fut = self._pending_replies[token]
+        for request_id, request_link in self._links.items():
+            reply_fut = self._pending_replies[request_id]
             if request_link is lost and not reply_fut.done():
                 reply_fut.set_result(_Reply.UNKNOWN)
 
@@ -162,7 +164,7 @@
     def _deliver(
         self,
         source: link.Link,
-        message: messages.Ended | messages.Declined | messages.JobBegun,
+        message: messages.RunEnded | messages.Declined | messages.JobStarted,
     ) -> None:
         manager = self.managers.get(self.home_shard(message.job))
         if manager is not None:
@@ -197,42 +199,46 @@
     async def _attempt(
         self, shard: ids.ShardId, make_request: _RequestFactory
     ) -> job_manager.JobReply:
-        source = self._directory.leader(shard)
-        if source is None:
+        leader = self._directory.leader(shard)
+        if leader is None:
             return _Reply.UNAVAILABLE
-        token = next(self._tokens)
+        request_id = next(self._request_ids)
         reply_fut: asyncio.Future[_Reply] = (
             asyncio.get_running_loop().create_future()
         )
-        self._pending_replies[token] = reply_fut
-        self._links[token] = source
+        self._pending_replies[request_id] = reply_fut
+        self._links[request_id] = leader
         try:
-            if not source.send(make_request(shard, token)):
+            if not leader.send(make_request(shard, request_id)):
                 return _Reply.UNAVAILABLE
             async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
                 return await reply_fut
         except TimeoutError:
             return _Reply.UNKNOWN
         finally:
-            self._pending_replies.pop(token)
-            self._links.pop(token)
+            self._pending_replies.pop(request_id)
+            self._links.pop(request_id)
 
     async def _serve(
-        self, source: link.Link, request: messages.KeepJob | messages.AskJob
+        self, source: link.Link, request: messages.StoreJob | messages.QueryJob
     ) -> None:
         answer = await self._handle_request(request)
-        source.send(messages.TellJob(token=request.token, answer=answer.value))
+        source.send(
+            messages.JobResponse(
+                request_id=request.request_id, answer=answer.value
+            )
+        )
 
     async def _handle_request(
-        self, request: messages.KeepJob | messages.AskJob
+        self, request: messages.StoreJob | messages.QueryJob
     ) -> job_manager.JobReply:
         manager = self.managers.get(request.shard)
         if manager is None:
             return _Reply.UNAVAILABLE
         match request:
-            case messages.AskJob(job=job, cancel=True):
+            case messages.QueryJob(job=job, cancel=True):
                 return await manager.cancel(job)
-            case messages.AskJob(job=job):
+            case messages.QueryJob(job=job):
                 return await manager.query(job)
         decoded = records.decode_job(request.record)
         if isinstance(decoded, result.Err):
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -201,11 +201,11 @@
 
     async def _commit(self, batch: _Batch) -> None:
         """Commit a batch, and resolve or requeue its changes."""
-        began_at = self._clock.now()
+        started_at = self._clock.now()
         outcome = await self._commit_until_resolved(batch)
         self._metrics.observe(
             'commit_seconds',
-            self._clock.now() - began_at,
+            self._clock.now() - started_at,
             outcome=outcome.value,
         )
         self._active_commits -= 1
@@ -228,8 +228,8 @@
         may_be_stored = False
         while True:
             outcome = await self._rows.commit(changes)
-            is_over = outcome in {_Outcome.DONE, _Outcome.SUPERSEDED}
-            if is_over or (
+            is_resolved = outcome in {_Outcome.DONE, _Outcome.SUPERSEDED}
+            if is_resolved or (
                 outcome is _Outcome.NOT_APPLIED and not may_be_stored
             ):
                 return outcome
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -77,7 +77,7 @@
         self,
         *,
         cfg: Config,
-        ctx: peer.Context,
+        ctx: peer.StreamContext,
         rng: random.Random,
         vm: ids.VmId,
         connect: peer.Connect,
@@ -145,15 +145,15 @@
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
     def check_liveness(self, now: float, heartbeat: frames.Heartbeat) -> None:
-        """Close unresponsive and unused streams; send heartbeats on idle ones."""
+        """Close dead and unused streams; send heartbeats on idle ones."""
         for vm, stream in list(self.by_vm.items()):
-            if now - stream.heard_at >= self._cfg.peer_silent_s:
+            if now - stream.last_received_at >= self._cfg.peer_silent_s:
                 stream.abort('no frames from the peer')
                 self._unregister(stream)
             elif self._is_unused(vm, stream, now):
                 stream.abort('unused')
                 self._unregister(stream)
-            elif now - stream.sent_at >= self._cfg.heartbeat_s:
+            elif now - stream.last_sent_at >= self._cfg.heartbeat_s:
                 stream.send(heartbeat)
 
     def abort_all(self, cause: str) -> None:
@@ -166,7 +166,7 @@
         return (
             stream.dialed
             and vm not in self.neighbors.chosen
-            and now - stream.used_at >= self._cfg.unused_s
+            and now - stream.last_used_at >= self._cfg.unused_s
         )
 
     def _spawn(self, work: Coroutine[None, None, object]) -> None:
@@ -252,7 +252,7 @@
             if self.by_vm.get(stream.hello.vm) is not stream:
                 return
             if isinstance(received, result.Err):
-                if received.err_value != frames.CLOSED:
+                if received.err_value != frames.STREAM_CLOSED:
                     self._reject(stream, received.err_value)
                 return
             if isinstance(received.ok_value, frames.Hello):
@@ -289,7 +289,7 @@
             old.hello.incarnation == new.hello.incarnation
             and old.dialed == smaller_dials
             and new.dialed != smaller_dials
-            and self._ctx.clock.now() - old.since < SIMULTANEOUS_OPEN_S
+            and self._ctx.clock.now() - old.opened_at < SIMULTANEOUS_OPEN_S
         )
 
     def _unregister(self, stream: peer.Stream) -> None:
@@ -297,7 +297,7 @@
         if hello is None or self.by_vm.get(hello.vm) is not stream:
             return
         self.by_vm.pop(hello.vm)
-        if self._ctx.clock.now() - stream.since >= BACK_OFF_MAX_S:
+        if self._ctx.clock.now() - stream.opened_at >= BACK_OFF_MAX_S:
             self._retries.pop(hello.vm, None)
         self._back_off(hello.vm)
         self._events.stream_closed(stream)
--- a/sardineproxy/process/views.py
+++ b/sardineproxy/process/views.py
@@ -1,10 +1,15 @@
-"""Membership views of a zone, and what a view gives to this process.
-
-A process that is in two views at different times may own a slot in one that
-another process owns in the other. So it takes a slot up only after every
-connected process of the zone has stated the same view in answer to this
-process's present one, and each gives up what its own next view takes away
-before it states that view.
+"""Membership views of a zone, and slot ownership in a view.
+
+A view assigns all slots of the zone to its members. Processes with different
+views may assign a slot to different members. Two rules prevent that two
+processes use the same slot:
+
+- Before a process announces a new view, it stops starting tasks on slots that
+  it does not own in that view. Once these slots are no longer in use or lent,
+  or after a time limit, it announces the view as settled.
+- A process uses newly owned slots only after the view is confirmed: every
+  connected process of the zone has announced the same view as settled, after
+  it received this process's announcement.
 """
 
 import dataclasses
@@ -21,7 +26,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LimitDivision:
-    """How a customer's holding limit is divided in one view."""
+    """Division of the customers' concurrency limits in one view.
+
+    A limit is divided among zones, and within a zone among its entry VMs, in
+    proportion to their slots.
+    """
 
     vm: ids.VmId
     zone: ids.ZoneId
@@ -29,17 +38,17 @@
     vm_slots: Mapping[ids.VmId, int]
 
     def limit_share(self, customer: ids.CustomerId, limit: int) -> int:
-        """Return this VM's part of the limit."""
-        zones = rendezvous.divide(limit, self.zone_slots, customer)
-        vms = rendezvous.divide(
-            zones.get(self.zone, 0), self.vm_slots, customer
+        """Return this VM's share of the limit."""
+        zone_shares = rendezvous.divide(limit, self.zone_slots, customer)
+        vm_shares = rendezvous.divide(
+            zone_shares.get(self.zone, 0), self.vm_slots, customer
         )
-        return vms.get(self.vm, 0)
+        return vm_shares.get(self.vm, 0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CandidateView:
-    """A view and what it gives to this process."""
+    """A view, with the slots and limits that it assigns to this process."""
 
     members: tuple[Member, ...]
     digest: str
@@ -52,18 +61,23 @@
     """A connected process of the zone."""
 
     incarnation: ids.Incarnation
-    statement: frames.View | None = None
+    last_view: frames.View | None = None
     is_leaving: bool = False
 
-    #: Epoch, epoch of the peer that was heard, and settled, as last sent.
+    #: Fields ``epoch``, ``acknowledged_epoch`` and ``settled`` of the view that was last
+    #: sent to the peer.
     sent: tuple[int, int, bool] = (0, 0, False)
 
-    def received_epoch(self) -> int:
-        return self.statement.epoch if self.statement else 0
+    def announced_epoch(self) -> int:
+        return self.last_view.epoch if self.last_view else 0
 
 
 class MembershipViews:
-    """The zone's membership as this process sees it."""
+    """The membership view of this process, and its agreement with peers.
+
+    ``candidate`` is the newest view, ``owned`` are the slots that the process
+    may use now.
+    """
 
     def __init__(
         self,
@@ -73,18 +87,29 @@
         zone: ids.ZoneId,
         grace_s: float,
     ) -> None:
-        """Start without peers, owning nothing."""
+        """Create a view without peers and without owned slots.
+
+        A process that has been unconnected for less than ``grace_s`` may still
+        use its slots, so no view is confirmed meanwhile.
+        """
         self._own_member = (vm, incarnation)
         self._zone = zone
         self._grace_s = grace_s
         self._listing = platform.VmList(revision=0, vms=())
         self._peers: dict[ids.VmId, _MemberPeer] = {}
+
+        #: Times since which processes of the zone are unconnected. Processes
+        #: that are no longer listed are removed after the grace period.
         self._absent: dict[ids.VmId, float] = {}
+
+        #: Unconnected processes that said goodbye; these are not absent.
         self._departed: set[ids.VmId] = set()
         self._owner_cache: dict[str, ids.VmId | None] = {}
         self._owner_cache_sizes: dict[ids.VmId, float] = {}
+
+        #: Sizes of the live entry VMs of the zone.
         self._live: dict[ids.VmId, int] = {}
-        self._is_stale = True
+        self._is_outdated = True
         self._leaving = False
         self._epoch = 0
         self.candidate = self._build(())
@@ -101,19 +126,19 @@
             and vm.zone == self._zone
             and vm.state is platform.VmState.LIVE
         }
-        self._is_stale = True
+        self._is_outdated = True
 
     def add_peer(self, vm: ids.VmId, incarnation: ids.Incarnation) -> None:
-        """Note a stream to a process of the zone."""
+        """Add a process of the zone to which a stream was opened."""
         self._peers[vm] = _MemberPeer(incarnation=incarnation)
-        self._is_stale = True
+        self._is_outdated = True
         self._absent.pop(vm, None)
         self._departed.discard(vm)
 
     def remove_peer(self, vm: ids.VmId, now: float) -> None:
-        """Note that the stream to the process is closed."""
+        """Remove a process whose stream was closed."""
         peer = self._peers.pop(vm, None)
-        self._is_stale = True
+        self._is_outdated = True
         if peer and peer.is_leaving:
             self._departed.add(vm)
         elif peer:
@@ -122,52 +147,56 @@
     def handle_frame(
         self, vm: ids.VmId, frame: frames.View | frames.Goodbye
     ) -> None:
-        """Note the view that the process states, or that it ends."""
+        """Process a view that a peer announces, or its goodbye."""
         peer = self._peers.get(vm)
         if peer is None:
             return
         match frame:
             case frames.View():
-                peer.statement = frame
+                peer.last_view = frame
             case frames.Goodbye():
                 peer.is_leaving = True
-                self._is_stale = True
+                self._is_outdated = True
 
     def leave(self) -> None:
-        """Give up everything for good."""
+        """Leave the zone for good: own nothing from the next view on."""
         self._leaving = True
-        self._is_stale = True
+        self._is_outdated = True
 
     def drop_owned(self) -> None:
-        """Give up everything until the peers confirm a view anew."""
+        """Release all slots until the peers confirm a view again."""
         self.owned = {}
         self._epoch += 1
         self.confirmed = False
 
     def update_candidate(self, now: float) -> bool:
-        """Compute the candidate view; tell whether it is a new one.
+        """Compute the candidate view; return whether it has changed.
 
-        What a new candidate takes away is given up here.
+        Slots that are not owned in the new candidate are released.
         """
         self._update_absent(now)
-        if not self._is_stale:
+        if not self._is_outdated:
             return False
-        self._is_stale = False
-        fresh = self._build(self._members())
-        if fresh.digest == self.candidate.digest and self._epoch:
+        self._is_outdated = False
+        candidate = self._build(self._members())
+        if candidate.digest == self.candidate.digest and self._epoch:
             return False
-        self.candidate = fresh
+        self.candidate = candidate
         self.confirmed = False
         self._epoch += 1
         self.owned = {
-            endpoint: min(slots, fresh.owned[endpoint])
+            endpoint: min(slots, candidate.owned[endpoint])
             for endpoint, slots in self.owned.items()
-            if endpoint in fresh.owned
+            if endpoint in candidate.owned
         }
         return True
 
     def confirm_candidate(self, now: float, *, settled: bool) -> bool:
-        """Take up the candidate if all confirmed it; tell whether it did."""
+        """Confirm the candidate, and own its slots, if all peers agree.
+
+        ``settled`` is whether this process uses no slots beyond the candidate.
+        Returns whether the candidate was confirmed by this call.
+        """
         if self.confirmed or not settled or self._in_grace(now):
             return False
         if not all(self._agrees(peer) for peer in self._peers.values()):
@@ -176,27 +205,27 @@
         self.owned = dict(self.candidate.owned)
         return True
 
-    def pending_statements(
+    def pending_announcements(
         self, *, settled: bool
     ) -> list[tuple[ids.VmId, frames.Frame]]:
-        """Return the views to state now, and to whom."""
-        statements: list[tuple[ids.VmId, frames.Frame]] = []
+        """Return the views to announce now, with the peers to send them to."""
+        announcements: list[tuple[ids.VmId, frames.Frame]] = []
         for vm, peer in self._peers.items():
-            heard = peer.received_epoch()
-            epoch, sent_heard, sent_settled = peer.sent
-            same = bool(
-                peer.statement
-                and peer.statement.digest == self.candidate.digest
+            peer_epoch = peer.announced_epoch()
+            sent_epoch, sent_peer_epoch, sent_settled = peer.sent
+            same_view = bool(
+                peer.last_view
+                and peer.last_view.digest == self.candidate.digest
             )
             if (
-                epoch == self._epoch
+                sent_epoch == self._epoch
                 and sent_settled == settled
-                and not (same and sent_heard != heard)
+                and not (same_view and sent_peer_epoch != peer_epoch)
             ):
                 continue
-            peer.sent = (self._epoch, heard, settled)
-            statements.append((vm, self._statement(heard, settled)))
-        return statements
+            peer.sent = (self._epoch, peer_epoch, settled)
+            announcements.append((vm, self._announcement(peer_epoch, settled)))
+        return announcements
 
     def state(self, now: float) -> dict[str, object]:
         """Return the view for the state dump."""
@@ -216,25 +245,32 @@
         }
 
     def absent_since(self) -> Mapping[ids.VmId, float]:
-        """Return since when live processes of the zone are not connected."""
+        """Return the times since which processes of the zone are unconnected.
+
+        Processes that said goodbye are left out.
+        """
         return self._absent
 
-    def _statement(self, heard: int, settled: bool) -> frames.View:
+    def _announcement(self, peer_epoch: int, settled: bool) -> frames.View:
         return frames.View(
             members=self.candidate.members,
             digest=self.candidate.digest,
             epoch=self._epoch,
-            heard=heard,
+            acknowledged_epoch=peer_epoch,
             settled=settled,
         )
 
     def _agrees(self, peer: _MemberPeer) -> bool:
-        """Tell whether the peer stated this view after seeing it stated."""
+        """Return whether the peer has confirmed the candidate view.
+
+        It has if it announced the same view as settled, in reply to this
+        process's announcement, or if it is leaving.
+        """
         return peer.is_leaving or bool(
-            peer.statement
-            and peer.statement.digest == self.candidate.digest
-            and peer.statement.heard == self._epoch
-            and peer.statement.settled
+            peer.last_view
+            and peer.last_view.digest == self.candidate.digest
+            and peer.last_view.acknowledged_epoch == self._epoch
+            and peer.last_view.settled
         )
 
     def _in_grace(self, now: float) -> bool:
@@ -243,6 +279,7 @@
         )
 
     def _update_absent(self, now: float) -> None:
+        """Add unconnected live processes; remove unlisted ones in time."""
         live = self._live
         self._departed.intersection_update(live)
         for vm in live:
@@ -267,7 +304,7 @@
     def _owner_of(
         self, endpoint: str, sizes: dict[ids.VmId, float]
     ) -> ids.VmId | None:
-        """Return the endpoint's owner; most changes move few endpoints."""
+        """Return the VM that owns the endpoint; cached for equal sizes."""
         if self._owner_cache_sizes != sizes:
             self._owner_cache_sizes = sizes
             self._owner_cache = {}
@@ -281,6 +318,8 @@
         owned: dict[ids.EndpointId, int] = {}
         vm_slots = {vm: 0 for vm, _ in members}
         zone_slots: dict[ids.ZoneId, int] = {}
+        # The digest covers all inputs of the assignment, so that processes
+        # with equal digests assign all slots alike.
         digest = hashlib.sha256(repr((members, sizes)).encode())
         for endpoint in _endpoints(self._listing):
             zone_slots[endpoint.zone] = (
--- a/sardineproxy/request/active_jobs.py
+++ b/sardineproxy/request/active_jobs.py
@@ -57,7 +57,7 @@
                 )
                 active.task.cancel()
 
-    def deliver(self, message: messages.Ended | messages.Declined) -> None:
+    def deliver(self, message: messages.RunEnded | messages.Declined) -> None:
         """Pass a message to its coordinator; drop it if the job has ended."""
         active = self._jobs.get(message.job)
         if active is not None:
