--- a/sardineproxy/request/admission.py
+++ b/sardineproxy/request/admission.py
@@ -1,4 +1,4 @@
-"""Submission rate, queue bound and deadlines of each customer's contract."""
+"""Admission control: rate, queue and deadline limits of the contracts."""
 
 import dataclasses
 import hashlib
@@ -12,12 +12,12 @@
 
 MS_PER_SECOND = 1000
 
-#: Retry-After of refusals that end at a time nobody knows, in seconds.
+#: Retry-After of refusals that last for an unknown time, in seconds.
 RETRY_AFTER_S = 1
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Bucket:
+class _TokenBucket:
     tokens: float
 
     #: Monotonic seconds of the last refill.
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Submission:
-    """A submission that a caller asks this VM to run."""
+    """A submission of a caller that has not been admitted yet."""
 
     customer: ids.CustomerId
     kind: work.TaskKind
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AdmittedSubmission:
-    """A submission that has been taken."""
+    """A submission that has been admitted, with its parsed document."""
 
     submission: Submission
     contract: contracts.Contract
@@ -70,11 +70,11 @@
 
 
 class Admission:
-    """Decides whether this VM takes a submission."""
+    """Decides whether this VM admits a submission."""
 
     def __init__(self) -> None:
         """Start without contracts and with full buckets."""
-        self._buckets: dict[ids.CustomerId, _Bucket] = {}
+        self._buckets: dict[ids.CustomerId, _TokenBucket] = {}
         self._contracts: dict[ids.CustomerId, contracts.Contract] = {}
         self._credentials: dict[str, ids.CustomerId] = {}
         self._live_vms = 1
@@ -82,7 +82,7 @@
         self._draining = False
 
     def set_version(self, version: versions.Version | None) -> None:
-        """Apply the version's contracts to what is submitted from now on."""
+        """Apply the version's contracts to later submissions."""
         self._ready = version is not None
         self._contracts = dict(version.contracts) if version else {}
         self._credentials = {
@@ -94,11 +94,11 @@
             self._buckets.pop(customer)
 
     def set_live_vms(self, count: int) -> None:
-        """Set among how many VMs the customers' rates are divided."""
+        """Set the number of VMs that the customers' rates are divided by."""
         self._live_vms = max(1, count)
 
     def drain(self) -> None:
-        """Refuse everything from now on."""
+        """Refuse all submissions from now on."""
         self._draining = True
 
     def authenticate(
@@ -110,22 +110,22 @@
         ).hexdigest()
         customer = self._credentials.get(digest)
         if customer is not None:
-            known = self._contracts[customer].credential_sha256
-            if any([hmac.compare_digest(digest, one) for one in known]):
+            hashes = self._contracts[customer].credential_sha256
+            if any([hmac.compare_digest(digest, stored) for stored in hashes]):
                 return result.Ok(customer)
         if not self._ready:
             return result.Err(_not_ready())
         return result.Err(unauthorized())
 
     def longest_deadline_s(self, *, customer: ids.CustomerId) -> float:
-        """Return how long a submission of the customer may take."""
+        """Return the longest deadline in the contract, 0 without contract."""
         contract = self._contracts.get(customer)
         if contract is None:
             return 0
         return contract.max_deadline_ms / MS_PER_SECOND
 
     def current_refusal(self) -> problems.Problem | None:
-        """Return why nothing is taken at present, if so."""
+        """Return the refusal that applies to all submissions, if any."""
         if self._draining:
             return _shutting_down()
         return None if self._ready else _not_ready()
@@ -133,10 +133,13 @@
     def admit(
         self, *, submission: Submission, waiting: int, now: float
     ) -> result.Result[AdmittedSubmission, problems.Problem]:
-        """Parse and take a submission, or return why it is refused."""
-        refused = self.current_refusal()
-        if refused is not None:
-            return result.Err(refused)
+        """Parse and admit a submission, or return the refusal.
+
+        ``waiting`` is the number of the customer's waiting tasks.
+        """
+        refusal = self.current_refusal()
+        if refusal is not None:
+            return result.Err(refusal)
         contract = self._contracts.get(submission.customer)
         if contract is None:
             return result.Err(_no_contract())
@@ -150,16 +153,16 @@
         admitted = AdmittedSubmission(
             submission=submission, contract=contract, document=parsed.ok_value
         )
-        refused = check_bounds(admitted=admitted) or self._charge(
+        refusal = check_bounds(admitted=admitted) or self._charge(
             contract=contract,
             tasks=len(admitted.document.tasks),
             waiting=waiting,
             now=now,
         )
-        return result.Err(refused) if refused else result.Ok(admitted)
+        return result.Err(refusal) if refusal else result.Ok(admitted)
 
     def state(self) -> dict[str, object]:
-        """Return the buckets and what they are derived from, for the dump."""
+        """Return the token buckets and their inputs for the state dump."""
         return {
             'draining': self._draining,
             'live_vms': self._live_vms,
@@ -178,11 +181,12 @@
         waiting: int,
         now: float,
     ) -> problems.Problem | None:
-        """Take ``tasks`` tokens, or return why the submission is refused.
+        """Spend ``tasks`` tokens, or return the refusal.
 
         A submission larger than the bucket or the queue is admitted when the
-        bucket is full and the queue empty, so that a job of ``max_job_tasks``
-        never has to wait forever. The bucket then goes into debt.
+        bucket is full and the queue is empty; otherwise a job of
+        ``max_job_tasks`` could never be admitted. The number of tokens then
+        becomes negative.
         """
         if waiting and waiting + tasks > contract.queue:
             return problems.refusal(
@@ -194,7 +198,7 @@
                 ),
                 retry_after_s=RETRY_AFTER_S,
             )
-        wait_s = self._take(contract, tasks, now)
+        wait_s = self._spend_tokens(contract, tasks, now)
         if wait_s > 0:
             return problems.refusal(
                 code='rate_limited',
@@ -207,28 +211,28 @@
             )
         return None
 
-    def _take(
+    def _spend_tokens(
         self, contract: contracts.Contract, tasks: int, now: float
     ) -> float:
-        """Take the tokens, or return the seconds until they are there."""
+        """Spend tokens and return 0, or return the seconds to wait."""
         rate = contract.submit_per_s / self._live_vms
         capacity = max(1, contract.submit_burst / self._live_vms)
         bucket = self._buckets.setdefault(
             ids.CustomerId(contract.customer),
-            _Bucket(tokens=capacity, filled_at=now),
+            _TokenBucket(tokens=capacity, filled_at=now),
         )
         refill = max(0, now - bucket.filled_at) * rate
         bucket.tokens = min(capacity, bucket.tokens + refill)
         bucket.filled_at = now
-        missing = min(tasks, capacity) - bucket.tokens
-        if missing > 0:
-            return missing / rate
+        missing_tokens = min(tasks, capacity) - bucket.tokens
+        if missing_tokens > 0:
+            return missing_tokens / rate
         bucket.tokens -= tasks
         return 0
 
 
 def check_bounds(*, admitted: AdmittedSubmission) -> problems.Problem | None:
-    """Return why the contract never allows the submission, if so."""
+    """Return the refusal if the contract never allows the submission."""
     contract, document = admitted.contract, admitted.document
     if not admitted.submission.keyed and not document.tasks[0].idempotent:
         return key_required()
@@ -242,17 +246,17 @@
                 f'{contract.max_job_tasks}.'
             ),
         )
-    asked = [
+    requested_ms = [
         document.deadline_ms,
         *(task.deadline_ms for task in document.tasks),
     ]
-    longest = max(deadline_ms or 0 for deadline_ms in asked)
-    if longest > contract.max_deadline_ms:
+    longest_ms = max(deadline_ms or 0 for deadline_ms in requested_ms)
+    if longest_ms > contract.max_deadline_ms:
         return problems.refusal(
             code='deadline_too_long',
             status=400,
             detail=(
-                f'The deadline of {longest} ms is longer than the '
+                f'The deadline of {longest_ms} ms is longer than the '
                 f'{contract.max_deadline_ms} ms of the contract.'
             ),
         )
@@ -265,13 +269,13 @@
     deadline_ms: int | None,
     now: float,
 ) -> float:
-    """Return the monotonic seconds after which a task must not start."""
+    """Return the time after which a task must not start, monotonic seconds."""
     default_ms = min(contract.default_deadline_ms, contract.max_deadline_ms)
     return now + (deadline_ms or default_ms) / MS_PER_SECOND
 
 
 def unauthorized() -> problems.Problem:
-    """Return the refusal of a credential that no contract has."""
+    """Return the refusal of a credential that no contract contains."""
     return problems.refusal(
         code='unauthorized',
         status=401,
@@ -280,7 +284,7 @@
 
 
 def overloaded() -> problems.Problem:
-    """Return the refusal of what there is no room for."""
+    """Return the refusal while too many submissions are in progress."""
     return problems.refusal(
         code='overloaded',
         status=503,
@@ -319,7 +323,7 @@
 
 
 def key_required() -> problems.Problem:
-    """Return the refusal of what needs a key and has none."""
+    """Return the refusal of a submission that lacks a required key."""
     return problems.refusal(
         code='key_required',
         status=400,
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -30,7 +30,7 @@
 
 
 Event = (
-    messages.Ended
+    messages.RunEnded
     | messages.Declined
     | open_tasks.LeaderLost
     | open_tasks.LeaderFound
@@ -89,7 +89,7 @@
         default_shard = self._router.default_shard()
         if default_shard is None:
             return jobs.NotRun(
-                detail='no cell has an owner', retry_after_s=NO_LEADER_RETRY_S
+                detail='no shard has a leader', retry_after_s=NO_LEADER_RETRY_S
             )
         try:
             return await self._run(default_shard)
@@ -118,7 +118,7 @@
 
     def _timeout_cause(self) -> str:
         if self._open.has_unassigned():
-            return 'no owner of the cell in time'
+            return 'no leader of the shard in time'
         return 'deadline passed'
 
     def _start_ready_steps(self, default_shard: ids.ShardId) -> None:
@@ -130,35 +130,35 @@
             self._waiting_steps.discard(step_index)
             tasks = open_tasks.new_tasks(self.job, step_index, default_shard)
             self._open.add(tasks)
-            self._open.send(tasks, firm=False, begun=self._has_begun)
+            self._open.send(tasks, pinned=False, job_started=self._job_started)
 
     @property
-    def _has_begun(self) -> bool:
+    def _job_started(self) -> bool:
         """Return whether a task may have started that is no longer open."""
         return self._may_have_run or bool(self._done_steps)
 
     def _handle_event(self, event: Event) -> jobs.Outcome | None:
         """Process an event; return the outcome if it ends the job."""
         match event:
-            case messages.Ended():
+            case messages.RunEnded():
                 return self._handle_result(event)
             case messages.Declined():
                 return self._handle_declined(event)
             case open_tasks.LeaderLost():
                 self._handle_leader_lost(event)
             case open_tasks.LeaderFound(shard=shard):
-                self._open.resume(shard, begun=self._has_begun)
+                self._open.resume(shard, job_started=self._job_started)
             case Stalled():
-                return jobs.GivenUp(detail='process stood still')
+                return jobs.GivenUp(detail='process was stalled')
         return None
 
-    def _handle_result(self, ended: messages.Ended) -> jobs.Outcome | None:
+    def _handle_result(self, ended: messages.RunEnded) -> jobs.Outcome | None:
         task = self._open.get((ended.step, ended.index))
         if task is None or task.shard != ended.shard:
             return None
         self._may_have_run = True
         task.next_run = max(task.next_run, ended.run + 1)
-        match jobs.TaskResult(ended.how):
+        match jobs.TaskResult(ended.result):
             case jobs.TaskResult.DONE:
                 if self._open.close(task.key):
                     self._done_steps.add(ended.step)
@@ -166,7 +166,9 @@
             case jobs.TaskResult.FAILED:
                 return self._retry_or_fail(task)
             case jobs.TaskResult.LATE | jobs.TaskResult.REPLACED:
-                return jobs.GivenUp(detail=f'task {ended.index}: {ended.how}')
+                return jobs.GivenUp(
+                    detail=f'task {ended.index}: {ended.result}'
+                )
 
     def _retry_or_fail(self, task: open_tasks.OpenTask) -> jobs.Outcome | None:
         """Submit a failed task again, or fail the job after too many runs."""
@@ -176,13 +178,13 @@
                 detail=f'task {task.index} failed {task.failures} times'
             )
         task.resumed = False
-        self._open.send([task], firm=True, begun=self._has_begun)
+        self._open.send([task], pinned=True, job_started=self._job_started)
         return None
 
     def _handle_declined(
         self, declined: messages.Declined
     ) -> jobs.Outcome | None:
-        """Move declined tasks once; otherwise end the job.
+        """Move declined tasks to another shard, or end the job.
 
         They move to the shard that the leader suggested. Tasks that had been
         moved already return to the default shard if another one declines
@@ -193,15 +195,19 @@
         )
         if not tasks:
             return None
-        if declined.other and not any(task.was_moved for task in tasks):
-            suggested = ids.ShardId(declined.other)
+        if declined.suggested_shard and not any(
+            task.was_moved for task in tasks
+        ):
+            suggested = ids.ShardId(declined.suggested_shard)
             if self._router.leader(suggested) is not None:
-                self._open.move(tasks, suggested, begun=self._has_begun)
+                self._open.move(tasks, suggested, job_started=self._job_started)
                 return None
         elif any(task.was_moved for task in tasks):
             default_shard = self._router.default_shard()
             if default_shard is not None and default_shard != declined.shard:
-                self._open.move(tasks, default_shard, begun=self._has_begun)
+                self._open.move(
+                    tasks, default_shard, job_started=self._job_started
+                )
                 return None
         return self._declined_outcome(declined, tasks)
 
@@ -212,9 +218,9 @@
         for task in tasks:
             task.leader = None
         all_declined = len(tasks) == len(self._open)
-        if all_declined and not self._has_begun:
+        if all_declined and not self._job_started:
             return jobs.NotRun(
-                detail=declined.cause, retry_after_s=declined.retry_s
+                detail=declined.cause, retry_after_s=declined.retry_after_s
             )
         return jobs.GivenUp(detail=f'some tasks declined: {declined.cause}')
 
@@ -232,4 +238,4 @@
                     'longest_wait_s': LEADER_WAIT_S,
                 },
             )
-        self._open.resume(lost.shard, begun=self._has_begun)
+        self._open.resume(lost.shard, job_started=self._job_started)
--- a/sardineproxy/request/documents.py
+++ b/sardineproxy/request/documents.py
@@ -1,4 +1,4 @@
-"""Parse what callers submit and render what they are answered."""
+"""Parses the documents that callers submit and renders the replies."""
 
 import base64
 import binascii
@@ -17,35 +17,35 @@
 
 JSON_HEADERS = (('Content-Type', 'application/json'),)
 
-#: Largest body of a caller's request, in bytes.
+#: Maximum size of a caller's request body, in bytes.
 MAX_BODY_BYTES = 8_388_608
 
-#: Most tasks in a job, whatever the contract allows.
+#: Maximum number of tasks in a job, regardless of the contract.
 MAX_JOB_TASKS = 1700
 
-#: Most keys that are minted for one request.
+#: Maximum number of keys issued for one request.
 MAX_KEYS = 1000
 
-#: Longest path of a task, in characters.
+#: Maximum length of a task's path, in characters.
 MAX_PATH_CHARACTERS = 8192
 
-#: Most headers of a task, and their total size in characters.
+#: Maximum number of headers of a task, and their total size in characters.
 MAX_HEADERS = 64
 MAX_HEADER_CHARACTERS = 16_384
 
-#: Most members of all arrays and objects in a submission together; the
-#: largest job has fewer.
+#: Maximum total number of elements and members of all arrays and objects in a
+#: submission; the largest job has fewer.
 MAX_MEMBERS = 131_072
 
-#: Most quotation marks of a submission with so many members, as each has up
-#: to two strings.
+#: Maximum number of quotation marks in a submission: a member has at most two
+#: strings, its name and its value.
 MAX_QUOTES = 4 * MAX_MEMBERS
 
 METHODS = frozenset(
     ('GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS')
 )
 
-#: Headers that belong to one connection, or that the dispatcher sets itself.
+#: Hop-by-hop headers, and headers that the dispatcher sets itself.
 REFUSED_HEADERS = frozenset(
     (
         'connection',
@@ -66,19 +66,19 @@
 
 _HEADER_NAME = re.compile(r"[0-9A-Za-z!#$%&'*+.^_`|~-]+", re.ASCII)
 _HEADER_TEXT = re.compile(r'[\t\x20-\x7e]*', re.ASCII)
-# "#" would start a fragment, which clients do not send to servers.
+# "#" is excluded: it starts a fragment, which clients do not send to servers.
 _PATH = re.compile(r'/[\x21\x22\x24-\x7e]*', re.ASCII)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """A whole HTTP answer to a caller."""
+    """A complete HTTP response to a caller."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
-    #: What it says of the request; None if it says nothing final.
+    #: Verdict on the request, None if there is none yet.
     verdict: verdicts.Verdict | None = None
 
 
@@ -144,7 +144,7 @@
 
 
 class TaskDocument(_Model):
-    """One task as a caller describes it."""
+    """One task as submitted by a caller."""
 
     method: Annotated[str, pydantic.AfterValidator(_check_method)]
     path: Annotated[str, pydantic.AfterValidator(_check_path)]
@@ -172,7 +172,7 @@
 
 
 class JobDocument(_Model):
-    """A job as a caller describes it."""
+    """A job as submitted by a caller."""
 
     tasks: Annotated[
         list[TaskDocument],
@@ -180,12 +180,12 @@
         pydantic.Field(min_length=1, max_length=MAX_JOB_TASKS),
     ]
 
-    #: Deadline of the tasks that give none.
+    #: Deadline of the tasks that do not set one.
     deadline_ms: DeadlineMs | None = None
 
 
 class KeysDocument(_Model):
-    """How many keys a caller asks for."""
+    """Request for new idempotency keys."""
 
     count: Annotated[int, pydantic.Field(ge=1, le=MAX_KEYS)] = 1
 
@@ -195,7 +195,7 @@
 
 
 def parse_submission(*, kind: work.TaskKind, body: bytes) -> Parsed:
-    """Parse a job or a single request; the latter as a job of one task."""
+    """Parse a job or a single request; a request becomes a job of one task."""
     try:
         if kind is work.TaskKind.JOB:
             return result.Ok(_load(JobDocument, body))
@@ -206,7 +206,7 @@
 
 
 def parse_key_count(body: bytes) -> result.Result[int, problems.Problem]:
-    """Return how many keys are asked for; an empty body asks for one."""
+    """Return the number of requested keys, 1 for an empty body."""
     try:
         document = _load(KeysDocument, body or b'{}')
     except ValueError as exc:
@@ -215,10 +215,10 @@
 
 
 def _load(model: type[_Document], body: bytes) -> _Document:
-    """Return the document, or raise ValueError.
+    """Return the validated document; raise ValueError if it is malformed.
 
-    The bounds come first: without them, 8 MiB of small numbers or unknown
-    members keep the process busy for seconds.
+    Size limits are checked before parsing: without them, 8 MiB of small
+    numbers or unknown members would occupy the process for seconds.
     """
     if len(body) > MAX_BODY_BYTES:
         raise ValueError(f'the body is larger than {MAX_BODY_BYTES} bytes')
@@ -236,7 +236,7 @@
 
 
 def _count_members(body: bytes) -> int:
-    """Return the number of members in well-formed JSON, or a higher one."""
+    """Return an upper bound of the number of members in well-formed JSON."""
     plain = body.replace(rb'\\', b'').replace(rb'\"', b'')
     if plain.count(b'"') > MAX_QUOTES:
         return MAX_QUOTES
@@ -245,7 +245,7 @@
 
 
 def _check_object(members: list[tuple[str, Any]]) -> dict[str, Any]:
-    """Return the object; raise ValueError if members repeat or abound."""
+    """Return the object; raise ValueError on duplicate or too many members."""
     if len(members) > MAX_HEADERS:
         raise ValueError(f'an object has more than {MAX_HEADERS} members')
     checked = dict(members)
@@ -261,18 +261,18 @@
 def _malformed(exc: ValueError) -> problems.Problem:
     detail = str(exc)
     if isinstance(exc, pydantic.ValidationError):
-        # The input is left out: it may hold what must not be repeated.
-        first = exc.errors(include_url=False, include_input=False)[0]
-        place = '.'.join(str(part) for part in first['loc'])
-        detail = f'{place}: {first["msg"]}' if place else first['msg']
+        # The input is omitted, as it may contain confidential data.
+        error = exc.errors(include_url=False, include_input=False)[0]
+        location = '.'.join(str(part) for part in error['loc'])
+        detail = f'{location}: {error["msg"]}' if location else error['msg']
     elif isinstance(exc, UnicodeDecodeError):
         detail = 'The body is not valid UTF-8.'
     return problems.refusal(code='malformed_request', status=400, detail=detail)
 
 
-@functools.cache  # Notes by the ten thousand share the few that there are.
+@functools.cache  # Tens of thousands of tombstones share a few problems.
 def answer_dropped(verdict: verdicts.Verdict | None) -> problems.Problem:
-    """Return what is left of a record that had to make room."""
+    """Return the problem that replaces the answer of an evicted record."""
     return problems.Problem(
         code='answer_dropped',
         verdict=verdict or verdicts.Verdict.MAY_HAVE_RUN,
@@ -282,7 +282,7 @@
 
 
 def answer_too_large(verdict: verdicts.Verdict | None) -> problems.Problem:
-    """Return what is left of an answer that fits into no peer message."""
+    """Return the problem for an answer too large for a peer message."""
     return problems.Problem(
         code='answer_too_large_to_forward',
         verdict=verdict or verdicts.Verdict.MAY_HAVE_RUN,
@@ -297,7 +297,7 @@
     document: Mapping[str, Any],
     verdict: verdicts.Verdict | None = None,
 ) -> Reply:
-    """Return a JSON answer."""
+    """Return a reply with a JSON body."""
     return Reply(
         status=status,
         headers=JSON_HEADERS,
@@ -309,7 +309,7 @@
 def render_problem(
     problem: problems.Problem, request_id: ids.RequestId | None = None
 ) -> Reply:
-    """Return a problem document, with ``Retry-After`` in whole seconds."""
+    """Return a problem reply, with ``Retry-After`` in whole seconds."""
     document = problem_document(problem)
     if request_id is not None:
         document['id'] = request_id
--- a/sardineproxy/request/executions.py
+++ b/sardineproxy/request/executions.py
@@ -1,4 +1,4 @@
-"""Run submissions to completion and render their answers."""
+"""Runs submissions to completion and renders their answers."""
 
 import asyncio
 import base64
@@ -10,13 +10,13 @@
 from sardineproxy.process import metrics
 from sardineproxy.request import admission, documents, records, work
 
-#: Most bytes of endpoints' answers that one job may collect.
+#: Maximum total size of the endpoints' answers to one job, in bytes.
 MAX_JOB_ANSWER_BYTES = 33_554_432
 
-#: Most running submissions that the state dump lists.
+#: Maximum number of running submissions listed in the state dump.
 MAX_LISTED = 100
 
-#: Statuses from this one on mean that the endpoint reported an error.
+#: Lowest HTTP status that counts as an error of the endpoint.
 FIRST_ERROR_STATUS = 400
 
 _Kept = TypeVar('_Kept')
@@ -33,10 +33,10 @@
         """Run a job's task at most once."""
 
     def cancel(self, *, request_id: ids.RequestId) -> None:
-        """End the waiting tasks of a request as refused: ``cancelled``."""
+        """Refuse the waiting tasks of a request as ``cancelled``."""
 
     def waiting(self, *, customer: ids.CustomerId) -> int:
-        """Return how many tasks of the customer wait."""
+        """Return the number of the customer's waiting tasks."""
 
 
 class Execution:
@@ -50,7 +50,7 @@
         runner: Runner,
         unstarted: collections.Counter[ids.CustomerId],
     ) -> None:
-        """Start nothing yet; ``unstarted`` counts tasks not yet handed over."""
+        """Start nothing; ``unstarted`` counts tasks not passed to a runner."""
         self._record = record
         self._unstarted = unstarted
         self._tasks = tasks
@@ -69,15 +69,15 @@
 
     async def _run_task(self, task: work.Task) -> work.Outcome:
         self._unstarted[task.customer] -= 1
-        outcome = await self._outcome(task)
+        outcome = await self._run_if_not_cancelled(task)
         self._record.ended_tasks += 1
         if isinstance(outcome, work.Response):
             self._answer_bytes += len(outcome.body)
             if self._answer_bytes > MAX_JOB_ANSWER_BYTES:
-                return _without_answer(outcome)
+                return _without_body(outcome)
         return outcome
 
-    async def _outcome(self, task: work.Task) -> work.Outcome:
+    async def _run_if_not_cancelled(self, task: work.Task) -> work.Outcome:
         if self._record.cancelled:
             return work.Refused(problem=cancelled())
         run = self._runner.run_single
@@ -86,13 +86,19 @@
         try:
             return await run(task=task)
         except Exception:
-            # A fault in the dispatcher may come after the first byte.
-            _log.exception('task failed', extra={'id': task.request_id})
+            # The task may have run: the dispatcher can raise after the first
+            # byte has been sent.
+            _log.exception(
+                'Task raised an exception.', extra={'id': task.request_id}
+            )
             return work.OutcomeUnknown(problem=_internal_error())
 
 
 class Executions:
-    """Everything that this process has in progress for callers."""
+    """All submissions of callers that are in progress at this process.
+
+    Requests that are forwarded to other processes count as in progress, too.
+    """
 
     def __init__(
         self,
@@ -109,7 +115,7 @@
         self._metrics = metrics
         self._records: dict[ids.RequestId, records.Record] = {}
 
-        #: Bytes of the submissions in progress.
+        #: Total size of the submissions in progress, in bytes.
         self.running_bytes = 0
         self._in_progress: set[asyncio.Task[Any]] = set()
         self._unstarted: collections.Counter[ids.CustomerId] = (
@@ -124,7 +130,10 @@
         sequence: int | None = None,
         fingerprint: bytes = b'',
     ) -> records.Record:
-        """Run a submission; its tasks count as waiting from now on."""
+        """Start a submission and return its record.
+
+        Its tasks count as waiting from now on.
+        """
         now = self._clock.now()
         record = records.Record(
             request_id=request_id,
@@ -154,7 +163,7 @@
     def run_detached(
         self, coroutine: Coroutine[Any, Any, _Kept]
     ) -> Awaitable[_Kept]:
-        """Run to the end even if whoever waits for the result goes away."""
+        """Run a coroutine to its end even if its awaiter is cancelled."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._in_progress.add(task)
         task.add_done_callback(self._in_progress.discard)
@@ -166,7 +175,7 @@
             await asyncio.wait(self._in_progress)
 
     def waiting(self, *, customer: ids.CustomerId) -> int:
-        """Return how many admitted tasks of the customer have not started."""
+        """Return the number of the customer's tasks that have not started."""
         waiting = self._runner.waiting(customer=customer)
         return waiting + self._unstarted[customer]
 
@@ -181,7 +190,7 @@
         }
 
     def cancel(self, *, record: records.Record) -> None:
-        """Keep tasks of the record that have not started from starting."""
+        """Cancel the tasks of the record that have not started."""
         if not record.cancelled:
             record.cancelled = True
             self._runner.cancel(request_id=record.request_id)
@@ -190,8 +199,10 @@
         try:
             reply = await execution.run()
         except Exception:
-            # Whoever waits for the record must get an answer.
-            _log.exception('answer failed', extra={'id': record.request_id})
+            # Without a reply, callers of this record would wait forever.
+            _log.exception(
+                'Rendering the reply failed.', extra={'id': record.request_id}
+            )
             reply = documents.render_problem(_internal_error())
         record.ended_at = self._clock.now()
         record.reply_future.set_result(reply)
@@ -235,7 +246,7 @@
 
 
 def outcome_verdict(outcome: work.Outcome) -> verdicts.Verdict:
-    """Return what became of one task."""
+    """Return the verdict on one task."""
     match outcome:
         case work.Response(status=status):
             if status < FIRST_ERROR_STATUS:
@@ -248,17 +259,17 @@
 
 
 def job_verdict(outcomes: Sequence[work.Outcome]) -> verdicts.Verdict:
-    """Return what became of the whole job."""
-    found = {outcome_verdict(outcome) for outcome in outcomes}
-    if verdicts.Verdict.MAY_HAVE_RUN in found:
+    """Return the verdict on a job with these task outcomes."""
+    task_verdicts = {outcome_verdict(outcome) for outcome in outcomes}
+    if verdicts.Verdict.MAY_HAVE_RUN in task_verdicts:
         return verdicts.Verdict.MAY_HAVE_RUN
-    if len(found) == 1:
-        return found.pop()
+    if len(task_verdicts) == 1:
+        return task_verdicts.pop()
     return verdicts.Verdict.RAN_AND_FAILED
 
 
 def answer_document(answer: work.Response) -> dict[str, Any]:
-    """Return an endpoint's answer; a body that is not UTF-8 as base64."""
+    """Return an endpoint's answer as JSON; a non-UTF-8 body is base64."""
     document: dict[str, Any] = {
         'verdict': outcome_verdict(answer).value,
         'status': answer.status,
@@ -288,9 +299,13 @@
     record: records.Record, outcomes: Sequence[work.Outcome]
 ) -> documents.Reply:
     verdict = job_verdict(outcomes)
-    whole = all(isinstance(outcome, work.Response) for outcome in outcomes)
+    all_answered = all(
+        isinstance(outcome, work.Response) for outcome in outcomes
+    )
     complete = (
-        whole and verdict is verdicts.Verdict.RAN and not record.cancelled
+        all_answered
+        and verdict is verdicts.Verdict.RAN
+        and not record.cancelled
     )
     return documents.render_json(
         status=200,
@@ -314,7 +329,8 @@
     }
 
 
-def _without_answer(answer: work.Response) -> work.Outcome:
+def _without_body(answer: work.Response) -> work.Outcome:
+    """Return an outcome with the answer's verdict but not its body."""
     return work.OutcomeUnknown(
         problem=problems.Problem(
             code='answers_too_large',
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -1,8 +1,9 @@
-"""Order of waiting tasks: start-time fair queueing over customers.
+"""Start-time fair queueing of tasks over customers.
 
-Each customer has a start tag in virtual seconds. A start advances the tag by
-the estimated run time divided by the customer's weight; the end corrects it
-to the observed run time. The customer with the least tag starts next.
+Each customer has a start tag in virtual seconds. Starting a task advances the
+tag by the estimated run time divided by the customer's weight; finishing it
+corrects the tag to the observed run time. The customer with the lowest tag
+starts next.
 """
 
 import dataclasses
@@ -13,40 +14,39 @@
 from sardineproxy import ids
 from sardineproxy.request import flows, work
 
-#: Least part of a new observation in a customer's estimated run time; the
-#: first observations count for more.
+#: Minimum weight of a new observation in a customer's estimated run time; the
+#: first observations have a higher weight.
 ESTIMATE_GAIN = 0.1
 
-#: Heaps are rebuilt when they hold more than this many times the entries in
-#: use, so that outdated entries do not pile up.
+#: Heaps are rebuilt without outdated entries when they hold more than this
+#: many times the entries in use, plus ``MIN_REBUILD_SIZE``.
 MAX_OUTDATED_RATIO = 2
 
-#: Size of a heap below which it is not rebuilt.
+#: Heaps of up to this many entries are never rebuilt.
 MIN_REBUILD_SIZE = 64
 
-#: Tasks with excluded endpoints that one search looks at.
+#: Maximum number of tasks with excluded endpoints among the candidates.
 MAX_RESTRICTED_CANDIDATES = 4
 
-
-#: Run times that a customer may claim after its queue was empty, for each
-#: running task. Without it, bursts of a customer below its share wait although
-#: its average would allow them.
+#: Credit of a customer whose queue was empty, in run times per running task.
+#: Without it, bursts of a customer below its share would wait although its
+#: average load allows them.
 IDLE_CREDIT_PER_RUNNING = 0.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Parameters of the order."""
+    """Parameters of the fair queue."""
 
-    #: Single requests that go before a waiting job task of the customer.
+    #: Number of single requests that precede a customer's waiting job task.
     interactive_burst: int = 8
 
     #: Estimated run time of a customer without observations, in seconds.
     default_run_time_s: float = 0.2
 
 
-class _Order:
-    """Flows by start tag; outdated entries are skipped when popped."""
+class _FlowHeap:
+    """Heap of flows by start tag; outdated entries are skipped when popped."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -54,12 +54,10 @@
         self._last_version = 0
 
     def push(self, flow: flows.Flow, *, in_use: int) -> None:
-        """Place a flow by its tag, ties in order of the pushes."""
-        if len(self._heap) > _most_entries(in_use):
+        """Insert a flow by its start tag; ties are in order of insertion."""
+        if len(self._heap) > _max_heap_size(in_use):
             self._heap = [
-                ranked
-                for ranked in self._heap
-                if ranked[1] == ranked[2].heap_version
+                item for item in self._heap if item[1] == item[2].heap_version
             ]
             heapq.heapify(self._heap)
         self._last_version += 1
@@ -67,7 +65,7 @@
         heapq.heappush(self._heap, (flow.start_tag, flow.heap_version, flow))
 
     def pop(self) -> flows.Flow | None:
-        """Take the flow with the least tag out."""
+        """Remove and return the backlogged flow with the lowest start tag."""
         while self._heap:
             _, version, flow = heapq.heappop(self._heap)
             if version == flow.heap_version and flow.is_backlogged:
@@ -76,8 +74,8 @@
         return None
 
 
-class _Deadlines:
-    """Waiting tasks by deadline; others are skipped when popped."""
+class _DeadlineHeap:
+    """Heap of waiting tasks by deadline; outdated entries are skipped."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -85,12 +83,12 @@
         self._last_push = 0
 
     def push(self, entry: flows.QueueEntry, *, waiting: int) -> None:
-        """Place a waiting task."""
-        if len(self._heap) > _most_entries(waiting):
+        """Insert a waiting task."""
+        if len(self._heap) > _max_heap_size(waiting):
             self._heap = [
-                timed
-                for timed in self._heap
-                if timed[2].state is flows.EntryState.WAITING
+                item
+                for item in self._heap
+                if item[2].state is flows.EntryState.WAITING
             ]
             heapq.heapify(self._heap)
         self._last_push += 1
@@ -109,26 +107,26 @@
 
 
 class FairQueue:
-    """Waiting and started tasks of all customers."""
+    """Queue of the waiting and started tasks of all customers."""
 
     def __init__(self, *, cfg: Config | None = None) -> None:
         """Start without tasks."""
         self._cfg = cfg or Config()
 
-        #: Flows of all customers seen so far; only the queue changes it.
+        #: Flows of all customers so far; read-only for other modules.
         self.flows: dict[ids.CustomerId, flows.Flow] = {}
 
-        #: Number of all waiting tasks; only the queue changes it.
+        #: Number of all waiting tasks; read-only for other modules.
         self.waiting = 0
         self._weights: dict[ids.CustomerId, float] = {}
         self._requests: dict[ids.RequestId, dict[int, flows.QueueEntry]] = {}
-        self._order = _Order()
-        self._deadlines = _Deadlines()
+        self._flow_heap = _FlowHeap()
+        self._deadline_heap = _DeadlineHeap()
         self._virtual_s = float(0)
         self._last_number = 0
 
     def set_weights(self, weights: Mapping[ids.CustomerId, float]) -> None:
-        """Replace all weights; customers that are not named have weight 1."""
+        """Replace all weights; customers not listed have weight 1."""
         self._weights = dict(weights)
         for customer, flow in tuple(self.flows.items()):
             flow.weight = self._weights.get(customer, 1)
@@ -155,7 +153,7 @@
         return entry
 
     def enqueue(self, entry: flows.QueueEntry, *, first: bool = False) -> None:
-        """Put a task at the end of its lane, or at the front."""
+        """Append a task to its lane, or prepend it if ``first``."""
         flow = entry.flow
         was_backlogged = flow.is_backlogged
         self._leave_lane(entry)
@@ -172,34 +170,40 @@
             self.schedule(flow)
 
     def pause(self, entry: flows.QueueEntry) -> None:
-        """Keep a task waiting outside the order until ``wait`` is called."""
+        """Keep a task waiting without starting it until ``enqueue``."""
         self._leave_lane(entry)
         entry.flow.paused += 1
         self._mark_waiting(entry)
 
     def pop_flow(self) -> flows.Flow | None:
-        """Take the flow with the least tag out of the order."""
-        return self._order.pop()
+        """Remove and return the flow whose task starts next.
+
+        ``schedule`` inserts it again.
+        """
+        return self._flow_heap.pop()
 
     def schedule(self, flow: flows.Flow) -> None:
-        """Put a flow into the order if it has tasks that could start."""
+        """Insert a flow into the heap if it has tasks that can start."""
         if flow.is_backlogged:
-            self._order.push(flow, in_use=len(self.flows))
+            self._flow_heap.push(flow, in_use=len(self.flows))
 
     def candidates(self, flow: flows.Flow) -> tuple[flows.QueueEntry, ...]:
-        """Return the tasks of the flow that may start next, best first."""
+        """Return the flow's tasks that can start next, in order.
+
+        Tasks with excluded endpoints come first.
+        """
         lane = self._next_lane(flow)
-        plain = (next(iter(lane.values())),) if lane else ()
+        unrestricted = (next(iter(lane.values())),) if lane else ()
         if not flow.restricted:
-            return plain
+            return unrestricted
         restricted = flow.restricted.values()
         return (
             *itertools.islice(restricted, MAX_RESTRICTED_CANDIDATES),
-            *plain,
+            *unrestricted,
         )
 
     def start(self, entry: flows.QueueEntry) -> None:
-        """Take a task out of the order and charge its estimated run time."""
+        """Mark a task as started and charge its estimated run time."""
         flow = entry.flow
         if entry.state is flows.EntryState.WAITING:
             if entry.lane is flow.singles and flow.jobs:
@@ -219,21 +223,21 @@
         flow.start_tag += entry.charged_s / flow.weight
 
     def undo_start(self, entry: flows.QueueEntry) -> None:
-        """Undo the start of a task of which nothing ran."""
+        """Undo the start of a task that did not run, and its charge."""
         entry.state = flows.EntryState.NEW
-        self._settle(entry, 0)
+        self._end_run(entry, 0)
 
     def finish(self, entry: flows.QueueEntry, *, run_s: float) -> None:
-        """End a started task and charge what it really used."""
+        """Remove a started task and charge its observed run time."""
         flow = entry.flow
         flow.finished += 1
         gain = max(ESTIMATE_GAIN, 1 / flow.finished)
         flow.run_time_s += gain * (run_s - flow.run_time_s)
-        self._settle(entry, run_s)
+        self._end_run(entry, run_s)
         self.remove(entry)
 
     def remove(self, entry: flows.QueueEntry) -> None:
-        """Forget a task that does not run, or no longer runs."""
+        """Remove a task that is not running."""
         if entry.state is flows.EntryState.WAITING:
             self._leave_lane(entry)
             self.waiting -= 1
@@ -245,7 +249,7 @@
             self._requests.pop(request_id)
 
     def cancel(self, request_id: ids.RequestId) -> list[flows.QueueEntry]:
-        """End the request's waiting tasks and return them.
+        """Remove the waiting tasks of a request and return them.
 
         Its started tasks are marked as cancelled.
         """
@@ -259,18 +263,18 @@
         return ended
 
     def expire(self, *, now: float) -> list[flows.QueueEntry]:
-        """End the waiting tasks past their deadline and return them."""
+        """Remove the waiting tasks past their deadline and return them."""
         ended = []
-        entry = self._deadlines.earliest()
+        entry = self._deadline_heap.earliest()
         while entry is not None and entry.task.deadline <= now:
             self.remove(entry)
             ended.append(entry)
-            entry = self._deadlines.earliest()
+            entry = self._deadline_heap.earliest()
         return ended
 
     def next_deadline(self) -> float | None:
-        """Return the earliest deadline of a waiting task."""
-        entry = self._deadlines.earliest()
+        """Return the earliest deadline of a waiting task, None without one."""
+        entry = self._deadline_heap.earliest()
         return None if entry is None else entry.task.deadline
 
     def _flow(self, customer: ids.CustomerId) -> flows.Flow:
@@ -298,7 +302,7 @@
             return
         entry.state = flows.EntryState.WAITING
         self.waiting += 1
-        self._deadlines.push(entry, waiting=self.waiting)
+        self._deadline_heap.push(entry, waiting=self.waiting)
 
     def _leave_lane(self, entry: flows.QueueEntry) -> None:
         if entry.lane is not None:
@@ -307,7 +311,8 @@
         elif entry.state is flows.EntryState.WAITING:
             entry.flow.paused -= 1
 
-    def _settle(self, entry: flows.QueueEntry, run_s: float) -> None:
+    def _end_run(self, entry: flows.QueueEntry, run_s: float) -> None:
+        """Replace the charged run time of a started task by ``run_s``."""
         flow = entry.flow
         flow.running -= 1
         flow.start_tag += (run_s - entry.charged_s) / flow.weight
@@ -315,12 +320,12 @@
             self.schedule(flow)
 
 
-def _most_entries(used: int) -> int:
+def _max_heap_size(used: int) -> int:
     return MIN_REBUILD_SIZE + MAX_OUTDATED_RATIO * used
 
 
 def _credit_s(flow: flows.Flow) -> float:
-    """Return the virtual time that a flow keeps when it falls idle."""
+    """Return the virtual time by which an idle flow's tag may lag behind."""
     tasks = 1 + flow.running * IDLE_CREDIT_PER_RUNNING
     return tasks * flow.run_time_s / flow.weight
 
--- a/sardineproxy/request/flows.py
+++ b/sardineproxy/request/flows.py
@@ -1,4 +1,4 @@
-"""Waiting and started tasks, grouped by customer."""
+"""Queue entries of waiting and started tasks, grouped by customer."""
 
 import asyncio
 import collections
@@ -11,12 +11,12 @@
 
 
 class EntryState(enum.Enum):
-    """Where a task is."""
+    """State of a task in the queue."""
 
-    #: Known to the queue, neither waiting nor started.
+    #: Registered, neither waiting nor started.
     NEW = 'new'
 
-    #: In the order, or waiting for a pause to pass.
+    #: In a lane, or paused.
     WAITING = 'waiting'
     STARTED = 'started'
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Flow:
-    """One customer's waiting tasks and its share."""
+    """The tasks of one customer and its fair-queueing state."""
 
     customer: ids.CustomerId
 
@@ -34,25 +34,25 @@
     run_time_s: float
     weight: float = 1
 
-    #: Virtual seconds at which the next task starts.
+    #: Start tag of the next task, in virtual seconds.
     start_tag: float = 0
 
-    #: Single requests started in a row while job tasks waited.
+    #: Number of single requests started in a row while job tasks waited.
     singles_in_row: int = 0
     running: int = 0
     finished: int = 0
 
-    #: Waiting tasks that are in none of the lanes.
+    #: Number of waiting tasks that are in no lane because they are paused.
     paused: int = 0
 
-    #: Tasks that some endpoints must not run; they go first.
+    #: Tasks that are not allowed at some endpoints; they start first.
     restricted: 'Lane' = dataclasses.field(
         default_factory=collections.OrderedDict
     )
     singles: 'Lane' = dataclasses.field(default_factory=collections.OrderedDict)
     jobs: 'Lane' = dataclasses.field(default_factory=collections.OrderedDict)
 
-    #: Number of the flow's place in the order, 0 if it has none.
+    #: Version of the flow's valid entry in the heap, 0 if it has none.
     heap_version: int = 0
 
     @property
@@ -63,7 +63,7 @@
 
     @property
     def is_backlogged(self) -> bool:
-        """Tell whether a task could start now."""
+        """Return whether a task is ready to start."""
         return bool(self.singles or self.jobs or self.restricted)
 
 
@@ -75,10 +75,10 @@
     number: int
     flow: Flow
 
-    #: Endpoints that must not run the task while others are listed.
+    #: Endpoints not allowed for the task while others are listed.
     exclude: frozenset[ids.EndpointId]
 
-    #: Endpoints that could not be reached for it lately.
+    #: Endpoints that were unreachable in recent attempts of the task.
     unreachable: frozenset[ids.EndpointId] = frozenset()
     state: EntryState = EntryState.NEW
     lane: 'Lane | None' = None
@@ -89,10 +89,10 @@
     #: True if the request was cancelled after the task had started.
     cancelled: bool = False
 
-    #: Attempts that did not reach their endpoint.
+    #: Number of attempts that did not reach their endpoint.
     unreached_attempts: int = 0
 
-    #: Future of the coroutine that waits for the start.
+    #: Future of the coroutine that waits for the task to start.
     waiter: 'asyncio.Future[Any] | None' = None
 
 
--- a/sardineproxy/request/forwarding.py
+++ b/sardineproxy/request/forwarding.py
@@ -1,4 +1,4 @@
-"""Submissions that belong to the entry VM that minted their key."""
+"""Interfaces for forwarding requests to the entry VM that issued their key."""
 
 import dataclasses
 from typing import Protocol
@@ -8,26 +8,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Replied:
-    """The minting process answered."""
+    """The issuing process replied."""
 
     payload: bytes
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Gone:
-    """The minting incarnation has ended: another one answers for its VM."""
+    """The issuing incarnation has ended; its VM runs another one now."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unreachable:
-    """The minting process could not be asked, or its VM is not listed."""
+    """The issuing process was not reached, or its VM is not listed."""
 
 
 Reply = Replied | Gone | Unreachable
 
 
 class Forwarder(Protocol):
-    """Asks another entry process; the same payload may be sent again."""
+    """Sends payloads to other entry processes, possibly more than once."""
 
     async def forward(
         self,
@@ -37,11 +37,11 @@
         payload: bytes,
         deadline: float,
     ) -> Reply:
-        """Send ``payload`` to that incarnation and return what it replied."""
+        """Send ``payload`` to that incarnation and return the reply."""
 
 
 class Handler(Protocol):
-    """Answers payloads that other entry processes forwarded."""
+    """Handles payloads that other entry processes forward."""
 
     async def handle(self, payload: bytes) -> bytes:
         """Return the reply to one forwarded payload."""
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -94,7 +94,7 @@
 
 
 class TaskResult(enum.Enum):
-    """Result of a task, as a leader reports it to the coordinator."""
+    """Result of a task, as a leader reports it for the job."""
 
     DONE = 'done'
 
--- a/sardineproxy/request/key_requests.py
+++ b/sardineproxy/request/key_requests.py
@@ -1,4 +1,4 @@
-"""Questions about a key that one process asks the key's minter."""
+"""Requests about a key that an entry process forwards to the key's issuer."""
 
 import dataclasses
 import enum
@@ -10,18 +10,18 @@
 from sardineproxy.process import metrics
 from sardineproxy.request import documents, forwarding, keys, work
 
-#: Largest payload; a peer message of 8 MiB has room for it.
+#: Maximum size of a payload in bytes; it fits into a peer message of 8 MiB.
 MAX_PAYLOAD_BYTES = documents.MAX_BODY_BYTES - 4096
 
-#: Statuses that an answer to a caller may have.
+#: HTTP statuses that a reply to a caller may have.
 REPLY_STATUSES = range(200, 600)
 
-#: Most members of an array in a payload.
-MAX_MEMBERS = 64
+#: Maximum number of elements of an array in a payload.
+MAX_ARRAY_LENGTH = 64
 
 
 class Operation(enum.Enum):
-    """What a process asks of the minter of a key."""
+    """Operation that a process requests of a key's issuer."""
 
     SUBMIT = 'submit'
     STATUS = 'status'
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class KeyRequest:
-    """What is forwarded to the minter of a key."""
+    """Request about a key, as it is forwarded to the key's issuer."""
 
     operation: Operation
     customer: ids.CustomerId
@@ -43,7 +43,7 @@
     #: Body of a submission; empty otherwise.
     body: bytes = b''
 
-    #: True if the reply is to wait for the end of the request.
+    #: True if the reply is sent when the submission has ended.
     wait: bool = False
 
 
@@ -54,8 +54,8 @@
 
 
 def encode_request(request: KeyRequest) -> bytes:
-    """Return a question's payload."""
-    packed: bytes = msgpack.packb(
+    """Return the payload of a request."""
+    payload: bytes = msgpack.packb(
         [
             request.operation.value,
             request.customer,
@@ -65,11 +65,11 @@
             request.wait,
         ]
     )
-    return packed
+    return payload
 
 
 def decode_request(payload: bytes) -> KeyRequest | None:
-    """Return the question, or None if the payload is none."""
+    """Return the request, or None if the payload is malformed."""
     try:
         return _REQUEST.validate_python(_unpack(payload, _REQUEST_FIELDS))
     except ValueError:
@@ -77,16 +77,16 @@
 
 
 def encode_reply(reply: documents.Reply) -> bytes:
-    """Return a reply's payload."""
+    """Return the payload of a reply."""
     verdict = reply.verdict.value if reply.verdict else None
-    packed: bytes = msgpack.packb(
+    payload: bytes = msgpack.packb(
         [reply.status, reply.headers, reply.body, verdict]
     )
-    return packed
+    return payload
 
 
 def decode_reply(payload: bytes) -> documents.Reply | None:
-    """Return the reply, or None if the payload is none."""
+    """Return the reply, or None if the payload is malformed."""
     try:
         reply = _REPLY.validate_python(_unpack(payload, _REPLY_FIELDS))
     except ValueError:
@@ -95,19 +95,19 @@
 
 
 def _unpack(payload: bytes, fields: tuple[str, ...]) -> dict[str, object]:
-    """Return the payload's members by name; raise ValueError otherwise."""
+    """Return the payload's values by name; raise ValueError if malformed."""
     if len(payload) > MAX_PAYLOAD_BYTES:
-        raise ValueError('the payload is too large')
-    members = msgpack.unpackb(
-        payload, max_array_len=MAX_MEMBERS, max_map_len=0, max_ext_len=0
+        raise ValueError('payload exceeds the size limit')
+    values = msgpack.unpackb(
+        payload, max_array_len=MAX_ARRAY_LENGTH, max_map_len=0, max_ext_len=0
     )
-    if not isinstance(members, list):
-        raise ValueError('the payload is not an array')
-    return dict(zip(fields, members, strict=True))
+    if not isinstance(values, list):
+        raise ValueError('payload is not a msgpack array')
+    return dict(zip(fields, values, strict=True))
 
 
 class IssuerClient:
-    """Asks the processes that minted the keys of others."""
+    """Forwards requests to the processes that issued the keys."""
 
     def __init__(
         self,
@@ -116,7 +116,7 @@
         forwarder: forwarding.Forwarder,
         metrics: metrics.Metrics,
     ) -> None:
-        """Ask through ``forwarder``."""
+        """Send requests through ``forwarder``."""
         self._clock = clock
         self._forwarder = forwarder
         self._metrics = metrics
@@ -124,7 +124,10 @@
     async def send(
         self, *, request: KeyRequest, key: keys.Key, wait_s: float
     ) -> documents.Reply:
-        """Return the reply of the key's minter within ``wait_s`` seconds."""
+        """Return the reply of the key's issuer within ``wait_s`` seconds.
+
+        If the issuer is gone or unreachable, return that problem instead.
+        """
         payload = encode_request(request)
         if len(payload) > MAX_PAYLOAD_BYTES:
             return documents.render_problem(keys.too_large_to_forward())
@@ -137,10 +140,13 @@
         self._metrics.count('forwards_total', reply=type(reply).__name__)
         match reply:
             case forwarding.Replied(payload=payload):
-                answer = decode_reply(payload)
-                if answer is not None:
-                    return answer
-                _log.warning('malformed reply', extra={'vm': key.vm})
+                decoded = decode_reply(payload)
+                if decoded is not None:
+                    return decoded
+                _log.warning(
+                    'Reply to a forwarded request is malformed.',
+                    extra={'vm': key.vm},
+                )
             case forwarding.Gone():
                 return documents.render_problem(keys.issuer_gone())
         return documents.render_problem(keys.issuer_unreachable())
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -1,9 +1,8 @@
-"""Idempotency keys, minted ahead of use for one process and one customer.
+"""Idempotency keys, issued before use by one process for one customer.
 
-A key reads ``sp1.VM.INCARNATION.SEQUENCE.EXPIRY.MAC``. The expiry is in
-milliseconds of the minting process's own monotonic clock. The MAC covers
-the other fields and the customer, so that a key is of no use to another
-customer.
+A key has the form ``sp1.VM.INCARNATION.SEQUENCE.EXPIRY.MAC``. The expiry is in
+milliseconds of the issuer's own monotonic clock. The MAC covers the other
+fields and the customer, so that another customer cannot use the key.
 """
 
 import dataclasses
@@ -14,13 +13,13 @@
 
 from sardineproxy import ids, problems, verdicts
 
-#: Characters of the hexadecimal MAC: 128 bits of HMAC-SHA256.
+#: Length of the hexadecimal MAC: 128 bits of HMAC-SHA256.
 MAC_CHARACTERS = 32
 
-#: Longest key that is looked at, in characters.
+#: Maximum length of a key, in characters.
 MAX_KEY_CHARACTERS = 256
 
-#: Seconds after which to ask again for a minter that was not reached.
+#: Retry-After when the issuer of a key is unreachable, in seconds.
 RETRY_AFTER_S = 1
 
 MS_PER_SECOND = 1000
@@ -37,16 +36,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Key:
-    """A well-formed key; whether it is genuine is known only to its minter."""
+    """A well-formed key; only its issuer can check that it is genuine."""
 
-    #: The whole key.
+    #: The complete key.
     text: ids.RequestId
 
     vm: ids.VmId
     incarnation: ids.Incarnation
     sequence: int
 
-    #: Seconds of the minter's monotonic clock.
+    #: Seconds of the issuer's monotonic clock.
     expires_at: float
 
     #: Part of the text that the MAC covers.
@@ -55,25 +54,25 @@
 
 
 def parse(text: str) -> Key | None:
-    """Return the key that ``text`` spells, or None if it is not well formed."""
+    """Parse a key; return None if it is not well formed."""
     if len(text) > MAX_KEY_CHARACTERS:
         return None
-    found = _PATTERN.fullmatch(text)
-    if found is None:
+    match = _PATTERN.fullmatch(text)
+    if match is None:
         return None
     return Key(
         text=ids.RequestId(text),
-        vm=ids.VmId(found['vm']),
-        incarnation=ids.Incarnation(found['incarnation']),
-        sequence=int(found['sequence'], 16),
-        expires_at=int(found['expiry'], 16) / MS_PER_SECOND,
-        signed=found['signed'],
-        mac=found['mac'],
+        vm=ids.VmId(match['vm']),
+        incarnation=ids.Incarnation(match['incarnation']),
+        sequence=int(match['sequence'], 16),
+        expires_at=int(match['expiry'], 16) / MS_PER_SECOND,
+        signed=match['signed'],
+        mac=match['mac'],
     )
 
 
 class KeyIssuer:
-    """Mints keys of one incarnation and recognizes them again."""
+    """Issues and verifies the keys of one incarnation."""
 
     def __init__(
         self,
@@ -98,11 +97,11 @@
         return ids.RequestId(f'{signed}.{self._mac(signed, customer)}')
 
     def is_own(self, *, key: Key) -> bool:
-        """Tell whether the key names this incarnation."""
+        """Return whether the key names this incarnation."""
         return (key.vm, key.incarnation) == (self._vm, self._incarnation)
 
     def is_genuine(self, *, key: Key, customer: ids.CustomerId) -> bool:
-        """Tell whether this process minted the key for ``customer``."""
+        """Return whether this process issued the key for ``customer``."""
         return self.is_own(key=key) and hmac.compare_digest(
             self._mac(key.signed, customer), key.mac
         )
@@ -114,7 +113,7 @@
 
 
 def malformed() -> problems.Problem:
-    """Return the refusal of a text that no process can have minted."""
+    """Return the refusal of a text that does not have the form of a key."""
     return problems.refusal(
         code='malformed_key',
         status=400,
@@ -123,7 +122,7 @@
 
 
 def unknown() -> problems.Problem:
-    """Return the refusal of a key that was not minted for the customer."""
+    """Return the refusal of a key that was not issued for the customer."""
     return problems.refusal(
         code='unknown_key',
         status=404,
@@ -143,8 +142,8 @@
 def reused() -> problems.Problem:
     """Return the refusal of a second submission under one key.
 
-    The verdict is the key's: a caller that rendered the same work in other
-    bytes must not take it for work that did not run.
+    The verdict is that of the key: the caller may have serialized the same
+    work differently and must not conclude that it did not run.
     """
     return problems.doubt(
         code='key_reused',
@@ -157,7 +156,7 @@
 
 
 def not_submitted() -> problems.Problem:
-    """Return the status of a key with which nothing has arrived so far."""
+    """Return the status of a key without a submission so far."""
     return problems.doubt(
         code='not_submitted',
         status=404,
@@ -179,7 +178,7 @@
 
 
 def issuer_unreachable() -> problems.Problem:
-    """Return the answer to a key whose minter could not be asked."""
+    """Return the answer to a key whose issuer could not be reached."""
     return problems.doubt(
         code='minter_unreachable',
         status=503,
@@ -190,7 +189,7 @@
 
 
 def too_large_to_forward() -> problems.Problem:
-    """Return the refusal of a submission that fits into no peer message."""
+    """Return the refusal of a submission too large for a peer message."""
     return problems.doubt(
         code='too_large_to_forward',
         status=413,
@@ -200,7 +199,7 @@
 
 
 def malformed_forward() -> problems.Problem:
-    """Return the answer to a forward that could not be read."""
+    """Return the answer to a forwarded request that could not be decoded."""
     return problems.doubt(
         code='malformed_forward',
         status=502,
@@ -212,9 +211,9 @@
 def without_issuer_verdict(
     problem: problems.Problem, key_text: str | None
 ) -> problems.Problem:
-    """Return the problem as a process may state it that did not ask the minter.
+    """Return the problem with a verdict that a non-issuer can give.
 
-    Only the minter may say of a well-formed key that its work did not run.
+    Only the issuer of a well-formed key can state that its work did not run.
     """
     if key_text is None or parse(key_text) is None:
         return problem
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -136,13 +136,13 @@
         return any(task.leader is None for task in self._open.values())
 
     def send(
-        self, tasks: Sequence[OpenTask], *, firm: bool, begun: bool
+        self, tasks: Sequence[OpenTask], *, pinned: bool, job_started: bool
     ) -> None:
         """Submit tasks of one step to the leader of their shard.
 
-        If ``firm``, the leader must not suggest another shard for them. If
-        ``begun``, other tasks of the job may have started. Without a leader
-        the tasks stay unassigned.
+        If ``pinned``, the leader must not suggest another shard for them. If
+        ``job_started``, other tasks of the job may have started. Without a
+        leader the tasks stay unassigned.
         """
         now = self._clock.now()
         first = tasks[0]
@@ -171,12 +171,12 @@
                 per_worker=step.per_worker,
                 estimate_s=float(step.estimate_s),
                 age_s=now - self._times.arrived_at,
-                left_s=self._times.deadline - now,
+                timeout_s=self._times.deadline - now,
                 stretch=float(self.route.stretch),
                 slack_s=float(self.route.slack_s),
                 resumed=resumed,
-                begun=begun or self._has_other_assigned(tasks),
-                firm=firm,
+                job_started=job_started or self._has_other_assigned(tasks),
+                pinned=pinned,
                 stored=self.job.stored,
             )
         )
@@ -185,14 +185,18 @@
                 submitted.leader = leader
 
     def move(
-        self, tasks: Sequence[OpenTask], shard: ids.ShardId, *, begun: bool
+        self,
+        tasks: Sequence[OpenTask],
+        shard: ids.ShardId,
+        *,
+        job_started: bool,
     ) -> None:
         """Submit tasks to another shard, whose leader must not move them."""
         for task in tasks:
             task.shard = shard
             task.was_moved = True
             task.is_moving = False
-        self.send(tasks, firm=True, begun=begun)
+        self.send(tasks, pinned=True, job_started=job_started)
 
     def unassign(self, lost: LeaderLost) -> list[OpenTask]:
         """Return the tasks of a lost leader, which are unassigned now.
@@ -209,14 +213,14 @@
             task.resumed = True
         return unassigned
 
-    def resume(self, shard: ids.ShardId, *, begun: bool) -> None:
+    def resume(self, shard: ids.ShardId, *, job_started: bool) -> None:
         """Submit the unassigned tasks of a shard to its new leader."""
         by_step: dict[int, list[OpenTask]] = {}
         for task in self._open.values():
             if task.shard == shard and not task.leader and not task.is_moving:
                 by_step.setdefault(task.step, []).append(task)
         for tasks in by_step.values():
-            self.send(tasks, firm=True, begun=begun)
+            self.send(tasks, pinned=True, job_started=job_started)
 
     def withdraw(self) -> None:
         """Withdraw the job from all leaders and drop its open tasks."""
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -1,11 +1,10 @@
 """Records of the submissions that this incarnation has seen.
 
-A key's work starts at most once as long as its record, or the note that
-replaced it, outlives the key. Records that have to make room early are
-replaced by notes without the answer; notes that have to make room early
-void all older keys of the same customer that have no record. The customer
-that holds the most makes room first, so that no customer can push out what
-is kept for another.
+A key's work starts at most once as long as its record, or the tombstone that
+replaced it, outlives the key. Records that are evicted early are replaced by
+tombstones without the answer; evicting a tombstone early voids all older keys
+of the same customer that have no record. Eviction starts with the customer
+that has the most entries, so that no customer can evict those of another.
 """
 
 import asyncio
@@ -16,7 +15,7 @@
 from sardineproxy import ids, problems
 from sardineproxy.request import documents, keys, work
 
-#: Seconds between two searches for records and notes past their time.
+#: Interval at which expired records and tombstones are removed, in seconds.
 SWEEP_INTERVAL_S = 1
 
 
@@ -28,36 +27,36 @@
     customer: ids.CustomerId
     kind: work.TaskKind
 
-    #: Hash of the submission, to recognize it when it is sent again.
+    #: Hash of the submission, to compare it with a repeated one.
     fingerprint: bytes
 
-    #: Bytes of the submission.
+    #: Size of the submission's body, in bytes.
     size: int
 
-    #: Number of tasks, and how many of them have ended.
+    #: Number of tasks, and of those that have ended.
     task_count: int
     ended_tasks: int = 0
 
-    #: Monotonic seconds.
+    #: Times of admission and of the reply, in monotonic seconds.
     started_at: float
     ended_at: float = 0
 
     cancelled: bool = False
 
-    #: Done once all tasks have ended.
+    #: Reply to the caller; set once all tasks have ended.
     reply_future: asyncio.Future[documents.Reply]
 
-    #: Sequence number of the key; keyless requests have none.
+    #: Sequence number of the key, None for a keyless request.
     sequence: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Tombstone:
-    """What is still known of a key that will never start work again."""
+    """Entry of a key that will never start work again."""
 
     problem: problems.Problem
 
-    #: None if any submission with the key gets this answer.
+    #: None if every submission with the key gets this answer.
     fingerprint: bytes | None
 
     #: Monotonic seconds.
@@ -66,17 +65,17 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Totals:
-    """Sums over all shelves, so that bounds are checked without a walk."""
+    """Sums over all customers, so that limits are checked in constant time."""
 
     ended: int = 0
-    notes: int = 0
+    tombstones: int = 0
     answer_bytes: int = 0
 
 
 class UnrecordedKey(enum.Enum):
-    """Why nothing is known of a key."""
+    """Why a key has neither a record nor a tombstone."""
 
-    #: It was not minted by this process for the customer.
+    #: It was not issued by this process for the customer.
     UNKNOWN = 'unknown'
 
     #: It may have been used; its record may have been dropped.
@@ -86,49 +85,53 @@
     NEW = 'new'
 
 
-class _CustomerRecords:
-    """What is kept for one customer, oldest first."""
+class _CustomerEntries:
+    """Ended records and tombstones of one customer, oldest first."""
 
     def __init__(self, totals: _Totals) -> None:
         self.ended: collections.OrderedDict[int, Record] = (
             collections.OrderedDict()
         )
-        self.notes: collections.OrderedDict[int, Tombstone] = (
+        self.tombstones: collections.OrderedDict[int, Tombstone] = (
             collections.OrderedDict()
         )
         self.answer_bytes = 0
+
+        #: Keys without an entry are void up to this sequence number.
         self.void_up_to = 0
         self._totals = totals
 
-    def put(self, sequence: int, record: Record) -> None:
+    def add_record(self, sequence: int, record: Record) -> None:
         self.ended[sequence] = record
         self._totals.ended += 1
         self._add_bytes(len(record.reply_future.result().body))
 
-    def pop(self) -> tuple[int, Record]:
+    def pop_record(self) -> tuple[int, Record]:
         sequence, record = self.ended.popitem(last=False)
         self._totals.ended -= 1
         self._add_bytes(-len(record.reply_future.result().body))
         return sequence, record
 
-    def put_note(self, sequence: int, note: Tombstone) -> None:
-        self.notes[sequence] = note
-        self._totals.notes += 1
+    def add_tombstone(self, sequence: int, tombstone: Tombstone) -> None:
+        self.tombstones[sequence] = tombstone
+        self._totals.tombstones += 1
 
-    def pop_note(self) -> int:
-        sequence, _ = self.notes.popitem(last=False)
-        self._totals.notes -= 1
+    def pop_tombstone(self) -> int:
+        sequence, _ = self.tombstones.popitem(last=False)
+        self._totals.tombstones -= 1
         return sequence
 
-    def sweep(self, *, records_until: float, notes_until: float) -> None:
+    def remove_expired(
+        self, *, ended_before: float, created_before: float
+    ) -> None:
         while self.ended:
-            if next(iter(self.ended.values())).ended_at > records_until:
+            if next(iter(self.ended.values())).ended_at > ended_before:
                 break
-            self.pop()
-        while self.notes:
-            if next(iter(self.notes.values())).created_at > notes_until:
+            self.pop_record()
+        while self.tombstones:
+            if next(iter(self.tombstones.values())).created_at > created_before:
                 break
-            self.pop_note()
+            self.pop_tombstone()
 
     def _add_bytes(self, count: int) -> None:
         self.answer_bytes += count
@@ -136,7 +139,7 @@
 
 
 class RecordStore:
-    """All records and notes, bounded in number, size and time."""
+    """All records and tombstones, bounded in number, size and lifetime."""
 
     def __init__(
         self,
@@ -154,31 +157,31 @@
         self._max_records = max_records
         self._max_answer_bytes = max_answer_bytes
         self._running: dict[int, Record] = {}
-        self._by_customer: dict[ids.CustomerId, _CustomerRecords] = {}
+        self._by_customer: dict[ids.CustomerId, _CustomerEntries] = {}
         self._totals = _Totals()
-        self._sweep_at = float('-inf')
+        self._next_sweep_at = float('-inf')
 
     def find(
         self, *, key: keys.Key, customer: ids.CustomerId, now: float
     ) -> Record | Tombstone | UnrecordedKey:
-        """Return what is known of a key that ``customer`` presents."""
+        """Return the entry of a key, or why the key has none."""
         if not self._key_issuer.is_genuine(key=key, customer=customer):
             return UnrecordedKey.UNKNOWN
-        self._sweep(now)
-        shelf = self._customer_records(customer)
-        held = (
+        self._remove_expired(now)
+        entries = self._entries_of(customer)
+        entry = (
             self._running.get(key.sequence)
-            or shelf.ended.get(key.sequence)
-            or shelf.notes.get(key.sequence)
+            or entries.ended.get(key.sequence)
+            or entries.tombstones.get(key.sequence)
         )
-        if held is not None:
-            return held
-        if now >= key.expires_at or key.sequence <= shelf.void_up_to:
+        if entry is not None:
+            return entry
+        if now >= key.expires_at or key.sequence <= entries.void_up_to:
             return UnrecordedKey.VOID
         return UnrecordedKey.NEW
 
     def is_full(self) -> bool:
-        """Tell whether no record can make room for another one."""
+        """Return whether running records leave no space for another one."""
         return len(self._running) >= self._max_records
 
     def open(self, *, record: Record) -> None:
@@ -186,15 +189,15 @@
         assert record.sequence is not None
         assert not self.is_full()
         self._running[record.sequence] = record
-        self._make_room(record.started_at)
+        self._enforce_limits(record.started_at)
 
     def close(self, *, record: Record) -> None:
-        """Keep a record that has been answered."""
+        """Move a record that has been answered to the ended ones."""
         if record.sequence is None:
             return
         self._running.pop(record.sequence)
-        self._customer_records(record.customer).put(record.sequence, record)
-        self._make_room(record.ended_at)
+        self._entries_of(record.customer).add_record(record.sequence, record)
+        self._enforce_limits(record.ended_at)
 
     def add_tombstone(
         self,
@@ -205,61 +208,64 @@
         problem: problems.Problem,
         now: float,
     ) -> Tombstone:
-        """Remember that a key without a record will never start work."""
-        note = Tombstone(
+        """Add a tombstone, so that a key without a record starts no work."""
+        tombstone = Tombstone(
             problem=problem, fingerprint=fingerprint, created_at=now
         )
-        self._customer_records(customer).put_note(key.sequence, note)
-        self._make_room(now)
-        return note
+        self._entries_of(customer).add_tombstone(key.sequence, tombstone)
+        self._enforce_limits(now)
+        return tombstone
 
     def sizes(self) -> dict[str, dict[str, int]]:
-        """Return what is held for each customer, for the state dump."""
+        """Return the number of entries by customer, for the state dump."""
         return {
             customer: {
-                'ended': len(shelf.ended),
-                'notes': len(shelf.notes),
-                'answer_bytes': shelf.answer_bytes,
-                'void_up_to': shelf.void_up_to,
+                'ended': len(entries.ended),
+                'notes': len(entries.tombstones),
+                'answer_bytes': entries.answer_bytes,
+                'void_up_to': entries.void_up_to,
             }
-            for customer, shelf in sorted(self._by_customer.items())
+            for customer, entries in sorted(self._by_customer.items())
         }
 
-    def _customer_records(self, customer: ids.CustomerId) -> _CustomerRecords:
-        shelf = self._by_customer.get(customer)
-        if shelf is None:
-            shelf = _CustomerRecords(self._totals)
-            self._by_customer[customer] = shelf
-        return shelf
+    def _entries_of(self, customer: ids.CustomerId) -> _CustomerEntries:
+        entries = self._by_customer.get(customer)
+        if entries is None:
+            entries = _CustomerEntries(self._totals)
+            self._by_customer[customer] = entries
+        return entries
 
-    def _make_room(self, now: float) -> None:
+    def _enforce_limits(self, now: float) -> None:
         totals = self._totals
-        shelves = self._by_customer.values()
-        while totals.ended and self._exceeds_count():
-            _replace_oldest(max(shelves, key=_count_of_ended), now)
+        all_entries = self._by_customer.values()
+        while totals.ended and self._exceeds_max_records():
+            _replace_oldest_record(max(all_entries, key=_count_of_ended), now)
         while totals.answer_bytes > self._max_answer_bytes:
-            _replace_oldest(max(shelves, key=_answer_bytes), now)
-        while totals.notes > self._max_records:
-            shelf = max(shelves, key=_count_of_notes)
-            shelf.void_up_to = max(shelf.void_up_to, shelf.pop_note())
+            _replace_oldest_record(max(all_entries, key=_answer_bytes), now)
+        while totals.tombstones > self._max_records:
+            entries = max(all_entries, key=_count_of_tombstones)
+            entries.void_up_to = max(
+                entries.void_up_to, entries.pop_tombstone()
+            )
 
-    def _exceeds_count(self) -> bool:
+    def _exceeds_max_records(self) -> bool:
         return len(self._running) + self._totals.ended > self._max_records
 
-    def _sweep(self, now: float) -> None:
-        if now < self._sweep_at:
+    def _remove_expired(self, now: float) -> None:
+        if now < self._next_sweep_at:
             return
-        self._sweep_at = now + SWEEP_INTERVAL_S
-        for shelf in self._by_customer.values():
-            shelf.sweep(
-                records_until=now - self._record_ttl_s,
-                notes_until=now - self._key_ttl_s,
+        self._next_sweep_at = now + SWEEP_INTERVAL_S
+        for entries in self._by_customer.values():
+            entries.remove_expired(
+                ended_before=now - self._record_ttl_s,
+                created_before=now - self._key_ttl_s,
             )
 
 
-def _replace_oldest(shelf: _CustomerRecords, now: float) -> None:
-    sequence, record = shelf.pop()
-    shelf.put_note(
+def _replace_oldest_record(entries: _CustomerEntries, now: float) -> None:
+    """Replace the oldest ended record by a tombstone with its verdict."""
+    sequence, record = entries.pop_record()
+    entries.add_tombstone(
         sequence,
         Tombstone(
             problem=documents.answer_dropped(
@@ -271,13 +277,13 @@
     )
 
 
-def _count_of_ended(shelf: _CustomerRecords) -> int:
-    return len(shelf.ended)
+def _count_of_ended(entries: _CustomerEntries) -> int:
+    return len(entries.ended)
 
 
-def _count_of_notes(shelf: _CustomerRecords) -> int:
-    return len(shelf.notes)
+def _count_of_tombstones(entries: _CustomerEntries) -> int:
+    return len(entries.tombstones)
 
 
-def _answer_bytes(shelf: _CustomerRecords) -> int:
-    return shelf.answer_bytes
+def _answer_bytes(entries: _CustomerEntries) -> int:
+    return entries.answer_bytes
--- a/sardineproxy/request/retries.py
+++ b/sardineproxy/request/retries.py
@@ -1,41 +1,41 @@
-"""Retry budget and back-off."""
+"""Retry budget, back-off and the rules for what is retried."""
 
 import dataclasses
 import random
 
 from sardineproxy.request import work
 
-#: Statuses after which another endpoint may do better: the fault may be the
-#: endpoint's.
+#: HTTP statuses after which a retry at another endpoint may succeed, because
+#: the endpoint may be the cause of the failure.
 RETRIED_STATUSES = frozenset((500, 502, 503, 504))
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Bounds of retries."""
+    """Limits of retries."""
 
-    #: Tokens that each success adds to the budget; a retry costs one.
+    #: Tokens added to the budget by a success; a retry costs one token.
     tokens_per_success: float = 0.1
 
-    #: Most tokens that the budget holds; it starts full.
+    #: Capacity of the budget in tokens; it starts full.
     max_tokens: float = 10
 
-    #: Attempts for one request, with the first.
+    #: Maximum number of attempts for one request, including the first.
     max_attempts: int = 3
 
-    #: Longest pause before the first retry, in seconds; doubled for each
-    #: further one.
+    #: Maximum pause before the first retry, in seconds; it doubles with every
+    #: further retry.
     first_pause_s: float = 0.025
 
-    #: Bound of all pauses, in seconds.
+    #: Maximum of all pauses, in seconds.
     max_pause_s: float = 1
 
 
 class RetryBudget:
     """Token bucket that successes fill and retries drain.
 
-    It keeps retries a fixed part of the work, so that they cannot multiply
-    the load when most endpoints fail.
+    It limits retries to a fixed share of the load, so that they cannot
+    multiply it when most endpoints fail.
     """
 
     def __init__(self, *, cfg: Config | None = None) -> None:
@@ -50,20 +50,20 @@
         )
 
     def try_spend(self) -> bool:
-        """Take the token of one retry; tell whether there was one."""
+        """Spend the token of one retry; return whether there was one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
     def pause_s(self, *, attempts: int, rng: random.Random) -> float:
-        """Return the pause after ``attempts`` attempts, with full jitter."""
+        """Return the pause after that many attempts, with full jitter."""
         longest_s = self.cfg.first_pause_s * 2 ** (attempts - 1)
         return rng.uniform(0, min(longest_s, self.cfg.max_pause_s))
 
 
 def is_success(outcome: work.Outcome) -> bool:
-    """Tell whether an outcome is a whole answer that earns budget."""
+    """Return whether an outcome is a complete answer that adds budget."""
     return (
         isinstance(outcome, work.Response)
         and outcome.status not in RETRIED_STATUSES
@@ -71,9 +71,9 @@
 
 
 def is_retriable(task: work.Task, outcome: work.Outcome) -> bool:
-    """Tell whether the task may start again after this outcome.
+    """Return whether the task may be retried after this outcome.
 
-    A refusal is not: the dispatcher has already looked for other endpoints.
+    A refusal is not retried: the dispatcher has tried other endpoints already.
     """
     if not task.idempotent or task.kind is not work.TaskKind.SINGLE:
         return False
--- a/sardineproxy/request/runner.py
+++ b/sardineproxy/request/runner.py
@@ -1,4 +1,4 @@
-"""Run tasks through the dispatcher and retry what may be retried."""
+"""Runs tasks through the dispatcher and retries idempotent requests."""
 
 import asyncio
 import random
@@ -28,23 +28,23 @@
         self._rng = rng
         self._metrics = metrics
 
-        #: Requests that may be retried; cancelling one takes it out.
+        #: Requests that may be retried; cancelled ones are removed.
         self._retriable: set[ids.RequestId] = set()
 
-        #: Set when a request is cancelled that waits for its back-off.
-        self._pauses: dict[ids.RequestId, asyncio.Event] = {}
+        #: Events that end the back-off of a cancelled request early.
+        self._cancel_events: dict[ids.RequestId, asyncio.Event] = {}
 
     async def run_single(self, *, task: work.Task) -> work.Outcome:
         """Run a single request and return its outcome.
 
-        An idempotent one is tried again elsewhere within its deadline and
-        the retry budget.
+        An idempotent one is retried at other endpoints within its deadline
+        and the retry budget.
         """
         if not task.idempotent:
             return await self._run_once(task)
         self._retriable.add(task.request_id)
         try:
-            return await self._run_repeatedly(task)
+            return await self._run_with_retries(task)
         finally:
             self._retriable.discard(task.request_id)
 
@@ -53,11 +53,11 @@
         return await self._run_once(task)
 
     def cancel(self, *, request_id: ids.RequestId) -> None:
-        """End the waiting tasks of a request as not run; start no retry."""
+        """Refuse the waiting tasks of a request and stop its retries."""
         self._retriable.discard(request_id)
-        pause = self._pauses.get(request_id)
-        if pause is not None:
-            pause.set()
+        cancelled = self._cancel_events.get(request_id)
+        if cancelled is not None:
+            cancelled.set()
         self._dispatcher.cancel(request_id=request_id)
 
     def waiting(self, *, customer: ids.CustomerId) -> int:
@@ -74,26 +74,26 @@
             self._budget.record_success()
         return outcome
 
-    async def _run_repeatedly(self, task: work.Task) -> work.Outcome:
+    async def _run_with_retries(self, task: work.Task) -> work.Outcome:
         outcome = await self._run_once(task)
         if retries.is_success(outcome):
             return outcome
-        tried = _endpoints_of(outcome)
+        excluded = _reached_endpoints(outcome)
         attempts = 1
-        while await self._may_retry(task, outcome, attempts):
+        while await self._wait_to_retry(task, outcome, attempts):
             self._metrics.count('retries_total')
             attempts += 1
-            latest = await self._run_once(task, tried)
-            tried |= _endpoints_of(latest)
-            outcome = _better(outcome, latest)
+            latest = await self._run_once(task, excluded)
+            excluded |= _reached_endpoints(latest)
+            outcome = _preferred_outcome(outcome, latest)
             if isinstance(latest, work.Refused):
                 break
         return outcome
 
-    async def _may_retry(
+    async def _wait_to_retry(
         self, task: work.Task, outcome: work.Outcome, attempts: int
     ) -> bool:
-        """Wait for the back-off; tell whether another attempt may start."""
+        """Wait for the back-off; return whether another attempt may start."""
         if attempts >= self._budget.cfg.max_attempts:
             return False
         if task.request_id not in self._retriable:
@@ -110,28 +110,31 @@
         return task.request_id in self._retriable
 
     async def _pause(self, request_id: ids.RequestId, pause_s: float) -> None:
-        """Wait until the time has passed or the request is cancelled."""
+        """Wait for that time, or until the request is cancelled."""
         cancelled = asyncio.Event()
-        self._pauses[request_id] = cancelled
+        self._cancel_events[request_id] = cancelled
         try:
             await asyncio.wait_for(cancelled.wait(), pause_s)
         except TimeoutError:
             return
         finally:
-            self._pauses.pop(request_id)
+            self._cancel_events.pop(request_id)
 
 
-def _endpoints_of(outcome: work.Outcome) -> frozenset[ids.EndpointId]:
-    """Return the endpoint that an attempt reached, if it is known."""
-    if isinstance(outcome, (work.Response, endpoint.Lost)):
+def _reached_endpoints(outcome: work.Outcome) -> frozenset[ids.EndpointId]:
+    """Return the endpoint that an attempt reached, or an empty set."""
+    if isinstance(outcome, (work.Response, endpoint.ResponseLost)):
         return frozenset((outcome.endpoint,))
     return dispatcher.NOTHING_EXCLUDED
 
 
-def _better(earlier: work.Outcome, latest: work.Outcome) -> work.Outcome:
-    """Return the outcome to report after both attempts.
+def _preferred_outcome(
+    earlier: work.Outcome, latest: work.Outcome
+) -> work.Outcome:
+    """Return the outcome to report after two attempts.
 
-    The earlier attempt was started, so "not run" would be false.
+    A refusal of the latest attempt is never reported: the earlier attempt was
+    started, so "not run" would be wrong.
     """
     if isinstance(latest, work.Response):
         return latest
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -1,4 +1,4 @@
-"""Take submissions from callers and see each of them through."""
+"""Submissions of callers: admission, idempotency keys, status and cancel."""
 
 import asyncio
 import dataclasses
@@ -21,45 +21,46 @@
 )
 from sardineproxy.version import versions
 
-#: Bits of the random part of a keyless request's id.
+#: Number of random bits in the id of a keyless request.
 KEYLESS_ID_BITS = 64
 
-#: Seconds for a forward beyond the longest deadline of its submission.
+#: Timeout of a forwarded request, in seconds beyond the longest deadline of
+#: the submission.
 FORWARD_SLACK_S = 5
 
 Runner = executions.Runner
-_Held = records.Record | records.Tombstone | records.UnrecordedKey
+_KeyEntry = records.Record | records.Tombstone | records.UnrecordedKey
 _Operation = key_requests.Operation
 _log = logs.get_logger('request')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Lifetimes and bounds of keys and records."""
+    """Lifetimes and limits of keys and records."""
 
-    #: Seconds for which a key that was not used stays valid.
+    #: Lifetime of an unused key, in seconds.
     key_ttl_s: float = 900
 
-    #: Seconds for which an answer is held; at least ``key_ttl_s``.
+    #: Retention of an answer, in seconds; at least ``key_ttl_s``.
     record_ttl_s: float = 900
 
-    #: Most records, and most notes about keys without a record.
+    #: Maximum number of records, and of tombstones.
     max_records: int = 200_000
 
-    #: Most bytes of answers that are held after the requests have ended.
+    #: Maximum total size of retained answers, in bytes.
     max_answer_bytes: int = 268_435_456
 
-    #: Most bytes of submissions that are in progress.
+    #: Maximum total size of submissions in progress, in bytes.
     max_running_bytes: int = 268_435_456
 
     def __post_init__(self) -> None:
-        """Refuse lifetimes that would let a key's work start twice."""
+        """Reject lifetimes with which a key could start its work twice."""
         if self.record_ttl_s < self.key_ttl_s:
             raise ValueError('record_ttl_s must be at least key_ttl_s')
 
 
 class Submissions:
-    """All submissions of one entry process."""
+    """Submissions and idempotency keys of one entry process."""
 
     def __init__(
         self,
@@ -74,21 +75,21 @@
         forwarder: forwarding.Forwarder,
         metrics: metrics.Metrics,
     ) -> None:
-        """Start without a version; nothing is admitted until there is one."""
+        """Start without a version; nothing is admitted before the first."""
         self._clock = clock
         self._rng = rng
         self._max_running_bytes = cfg.max_running_bytes
         self._vm = vm
         self._incarnation = incarnation
         self._metrics = metrics
-        self._keys = keys.KeyIssuer(
+        self._key_issuer = keys.KeyIssuer(
             vm=vm,
             incarnation=incarnation,
             secret=secret,
             ttl_s=cfg.key_ttl_s,
         )
         self._record_store = records.RecordStore(
-            key_issuer=self._keys,
+            key_issuer=self._key_issuer,
             key_ttl_s=cfg.key_ttl_s,
             record_ttl_s=cfg.record_ttl_s,
             max_records=cfg.max_records,
@@ -110,15 +111,15 @@
         self._admission.set_version(version)
 
     def set_live_vms(self, count: int) -> None:
-        """Set among how many VMs the submission rates are divided."""
+        """Set the number of VMs that the submission rates are divided by."""
         self._admission.set_live_vms(count)
 
     def drain(self) -> None:
-        """Refuse new work as not run from now on."""
+        """Refuse new submissions with the verdict "not run" from now on."""
         self._admission.drain()
 
     async def wait_until_idle(self) -> None:
-        """Wait until no submission and no forward is in progress."""
+        """Wait until no submission or forwarded request is in progress."""
         await self._executions.wait_until_idle()
 
     def authenticate(
@@ -130,20 +131,20 @@
     def issue_keys(
         self, *, customer: ids.CustomerId, body: bytes
     ) -> documents.Reply:
-        """Answer with new keys of the customer."""
-        refused = self._admission.current_refusal()
-        if refused is not None:
-            return documents.render_problem(refused)
+        """Issue new keys of the customer and return them as a reply."""
+        refusal = self._admission.current_refusal()
+        if refusal is not None:
+            return documents.render_problem(refusal)
         count = documents.parse_key_count(body)
         if isinstance(count, result.Err):
             return documents.render_problem(count.err_value)
         now = self._clock.now()
-        minted = [
-            self._keys.issue(customer=customer, now=now)
+        issued = [
+            self._key_issuer.issue(customer=customer, now=now)
             for _ in range(count.ok_value)
         ]
-        self._metrics.count('keys_minted_total', by=len(minted))
-        return documents.render_json(status=200, document={'keys': minted})
+        self._metrics.count('keys_minted_total', by=len(issued))
+        return documents.render_json(status=200, document={'keys': issued})
 
     async def submit(
         self,
@@ -154,7 +155,10 @@
         body: bytes,
         wait: bool = True,
     ) -> documents.Reply:
-        """Answer a submission: run it, join it or forward it."""
+        """Run, join or forward a submission and return the reply.
+
+        Without ``wait`` the reply is the status of the submission.
+        """
         if key_text is None and not wait:
             reply = documents.render_problem(admission.key_required())
         elif key_text is None:
@@ -181,7 +185,7 @@
     async def status(
         self, *, customer: ids.CustomerId, key_text: str
     ) -> documents.Reply:
-        """Answer with the state of a request, or its answer if it has ended."""
+        """Return the state of a request, or its answer if it has ended."""
         return await self.answer_key_request(
             key_requests.KeyRequest(
                 operation=_Operation.STATUS, customer=customer, key=key_text
@@ -191,7 +195,7 @@
     async def cancel(
         self, *, customer: ids.CustomerId, key_text: str
     ) -> documents.Reply:
-        """Keep what has not started from starting, and answer the status."""
+        """Cancel the tasks that have not started, and return the status."""
         return await self.answer_key_request(
             key_requests.KeyRequest(
                 operation=_Operation.CANCEL, customer=customer, key=key_text
@@ -201,14 +205,14 @@
     async def answer_key_request(
         self, request: key_requests.KeyRequest
     ) -> documents.Reply:
-        """Answer a question about a key, here or at the key's minter."""
+        """Process a request about a key, here or at the key's issuer."""
         key = keys.parse(request.key)
         if key is None:
             return documents.render_problem(keys.malformed())
-        if self._keys.is_own(key=key):
-            return await self._answer(request, key)
+        if self._key_issuer.is_own(key=key):
+            return await self._answer_own(request, key)
         if key.vm == self._vm:
-            return _not_minter(key, self._vm)
+            return _foreign_key_reply(key, self._vm)
         wait_s = float(FORWARD_SLACK_S)
         if request.wait:
             wait_s += self._admission.longest_deadline_s(
@@ -219,21 +223,21 @@
         )
 
     async def handle(self, payload: bytes) -> bytes:
-        """Return the reply to a payload that another process forwarded."""
+        """Process a forwarded request and return the payload of the reply."""
         request = key_requests.decode_request(payload)
         key = keys.parse(request.key) if request else None
         if request is None or key is None:
-            _log.warning('malformed forward')
+            _log.warning('Forwarded request is malformed.')
             reply = documents.render_problem(keys.malformed_forward())
-        elif self._keys.is_own(key=key):
-            reply = await self._answer(request, key)
+        elif self._key_issuer.is_own(key=key):
+            reply = await self._answer_own(request, key)
         else:
-            reply = _not_minter(key, self._vm)
-        packed = key_requests.encode_reply(reply)
-        if len(packed) > key_requests.MAX_PAYLOAD_BYTES:
+            reply = _foreign_key_reply(key, self._vm)
+        reply_payload = key_requests.encode_reply(reply)
+        if len(reply_payload) > key_requests.MAX_PAYLOAD_BYTES:
             problem = documents.answer_too_large(reply.verdict)
             return key_requests.encode_reply(documents.render_problem(problem))
-        return packed
+        return reply_payload
 
     def refuse(
         self,
@@ -242,12 +246,15 @@
         key_text: str | None,
         problem: problems.Problem,
     ) -> documents.Reply:
-        """Refuse a submission whose body was not read."""
+        """Refuse a submission whose body was not read.
+
+        A key that is still new gets a tombstone with the problem.
+        """
         key = keys.parse(key_text) if key_text else None
         if key is not None:
             now = self._clock.now()
-            held = self._record_store.find(key=key, customer=customer, now=now)
-            if held is records.UnrecordedKey.NEW:
+            entry = self._record_store.find(key=key, customer=customer, now=now)
+            if entry is records.UnrecordedKey.NEW:
                 self._record_store.add_tombstone(
                     key=key,
                     customer=customer,
@@ -260,7 +267,7 @@
         return documents.render_problem(problem)
 
     def state(self, *, now: float) -> dict[str, object]:
-        """Return what is held, for whom and since when, for the dump."""
+        """Return submissions, record counts and limits for the state dump."""
         return {
             'vm': self._vm,
             'incarnation': self._incarnation,
@@ -285,31 +292,31 @@
         )
         return await asyncio.shield(record.reply_future)
 
-    async def _answer(
+    async def _answer_own(
         self, request: key_requests.KeyRequest, key: keys.Key
     ) -> documents.Reply:
-        """Answer a question about a key of this incarnation."""
+        """Process a request about a key of this incarnation."""
         now = self._clock.now()
-        held = self._record_store.find(
+        entry = self._record_store.find(
             key=key, customer=request.customer, now=now
         )
-        match held:
+        match entry:
             case records.UnrecordedKey.UNKNOWN:
                 return documents.render_problem(keys.unknown())
             case records.UnrecordedKey.VOID:
                 return documents.render_problem(keys.expired())
         if request.operation is _Operation.SUBMIT:
-            return await self._answer_submit(request, key, held)
+            return await self._answer_submit(request, key, entry)
         if request.operation is _Operation.CANCEL:
-            held = self._cancel(request, key, held)
-        return _status_reply(held)
+            entry = self._cancel(request, key, entry)
+        return _status_reply(entry)
 
     def _cancel(
-        self, request: key_requests.KeyRequest, key: keys.Key, held: _Held
-    ) -> _Held:
-        if isinstance(held, records.Record):
-            self._executions.cancel(record=held)
-        if held is records.UnrecordedKey.NEW:
+        self, request: key_requests.KeyRequest, key: keys.Key, entry: _KeyEntry
+    ) -> _KeyEntry:
+        if isinstance(entry, records.Record):
+            self._executions.cancel(record=entry)
+        if entry is records.UnrecordedKey.NEW:
             return self._record_store.add_tombstone(
                 key=key,
                 customer=request.customer,
@@ -317,30 +324,30 @@
                 problem=executions.cancelled(),
                 now=self._clock.now(),
             )
-        return held
+        return entry
 
     async def _answer_submit(
         self,
         request: key_requests.KeyRequest,
         key: keys.Key,
-        held: _Held,
+        entry: _KeyEntry,
     ) -> documents.Reply:
         fingerprint = _fingerprint(request)
-        if isinstance(held, records.UnrecordedKey):
-            held = self._open(request, key, fingerprint)
-        if held.fingerprint not in {None, fingerprint}:
+        if isinstance(entry, records.UnrecordedKey):
+            entry = self._start_new(request, key, fingerprint)
+        if entry.fingerprint not in {None, fingerprint}:
             return documents.render_problem(keys.reused())
-        if request.wait and isinstance(held, records.Record):
-            return await asyncio.shield(held.reply_future)
-        return _status_reply(held)
+        if request.wait and isinstance(entry, records.Record):
+            return await asyncio.shield(entry.reply_future)
+        return _status_reply(entry)
 
-    def _open(
+    def _start_new(
         self,
         request: key_requests.KeyRequest,
         key: keys.Key,
         fingerprint: bytes,
     ) -> records.Record | records.Tombstone:
-        """Start a new key's work, or note that it never starts."""
+        """Start the work of a new key, or add a tombstone if it is refused."""
         admitted = self._admit(
             admission.Submission(
                 customer=request.customer,
@@ -377,8 +384,11 @@
         )
 
 
-def _not_minter(key: keys.Key, vm: ids.VmId) -> documents.Reply:
-    """Answer for another incarnation: gone if it was one of this VM."""
+def _foreign_key_reply(key: keys.Key, vm: ids.VmId) -> documents.Reply:
+    """Return the reply for a key that another incarnation issued.
+
+    An earlier incarnation of this VM is gone; any other is unreachable.
+    """
     if key.vm == vm:
         return documents.render_problem(keys.issuer_gone())
     return documents.render_problem(keys.issuer_unreachable())
@@ -389,20 +399,20 @@
     return hashlib.sha256(kind + b'\n' + request.body).digest()
 
 
-def _status_reply(held: _Held) -> documents.Reply:
-    if isinstance(held, records.UnrecordedKey):
+def _status_reply(entry: _KeyEntry) -> documents.Reply:
+    if isinstance(entry, records.UnrecordedKey):
         return documents.render_problem(keys.not_submitted())
-    if isinstance(held, records.Tombstone):
-        return documents.render_problem(held.problem)
-    if held.reply_future.done():
-        return held.reply_future.result()
+    if isinstance(entry, records.Tombstone):
+        return documents.render_problem(entry.problem)
+    if entry.reply_future.done():
+        return entry.reply_future.result()
     return documents.render_json(
         status=202,
         document={
-            'id': held.request_id,
+            'id': entry.request_id,
             'state': 'running',
-            'cancelled': held.cancelled,
-            'tasks': held.task_count,
-            'ended_tasks': held.ended_tasks,
+            'cancelled': entry.cancelled,
+            'tasks': entry.task_count,
+            'ended_tasks': entry.ended_tasks,
         },
     )
--- a/sardineproxy/request/work.py
+++ b/sardineproxy/request/work.py
@@ -1,4 +1,4 @@
-"""Tasks, their answers and their outcomes."""
+"""Tasks, the answers of endpoints and the outcomes of attempts."""
 
 import dataclasses
 import enum
@@ -7,29 +7,29 @@
 
 
 class TaskKind(enum.Enum):
-    """How a task was submitted."""
+    """Kind of the submission that a task belongs to."""
 
-    #: A person waits for this one request.
+    #: Interactive: a person waits for this single request.
     SINGLE = 'single'
 
-    #: One of a job's tasks.
+    #: Task of a job.
     JOB = 'job'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Task:
-    """One HTTP request that an endpoint is to run."""
+    """One HTTP request to be run by an endpoint."""
 
-    #: The single request's id, or the job's.
+    #: Id of the single request or of the job.
     request_id: ids.RequestId
 
-    #: Position in the job, 0 for a single request.
+    #: Index in the job, 0 for a single request.
     index: int
 
     customer: ids.CustomerId
     kind: TaskKind
 
-    #: True if the endpoint may run it again without harm.
+    #: True if running it more than once has no additional effect.
     idempotent: bool
 
     method: str
@@ -37,13 +37,13 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
-    #: Monotonic seconds after which it must not start.
+    #: Time after which it must not start, in monotonic seconds.
     deadline: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Response:
-    """An endpoint's whole answer."""
+    """The complete answer of an endpoint."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -55,14 +55,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """Nothing of the task was written to any endpoint's connection."""
+    """The task was not run: no byte was written to an endpoint."""
 
     problem: problems.Problem
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OutcomeUnknown:
-    """A byte of the task may have left, and no whole answer came back."""
+    """A byte of the task may have been sent, without a complete answer."""
 
     problem: problems.Problem
 
--- a/sardineproxy/standin/run_checks.py
+++ b/sardineproxy/standin/run_checks.py
@@ -32,7 +32,7 @@
     expired before.
     """
     done: dict[workers.TaskName, float] = {}
-    for each in _counted(records, workers.Ending.DONE):
+    for each in _counted(records, workers.RunResult.DONE):
         ended_at = _end_of(each)
         done[each.task] = min(ended_at, done.get(each.task, ended_at))
     return [
@@ -46,7 +46,7 @@
 def find_excess(records: list[worker_model.Record], most: int) -> list[str]:
     """Return a sentence for each start after ``most`` failures of a task."""
     failures: dict[workers.TaskName, list[float]] = {}
-    for each in _counted(records, workers.Ending.FAILED):
+    for each in _counted(records, workers.RunResult.FAILED):
         failures.setdefault(each.task, []).append(_end_of(each))
     return [
         f'{record.task}: run {record.run} started after {most} failures'
@@ -56,7 +56,7 @@
 
 
 def _counted(
-    records: list[worker_model.Record], how: workers.Ending
+    records: list[worker_model.Record], how: workers.RunResult
 ) -> list[worker_model.Record]:
     """Return the runs that ended so and whose end stands for good."""
     return [
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -26,7 +26,7 @@
     started_at: float
     resources: jobs.Resources
     ended_at: float | None = None
-    how: workers.Ending | None = None
+    how: workers.RunResult | None = None
 
     #: True if the lease expired before the end was acknowledged.
     has_lapsed: bool = False
@@ -41,7 +41,7 @@
 
     #: Time at which its work is done, None if it never is.
     done_at: float | None
-    how: workers.Ending
+    how: workers.RunResult
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -52,7 +52,7 @@
     work_s: float
 
     #: How its run ends if nothing stops it; None if it never ends.
-    how: workers.Ending | None = workers.Ending.DONE
+    how: workers.RunResult | None = workers.RunResult.DONE
 
 
 #: Returns what one run of a task needs.
@@ -90,7 +90,7 @@
         self._lease_end_ms = 0
         self._running: dict[workers.TaskName, _Running] = {}
         self._barred: dict[workers.TaskName, int] = {}
-        self._ends: list[workers.End] = []
+        self._ends: list[workers.FinishedRun] = []
         self._end_count = 0
 
         #: Runs that have ended and are not acknowledged, by number.
@@ -131,7 +131,8 @@
         self._born_at = now
         self.is_up = True
         self.worker = dataclasses.replace(
-            self.worker, born_ms=self.worker.born_ms + int(now * _MS_PER_S) + 1
+            self.worker,
+            started_ms=self.worker.started_ms + int(now * _MS_PER_S) + 1,
         )
         self._reset()
 
@@ -147,7 +148,7 @@
                 self._end(running, running.how, done_at)
         if lapse_at <= now:
             for running in list(self._running.values()):
-                self._end(running, workers.Ending.LAPSED, lapse_at)
+                self._end(running, workers.RunResult.LEASE_EXPIRED, lapse_at)
 
     def start(
         self, order: workers.Order, now: float
@@ -180,39 +181,39 @@
         self._barred[task] = max(run, self._barred.get(task, 0))
         running = self._running.get(task)
         if running is not None and running.record.run <= run:
-            self._end(running, workers.Ending.STOPPED, now)
+            self._end(running, workers.RunResult.STOPPED, now)
         return workers.Accepted(clock_ms=self.clock_ms(now))
 
-    def look(
-        self, look: workers.Look, now: float
+    def poll(
+        self, poll: workers.Poll, now: float
     ) -> workers.Report | workers.Refused:
         """Report, after an extension of the lease."""
         self.advance(now)
-        if not self._passes(look.fence):
+        if not self._passes(poll.fence):
             return _refused(workers.Refusal.FENCED)
         self._note_lapsed(now)
-        if look.expires_ms is not None:
-            self._extend(look.expires_ms, now)
-        self._ends = [end for end in self._ends if end.number > look.acked]
-        self._note_acked(look.acked, now)
+        if poll.expires_ms is not None:
+            self._extend(poll.expires_ms, now)
+        self._ends = [end for end in self._ends if end.position > poll.acked]
+        self._note_acked(poll.acked, now)
         return workers.Report(
             clock_ms=self.clock_ms(now),
-            born_ms=self.worker.born_ms,
-            running=tuple(
-                workers.Running(
+            started_ms=self.worker.started_ms,
+            active=tuple(
+                workers.ActiveRun(
                     task=task,
                     run=running.record.run,
                     percent=self._percent(running, now),
                 )
                 for task, running in self._running.items()
             ),
-            ended=tuple(self._ends[:MAX_ENDS]),
-            is_whole=len(self._ends) < MAX_ENDS,
+            finished=tuple(self._ends[:MAX_ENDS]),
+            is_complete=len(self._ends) < MAX_ENDS,
         )
 
     def has_ends(self, acked: int) -> bool:
         """Tell whether there are ends that were not acknowledged."""
-        return any(end.number > acked for end in self._ends)
+        return any(end.position > acked for end in self._ends)
 
     def _reset(self) -> None:
         self._fence = 0
@@ -273,10 +274,12 @@
             done_at=None
             if work.how is None
             else now + work.work_s * self._speed,
-            how=work.how or workers.Ending.DONE,
+            how=work.how or workers.RunResult.DONE,
         )
 
-    def _end(self, running: _Running, how: workers.Ending, now: float) -> None:
+    def _end(
+        self, running: _Running, how: workers.RunResult, now: float
+    ) -> None:
         record = running.record
         record.ended_at = now
         record.how = how
@@ -287,11 +290,11 @@
         self._end_count += 1
         self._unacked[self._end_count] = record
         self._ends.append(
-            workers.End(
-                number=self._end_count,
+            workers.FinishedRun(
+                position=self._end_count,
                 task=record.task,
                 run=record.run,
-                how=how,
+                result=how,
             )
         )
 
@@ -306,4 +309,4 @@
 
 
 def _refused(why: workers.Refusal) -> workers.Refused:
-    return workers.Refused(why=why)
+    return workers.Refused(reason=why)
--- a/sardineproxy/version/in_force.py
+++ b/sardineproxy/version/active_config.py
@@ -18,7 +18,7 @@
 _LOG = logs.get_logger('config')
 
 
-class InForce:
+class ActiveConfig:
     """Keeps the newest version; an older one never replaces it."""
 
     def __init__(self, *, decode: Decode) -> None:
--- a/sardineproxy/version/codec.py
+++ b/sardineproxy/version/codec.py
@@ -73,7 +73,7 @@
 
 def encode_head(head: versions.Head) -> bytes:
     """Return the body of the head's row."""
-    return versions.canonical(dataclasses.asdict(head)).encode()
+    return versions.canonical_json(dataclasses.asdict(head)).encode()
 
 
 def decode_head(body: bytes) -> result.Result[versions.Head, str]:
@@ -84,7 +84,7 @@
 
 def encode_change(change: versions.Change) -> bytes:
     """Return the body of a change's row."""
-    return versions.canonical(_change_fields(change)).encode()
+    return versions.canonical_json(_change_fields(change)).encode()
 
 
 def decode_change(body: bytes) -> result.Result[versions.Change, str]:
@@ -94,7 +94,7 @@
 
 def encode_snapshot(snapshot: versions.Snapshot) -> bytes:
     """Return the snapshot object of a version."""
-    return versions.canonical(_snapshot_fields(snapshot)).encode()
+    return versions.canonical_json(_snapshot_fields(snapshot)).encode()
 
 
 def decode_snapshot(body: bytes) -> result.Result[versions.Snapshot, str]:
@@ -109,7 +109,7 @@
         'snapshot': None if snapshot is None else _snapshot_fields(snapshot),
         'changes': [_change_fields(change) for change in payload.changes],
     }
-    return versions.canonical(fields).encode()
+    return versions.canonical_json(fields).encode()
 
 
 def decode_payload(body: bytes) -> result.Result[Payload, str]:
@@ -167,7 +167,7 @@
         customer = member.get('customer')
         if not _is_name(customer) or customer in documents:
             return result.Err(f'bad or repeated customer {customer!r}')
-        documents[ids.CustomerId(customer)] = versions.canonical(member)
+        documents[ids.CustomerId(customer)] = versions.canonical_json(member)
     return result.Ok(documents)
 
 
@@ -194,7 +194,7 @@
     documents = _to_documents(model.contracts)
     if isinstance(documents, result.Err):
         return documents
-    digest = versions.digest_of(documents.ok_value)
+    digest = versions.compute_digest(documents.ok_value)
     if digest != model.digest:
         return result.Err(
             f'snapshot {model.number} has digest {digest}, '
--- a/sardineproxy/version/contract_files.py
+++ b/sardineproxy/version/contract_files.py
@@ -48,7 +48,7 @@
             faults.extend(contract.err_value)
         else:
             parsed[path.name] = contract.ok_value
-    faults.extend(contracts.find_clashes(parsed))
+    faults.extend(contracts.find_duplicates(parsed))
     if faults:
         return result.Err(tuple(faults))
     return result.Ok(tuple(parsed.values()))
@@ -88,7 +88,7 @@
         return result.Err(tuple(faults))
     faults.extend(
         f'{name}: {sentence}'
-        for sentence in contracts.find_unmeetable(contract)
+        for sentence in contracts.find_unsatisfiable_limits(contract)
     )
     return result.Err(tuple(faults)) if faults else result.Ok(contract)
 
--- a/sardineproxy/version/contracts.py
+++ b/sardineproxy/version/contracts.py
@@ -8,7 +8,7 @@
 MAX_CONTRACTS = 1024
 
 #: Digits by which messages tell hashes apart.
-SHOWN_DIGITS = 8
+HASH_PREFIX_DIGITS = 8
 
 NAME_PATTERN = '^[a-z0-9][a-z0-9-]{0,62}$'
 
@@ -59,7 +59,7 @@
     max_deadline_ms: Annotated[int, pydantic.Field(ge=1, le=600_000)] = 120_000
 
 
-def find_unmeetable(contract: Contract) -> tuple[str, ...]:
+def find_unsatisfiable_limits(contract: Contract) -> tuple[str, ...]:
     """Return one sentence for each limit that can never be met."""
     largest_job = contract.max_job_tasks
     sentences = [
@@ -79,16 +79,16 @@
     return tuple(sentences)
 
 
-def find_clashes(by_origin: Mapping[Any, Contract]) -> tuple[str, ...]:
+def find_duplicates(by_source: Mapping[Any, Contract]) -> tuple[str, ...]:
     """Return one sentence for each name or credential that is used twice.
 
-    The keys of ``by_origin`` say where a contract comes from, such as its
+    The keys of ``by_source`` say where a contract comes from, such as its
     file.
     """
     sentences: list[str] = []
     names: dict[str, Any] = {}
     owners: dict[str, Any] = {}
-    for origin, contract in by_origin.items():
+    for origin, contract in by_source.items():
         other = names.setdefault(contract.customer, origin)
         if other != origin:
             sentences.append(
@@ -100,7 +100,7 @@
             if owner != (origin, place):
                 sentences.append(
                     f'{origin}: credential_sha256.{place}: found '
-                    f'{credential[:SHOWN_DIGITS]}..., which {owner[0]} has '
-                    'too; accepted is each credential once.'
+                    f'{credential[:HASH_PREFIX_DIGITS]}..., which '
+                    f'{owner[0]} has too; accepted is each credential once.'
                 )
     return tuple(sentences)
--- a/sardineproxy/version/fetching.py
+++ b/sardineproxy/version/fetching.py
@@ -18,7 +18,7 @@
 MAX_SNAPSHOTS_TRIED = 4
 
 #: Versions before the newest that are kept in case it cannot be parsed.
-KEPT_SNAPSHOTS = 64
+MAX_SNAPSHOTS = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -30,10 +30,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Fetched:
+class FetchedVersions:
     """Versions in ascending order, the newest that was reached last."""
 
-    #: The latest ``KEPT_SNAPSHOTS`` versions, with the one started from.
+    #: The latest ``MAX_SNAPSHOTS`` versions, with the one started from.
     snapshots: tuple[versions.Snapshot, ...]
 
     #: All changes that were applied.
@@ -102,19 +102,19 @@
 async def catch_up(
     client: platform.Platform,
     *,
-    known: versions.Snapshot,
+    base: versions.Snapshot,
     head: versions.Head,
     strict: bool,
-) -> result.Result[Fetched, store.StoreError]:
-    """Return the newest version that can be reached from ``known``.
+) -> result.Result[FetchedVersions, store.StoreError]:
+    """Return the newest version that can be reached from ``base``.
 
-    Uses the changes after ``known``; when these are many or do not apply,
+    Uses the changes after ``base``; when these are many or do not apply,
     the latest usable snapshot object and the changes after it.
     """
-    is_near = head.number - known.number <= SNAPSHOT_EVERY
-    reached = Fetched(snapshots=(known,), changes=())
+    is_near = head.number - base.number <= SNAPSHOT_EVERY
+    reached = FetchedVersions(snapshots=(base,), changes=())
     if is_near:
-        direct = await _follow(client, known, strict)
+        direct = await _follow(client, base, strict)
         if isinstance(direct, result.Err):
             return direct
         reached = direct.ok_value
@@ -127,14 +127,14 @@
         return await _follow(client, start.ok_value, strict)
     if is_near:
         return result.Ok(reached)
-    return await _follow(client, known, strict)
+    return await _follow(client, base, strict)
 
 
 def apply_rows(
-    known: versions.Snapshot, rows: tuple[platform.Row, ...]
-) -> Fetched:
+    base: versions.Snapshot, rows: tuple[platform.Row, ...]
+) -> FetchedVersions:
     """Apply the changes in the rows in order, up to the first fault."""
-    snapshots = collections.deque([known], maxlen=KEPT_SNAPSHOTS)
+    snapshots = collections.deque([base], maxlen=MAX_SNAPSHOTS)
     changes: list[versions.Change] = []
     fault = None
     for row in rows:
@@ -145,37 +145,37 @@
         change, snapshot = step.ok_value
         changes.append(change)
         snapshots.append(snapshot)
-    return Fetched(
+    return FetchedVersions(
         snapshots=tuple(snapshots), changes=tuple(changes), fault=fault
     )
 
 
 def _apply_row(
-    known: versions.Snapshot, row: platform.Row
+    base: versions.Snapshot, row: platform.Row
 ) -> result.Result[tuple[versions.Change, versions.Snapshot], str]:
     decoded = codec.decode_change(row.body)
     if isinstance(decoded, result.Err):
         return decoded
     change = decoded.ok_value
-    return versions.apply(known, change).map(lambda reached: (change, reached))
+    return versions.apply(base, change).map(lambda reached: (change, reached))
 
 
 async def _follow(
-    client: platform.Platform, known: versions.Snapshot, strict: bool
-) -> result.Result[Fetched, store.StoreError]:
-    read = await read_changes(client, after=known.number, strict=strict)
-    return read.map(lambda rows: apply_rows(known, rows))
+    client: platform.Platform, base: versions.Snapshot, strict: bool
+) -> result.Result[FetchedVersions, store.StoreError]:
+    read = await read_changes(client, after=base.number, strict=strict)
+    return read.map(lambda rows: apply_rows(base, rows))
 
 
 async def _find_snapshot(
     client: platform.Platform,
-    known: versions.Snapshot,
+    base: versions.Snapshot,
     head: versions.Head,
     strict: bool,
 ) -> result.Result[versions.Snapshot | None, store.StoreError]:
-    """Return the latest usable snapshot newer than ``known``, else None."""
+    """Return the latest usable snapshot newer than ``base``, else None."""
     number = head.number - head.number % SNAPSHOT_EVERY
-    oldest = max(known.number, number - SNAPSHOT_EVERY * MAX_SNAPSHOTS_TRIED)
+    oldest = max(base.number, number - SNAPSHOT_EVERY * MAX_SNAPSHOTS_TRIED)
     while number > oldest:
         snapshot = await _read_snapshot(client, number, strict)
         if isinstance(snapshot, result.Err) or snapshot.ok_value is not None:
--- a/sardineproxy/version/follower.py
+++ b/sardineproxy/version/follower.py
@@ -13,10 +13,10 @@
 from sardineproxy.version import codec, fetching, polling, versions
 
 #: Changes kept for peers that are a few versions behind.
-KEPT_CHANGES = 128
+MAX_CACHED_CHANGES = 128
 
 #: Bytes of all kept changes. Peers that need older ones get a snapshot.
-KEPT_BYTES = 1_048_576
+MAX_CACHED_BYTES = 1_048_576
 
 _LOG = logs.get_logger('config')
 
@@ -26,9 +26,9 @@
 class Follower:
     """Keeps the newest version that this process can take.
 
-    ``in_force`` never goes back to a lower number. Versions whose contracts
+    The number of ``active_version`` never decreases. Versions whose contracts
     cannot be parsed are followed as texts, so that a later version that can
-    be parsed comes into force.
+    be parsed becomes active.
     """
 
     def __init__(
@@ -41,19 +41,19 @@
         cfg: Config,
     ) -> None:
         """Start without a version."""
-        self.in_force: subject.BehaviorSubject[versions.Version | None] = (
-            subject.BehaviorSubject(None)
-        )
+        self.active_version: subject.BehaviorSubject[
+            versions.Version | None
+        ] = subject.BehaviorSubject(None)
         self._platform = platform
         self._clock = clock
         self._metrics = metrics
-        self._schedule = polling.Schedule(rng=rng, cfg=cfg)
+        self._schedule = polling.PollSchedule(rng=rng, cfg=cfg)
         self._newest = versions.EMPTY
         self._untried: collections.deque[versions.Snapshot] = collections.deque(
-            maxlen=fetching.KEPT_SNAPSHOTS
+            maxlen=fetching.MAX_SNAPSHOTS
         )
         self._changes: collections.deque[versions.Change] = collections.deque()
-        self._kept_bytes = 0
+        self._cached_bytes = 0
         self._last_read: float | None = None
         self._faults: dict[str, str] = {}
 
@@ -66,7 +66,7 @@
     async def poll_once(self) -> None:
         """Read the head and catch up with it if it is newer."""
         before = self._schedule.failures
-        error = await self._schedule.limited(self._poll())
+        error = await self._schedule.run_with_timeout(self._poll())
         if error is None:
             if before:
                 _LOG.info('platform answers after %d failures', before)
@@ -81,7 +81,7 @@
 
     def number(self) -> ids.VersionNumber:
         """Return the number of the version in force, 0 if there is none."""
-        version = self.in_force.value
+        version = self.active_version.value
         return ids.VersionNumber(0) if version is None else version.number
 
     def changes_since(self, number: int) -> bytes | None:
@@ -118,7 +118,7 @@
 
     def state(self, *, now: float) -> dict[str, Any]:
         """Return the state for the state dump."""
-        version = self.in_force.value
+        version = self.active_version.value
         return {
             'number': self.number(),
             'digest': None if version is None else version.digest,
@@ -130,7 +130,7 @@
         }
 
     async def _poll(self) -> result.Result[None, store.StoreError]:
-        strict = self.in_force.value is None
+        strict = self.active_version.value is None
         read = await fetching.read_head(self._platform, strict=strict)
         if isinstance(read, result.Err):
             return read
@@ -138,7 +138,7 @@
         if head is None or not self._is_newer(head):
             return result.Ok(None)
         fetched = await fetching.catch_up(
-            self._platform, known=self._newest, head=head, strict=strict
+            self._platform, base=self._newest, head=head, strict=strict
         )
         return fetched.map(self._take_fetched)
 
@@ -164,7 +164,7 @@
         self._advance(applied.ok_value)
         return True
 
-    def _take_fetched(self, fetched: fetching.Fetched) -> None:
+    def _take_fetched(self, fetched: fetching.FetchedVersions) -> None:
         if self._is_newer(fetched.newest):
             first = fetched.changes[0].head.number if fetched.changes else 0
             if first != self._newest.number + 1:
@@ -209,22 +209,23 @@
         self._faults.pop('conflict', None)
         self._metrics.count('config_versions_total')
         _LOG.info('version %d is in force', version.number)
-        self.in_force.on_next(version)
+        self.active_version.on_next(version)
 
     def _keep(self, change: versions.Change) -> None:
         self._changes.append(change)
-        self._kept_bytes += _size_of(change)
+        self._cached_bytes += _size_of(change)
         while self._changes and self._is_over_bound():
-            self._kept_bytes -= _size_of(self._changes.popleft())
+            self._cached_bytes -= _size_of(self._changes.popleft())
 
     def _is_over_bound(self) -> bool:
         return (
-            len(self._changes) > KEPT_CHANGES or self._kept_bytes > KEPT_BYTES
+            len(self._changes) > MAX_CACHED_CHANGES
+            or self._cached_bytes > MAX_CACHED_BYTES
         )
 
     def _forget_changes(self) -> None:
         self._changes.clear()
-        self._kept_bytes = 0
+        self._cached_bytes = 0
 
     def _report(self, kind: str, fault: str) -> None:
         """Log an error once, until it changes."""
--- a/sardineproxy/version/polling.py
+++ b/sardineproxy/version/polling.py
@@ -33,11 +33,11 @@
 
     #: Longest poll after a success; doubles with each failure, so that a slow
     #: platform is waited for.
-    limit_s: float = 2
-    max_limit_s: float = 30
+    timeout_s: float = 2
+    max_timeout_s: float = 30
 
 
-class Schedule:
+class PollSchedule:
     """Counts failures in a row and derives waits from them."""
 
     def __init__(self, *, rng: random.Random, cfg: Config) -> None:
@@ -56,21 +56,21 @@
             )
         return wait_s * self._rng.uniform(1 - cfg.jitter, 1 + cfg.jitter)
 
-    async def limited(
+    async def run_with_timeout(
         self,
         poll: Awaitable[result.Result[None, store.StoreError]],
     ) -> store.StoreError | None:
         """Wait for one poll within its limit and count its outcome."""
         cfg = self._cfg
-        limit_s = _doubled(cfg.limit_s, self.failures, cfg.max_limit_s)
+        timeout_s = _doubled(cfg.timeout_s, self.failures, cfg.max_timeout_s)
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 outcome = await poll
         except TimeoutError:
             self.failures += 1
             return store.StoreError(
                 kind=store.ErrorKind.UNAVAILABLE,
-                detail=f'no whole answer within {limit_s} s',
+                detail=f'no whole answer within {timeout_s} s',
             )
         if isinstance(outcome, result.Err):
             self.failures += 1
--- a/sardineproxy/version/routes.py
+++ b/sardineproxy/version/routes.py
@@ -25,7 +25,7 @@
     #: Runs of a task that may fail before its job fails.
     max_attempts: int
 
-    def bound_s(self, expected_s: float) -> float:
+    def time_limit_s(self, expected_s: float) -> float:
         """Return within which time a job is on time, in seconds."""
         return expected_s * self.stretch + self.slack_s
 
--- a/sardineproxy/version/versions.py
+++ b/sardineproxy/version/versions.py
@@ -57,31 +57,31 @@
     removed: tuple[ids.CustomerId, ...]
 
 
-def canonical(document: Mapping[str, Any]) -> str:
+def canonical_json(document: Mapping[str, Any]) -> str:
     """Return the one text of a JSON object that digests are taken over."""
     return json.dumps(
         document, sort_keys=True, separators=(',', ':'), ensure_ascii=True
     )
 
 
-def document_of(contract: contracts.Contract) -> str:
+def encode_contract(contract: contracts.Contract) -> str:
     """Return the canonical text of a contract, with defaults filled in."""
     fields = contract.model_dump(mode='json')
     fields['credential_sha256'] = sorted(fields['credential_sha256'])
-    return canonical(fields)
+    return canonical_json(fields)
 
 
-def documents_of(
+def encode_contracts(
     members: Iterable[contracts.Contract],
 ) -> dict[ids.CustomerId, str]:
     """Return the canonical texts of contracts by customer."""
     return {
-        ids.CustomerId(contract.customer): document_of(contract)
+        ids.CustomerId(contract.customer): encode_contract(contract)
         for contract in members
     }
 
 
-def digest_of(documents: Documents) -> str:
+def compute_digest(documents: Documents) -> str:
     """Return the SHA-256 over all texts in the order of customers."""
     digest = hashlib.sha256()
     for customer in sorted(documents):
@@ -91,11 +91,11 @@
 
 #: What the first change is applied to.
 EMPTY = Snapshot(
-    number=ids.VersionNumber(0), digest=digest_of({}), documents={}
+    number=ids.VersionNumber(0), digest=compute_digest({}), documents={}
 )
 
 
-def difference(
+def diff_documents(
     old: Documents, new: Documents
 ) -> tuple[dict[ids.CustomerId, str], tuple[ids.CustomerId, ...]]:
     """Return the contracts to set and the customers to remove."""
@@ -117,7 +117,7 @@
     documents = {**snapshot.documents, **change.documents}
     for customer in change.removed:
         documents.pop(customer, None)
-    digest = digest_of(documents)
+    digest = compute_digest(documents)
     if digest != head.digest:
         return result.Err(
             f'change {head.number} leads to digest {digest}, '
@@ -141,7 +141,7 @@
                 f'contract of {customer} names customer {contract.customer}'
             )
         parsed[customer] = contract
-    clashes = contracts.find_clashes(parsed)
+    clashes = contracts.find_duplicates(parsed)
     if clashes:
         return result.Err(clashes[0])
     return result.Ok(
--- a/tests/connection/test_caller.py
+++ b/tests/connection/test_caller.py
@@ -25,13 +25,13 @@
 PATIENCE_S = 30
 
 
-class CallerCase(fakes.SubmissionsCase):
+class CallerCase(fakes.SubmissionsTestCase):
     """A listener in front of the first process."""
 
     async def start(self, **limits: Any) -> None:
-        limits = caller.EdgeLimits(**limits)
+        limits = caller.ConnectionLimits(**limits)
         app = caller.build_app(
-            submissions=self.process, limits=limits, clock=self.time
+            submissions=self.process, limits=limits, clock=self.clock
         )
         self.listener = await caller.start(
             app=app, limits=limits, host='127.0.0.1', port=0
@@ -58,7 +58,7 @@
             f'{HEAD.replace("keys", "requests")}Idempotency-Key: {key}\r\n'
             f'Content-Length: {len(body)}\r\n\r\n{body}'.encode()
         )
-        while (await self.ask('status'))[0] == 404:
+        while (await self.call_method('status'))[0] == 404:
             await asyncio.sleep(0)
         return writer
 
@@ -82,12 +82,12 @@
         _, minted = await self.call('POST', 'keys', json={'count': 2})
         key = minted['keys'][1]
         job = {'tasks': [fakes.TASK, fakes.TASK]}
-        self.runner.gate.clear()
+        self.runner.start_gate.clear()
         status, running = await self.call(
             'POST', 'jobs?wait=false', key, json=job
         )
         self.assertEqual((202, 'running'), (status, running['state']))
-        self.runner.gate.set()
+        self.runner.start_gate.set()
         complete = await self.call('POST', 'jobs', key, json=job)
         self.assertEqual('complete', complete[1]['state'])
         for verb in ('GET', 'DELETE'):
@@ -98,7 +98,13 @@
         await self.start(body_bytes=100)
         for verb, path, key, body, code in (
             ('POST', 'requests', self.key, 'x' * 101, 'body_too_large'),
-            ('POST', 'requests?wait=no', self.spare, '', 'malformed_request'),
+            (
+                'POST',
+                'requests?wait=no',
+                self.spare_key,
+                '',
+                'malformed_request',
+            ),
             ('PUT', 'requests', None, '', 'no_such_resource'),
             ('GET', 'other', None, '', 'no_such_resource'),
             ('GET', 'jobs/none', None, '', 'malformed_key'),
@@ -129,13 +135,13 @@
 
     async def test_disconnect_does_not_cancel(self) -> None:
         await self.start(close_timeout_s=0.1)
-        self.runner.gate.clear()
+        self.runner.start_gate.clear()
         writer = await self.post(self.key)
         writer.transport.abort()
         await self.listener.close()
-        self.runner.gate.set()
+        self.runner.start_gate.set()
         await self.process.wait_until_idle()
-        self.assertEqual(200, (await self.ask('status'))[0])
+        self.assertEqual(200, (await self.call_method('status'))[0])
 
 
 class FramingTest(CallerCase):
--- a/tests/connection/test_cutoff.py
+++ b/tests/connection/test_deadlines.py
@@ -4,43 +4,45 @@
 
 import testtools
 
-from sardineproxy.connection import cutoff
+from sardineproxy.connection import deadlines
 
 
-class CutoffTest(testtools.TestCase):
+class DeadlineTimerTest(testtools.TestCase):
     """Only the deadline's own cancellation counts as a time-out."""
 
     def test_deadline_and_foreign_cancellation(self) -> None:
         """Guards against swallowing the cancellation of a caller's task."""
-        for left_s, cancels, expected in (
+        for timeout_s, cancels, expected in (
             (0.01, False, True),
             (30, True, False),
         ):
-            self.assertEqual(expected, asyncio.run(run_watch(left_s, cancels)))
+            self.assertEqual(
+                expected, asyncio.run(run_watch(timeout_s, cancels))
+            )
 
     def test_ended_entries_are_dropped(self) -> None:
         """Guards against memory held until far deadlines pass."""
 
         async def run() -> int:
-            watches = cutoff.Cutoff()
+            watches = deadlines.DeadlineTimer()
             for _ in range(1000):
-                watches.leave(watches.enter(left_s=99))
+                watches.finish(watches.start(timeout_s=99))
             watches.close()
             return len(watches._heap)
 
         self.assertLess(asyncio.run(run()), 100)
 
 
-async def run_watch(left_s: float, cancels: bool) -> bool:
+async def run_watch(timeout_s: float, cancels: bool) -> bool:
     """Return whether a wait without end was cut off by its deadline."""
-    watches = cutoff.Cutoff()
+    watches = deadlines.DeadlineTimer()
 
     async def wait() -> bool:
-        entry = watches.enter(left_s=left_s)
+        entry = watches.start(timeout_s=timeout_s)
         try:
             await asyncio.Event().wait()
         except asyncio.CancelledError:
-            return watches.leave(entry)
+            return watches.finish(entry)
         return False
 
     waiting = asyncio.create_task(wait())
--- a/tests/connection/test_endpoint.py
+++ b/tests/connection/test_endpoint.py
@@ -97,7 +97,7 @@
             client = endpoint.EndpointClient(
                 clock=clock.SystemClock(),
                 metrics=metrics.Metrics(),
-                cfg=endpoint.Config(max_answer_bytes=1000),
+                cfg=endpoint.Config(max_response_bytes=1000),
             )
             await client.start()
             async with Server(script) as server:
@@ -149,7 +149,7 @@
 
             async def use(server: Server, attempt: Any) -> None:
                 outcome = await attempt()
-                self.assertIsInstance(outcome, endpoint.Lost, name)
+                self.assertIsInstance(outcome, endpoint.ResponseLost, name)
                 self.assertEqual(1, len(server.requests), name)
 
             self.attempts(answering(BROKEN[name], close=close), use)
--- a/tests/connection/test_frames.py
+++ b/tests/connection/test_frames.py
@@ -41,7 +41,7 @@
                 for field in dataclasses.fields(kind)
             },
         )
-        for kind in frames.KINDS
+        for kind in frames.FRAME_TYPES
     )
 )
 _values = strategies.recursive(
@@ -74,13 +74,15 @@
     """Bytes of a peer never raise and never pass for what they are not."""
 
     @_settings
-    @hypothesis.given(frame=_frames, free=_count)
+    @hypothesis.given(frame=_frames, free_slots=_count)
     def test_decodes_what_was_encoded(
-        self, frame: frames.Frame, free: int
+        self, frame: frames.Frame, free_slots: int
     ) -> None:
-        body = frames.encode(frame, free=free).unwrap()[4:]
+        body = frames.encode(frame, free_slots=free_slots).unwrap()[4:]
         decoded = frames.decode(body).unwrap()
-        self.assertEqual(frames.Envelope(frame=frame, free=free), decoded)
+        self.assertEqual(
+            frames.Envelope(frame=frame, free_slots=free_slots), decoded
+        )
 
     @_settings
     @hypothesis.given(body=strategies.binary(max_size=200))
--- a/tests/connection/test_peer.py
+++ b/tests/connection/test_peer.py
@@ -50,11 +50,11 @@
         server = await asyncio.start_server(accept, HOST, 0)
         port = server.sockets[0].getsockname()[1]
         ends = await asyncio.open_connection(HOST, port)
-        ctx = peer.Context(
+        ctx = peer.StreamContext(
             clock=self.clock,
             metrics=metrics.Metrics(),
-            hello=lambda: HELLO,
-            free=lambda: 7,
+            make_hello=lambda: HELLO,
+            count_free_slots=lambda: 7,
         )
         stream = peer.Stream(
             ctx=ctx, reader=ends[0], writer=ends[1], dialed=True
@@ -79,7 +79,9 @@
             writer.write(_encode(HELLO))
             self.assertEqual(HELLO, (await stream.handshake()).unwrap())
             received = (await frames.Reader(reader=reader).read()).unwrap()
-            self.assertEqual(frames.Envelope(frame=HELLO, free=7), received)
+            self.assertEqual(
+                frames.Envelope(frame=HELLO, free_slots=7), received
+            )
             self.assertEqual((3, 4), (stream.version, stream.revision))
 
     def test_refuses_what_breaks_the_rules(self) -> None:
@@ -89,7 +91,7 @@
             (b'\x00\x00\x00\x03abc', 'not'),
             (b'\x00\x00\x00\x03\x92\x63\x00', 'unknown'),
             (heartbeat[:-1], 'truncated'),
-            (b'', frames.CLOSED),
+            (b'', frames.STREAM_CLOSED),
         ):
             error = asyncio.run(self.refuse(sent))
             self.assertThat(error, matchers.Contains(why))
@@ -113,11 +115,13 @@
     async def test_notes_what_rides_on_frames(self) -> None:
         async with self.connect() as (stream, reader, writer):
             heartbeat = frames.Heartbeat(version=9, revision=2)
-            writer.write(frames.encode(heartbeat, free=5).unwrap())
+            writer.write(frames.encode(heartbeat, free_slots=5).unwrap())
             self.clock.advance(1)
             self.assertEqual(heartbeat, (await stream.receive()).unwrap())
-            self.assertEqual((5, 9), (stream.free, stream.version))
-            self.assertEqual((101, 100), (stream.heard_at, stream.used_at))
+            self.assertEqual((5, 9), (stream.free_slots, stream.version))
+            self.assertEqual(
+                (101, 100), (stream.last_received_at, stream.last_used_at)
+            )
 
     @asynchronous
     async def test_gives_up_on_a_peer_that_does_not_read(self) -> None:
--- a/tests/operator/test_applying.py
+++ b/tests/operator/test_applying.py
@@ -42,7 +42,7 @@
 class ApplyTest(testtools.TestCase):
     """The transaction decides, not what was read before it."""
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_loses_to_a_change_between_its_read_and_its_write(
         self, client
     ):
@@ -55,7 +55,7 @@
             matchers.Equals(('bob', False)),
         )
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_a_rerun_and_the_first_write_arriving_late_make_one_version(
         self, client
     ):
@@ -65,7 +65,7 @@
         self.assertThat(outcome, matchers.IsInstance(applying.AlreadyApplied))
         self.assertThat(newest.snapshot.number, matchers.Equals(1))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_names_the_winner_even_if_the_newest_has_the_wanted_contracts(
         self, client
     ):
@@ -77,7 +77,7 @@
             matchers.Equals(('bob', 'cat', False)),
         )
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_no_version_is_made_before_its_snapshot(self, client):
         for base in range(63):
             await samples.apply(client, base, acme=base + 1)
--- a/tests/platform/samples.py
+++ b/tests/platform/samples.py
@@ -34,7 +34,7 @@
 """
 
 
-def entry(**changes: Any) -> dict[str, Any]:
+def worker_entry(**changes: Any) -> dict[str, Any]:
     """Return a worker's entry in the list."""
     return {
         'service': 's',
--- a/tests/platform/store_server.py
+++ b/tests/platform/store_server.py
@@ -17,7 +17,7 @@
 _FEED_STEP_S = 0.01
 
 
-class Trouble(enum.Enum):
+class Fault(enum.Enum):
     """How the service treats a call."""
 
     NONE = 'none'
@@ -38,7 +38,7 @@
     ) -> None:
         self.rows = rows
         self.rng = rng or random.Random(1)
-        self.trouble = Trouble.NONE
+        self.fault = Fault.NONE
 
         #: Share of the calls that the trouble hits.
         self.share: float = 1
@@ -61,20 +61,20 @@
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
         is_hit = self.rng.random() < self.share
-        trouble = self.trouble if is_hit else Trouble.NONE
-        match trouble:
-            case Trouble.BUSY:
+        fault = self.fault if is_hit else Fault.NONE
+        match fault:
+            case Fault.BUSY:
                 return web.Response(status=503)
-            case Trouble.MANY:
+            case Fault.MANY:
                 return web.Response(status=429)
-            case Trouble.SILENT:
+            case Fault.SILENT:
                 await asyncio.sleep(3600)
-            case Trouble.RESET:
+            case Fault.RESET:
                 endpoint_reset.reset(req.transport)
-            case Trouble.LOST:
+            case Fault.LOST:
                 await self._answer(req)
                 endpoint_reset.reset(req.transport)
-            case Trouble.NONE:
+            case Fault.NONE:
                 with contextlib.suppress(ConnectionResetError):
                     return await self._answer(req)
         return web.Response(status=500)
--- a/tests/platform/test_front_http.py
+++ b/tests/platform/test_client_http.py
@@ -8,7 +8,7 @@
 import testtools
 
 from sardineproxy import deployment, ids
-from sardineproxy.platform import configuration, front_http
+from sardineproxy.platform import configuration, client_http
 from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.request import jobs
 from sardineproxy.version import routes
@@ -58,18 +58,18 @@
             raise
         return self.outcome
 
-    async def keep_job(
+    async def store_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
         return self.answer
 
-    async def ask_job(
+    async def query_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
         self.asked.append((job, cancel))
         return self.answer
 
-    def waiting_for(self, route: routes.Route) -> int:
+    def count_unstarted(self, route: routes.Route) -> int:
         return 3
 
     async def call(
@@ -96,7 +96,7 @@
         ports = vm.free_ports('127.0.0.1')
         rig.port = ports[0]
         rig.ready_port = ports[1]
-        front = front_http.Front(acceptor=rig)
+        front = client_http.ClientServer(request_handler=rig)
         await front.start(
             deployment.Address(host='127.0.0.1', port=rig.port),
             deployment.Address(host='127.0.0.1', port=rig.ready_port),
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -11,7 +11,7 @@
 
 from sardineproxy.platform import (
     configuration,
-    roster,
+    worker_entries,
     settings,
     submissions,
 )
@@ -77,11 +77,13 @@
 class TestRoster(testtools.TestCase):
     def test_entry_becomes_a_worker(self) -> None:
         """Guards against units or states that are mixed up."""
-        worker = roster.decode(_row(samples.entry(state='draining'))).ok_value
+        worker = worker_entries.decode(
+            _row(samples.worker_entry(state='draining'))
+        ).ok_value
         self.assertEqual('i-1', worker.worker)
         self.assertEqual(32_000, worker.capacity.millicores)
         self.assertEqual(workers.WorkerState.DRAINING, worker.state)
-        self.assertEqual(1_700_000_000_000, worker.born_ms)
+        self.assertEqual(1_700_000_000_000, worker.started_ms)
 
     def test_foreign_entries_name_no_worker(self) -> None:
         """Guards against orders to what another writer left."""
@@ -92,14 +94,16 @@
             {'capacity': None},
             {'labels': 'a'},
         ):
-            decoded = roster.decode(_row(samples.entry(**changes)))
+            decoded = worker_entries.decode(
+                _row(samples.worker_entry(**changes))
+            )
             self.assertIsInstance(decoded, result.Err, changes)
 
     @hypothesis.given(strategies.binary(max_size=40))
     @examples.settings()
     def test_any_bytes_are_an_error_or_a_worker(self, body: bytes) -> None:
         """Guards against a process that stops over an entry."""
-        decoded = roster.decode(
+        decoded = worker_entries.decode(
             store.Row(key='servers/i-1', revision=1, body=body)
         )
         self.assertIsInstance(decoded, result.Err)
@@ -216,5 +220,9 @@
 
     def test_refusal_says_when_to_come_back(self) -> None:
         """Guards against clients that come back at once."""
-        self.assertEqual({'Retry-After': '1'}, submissions.refusal(0.2).headers)
-        self.assertEqual({'Retry-After': '3'}, submissions.refusal(2.1).headers)
+        self.assertEqual(
+            {'Retry-After': '1'}, submissions.make_refusal(0.2).headers
+        )
+        self.assertEqual(
+            {'Retry-After': '3'}, submissions.make_refusal(2.1).headers
+        )
--- a/tests/platform/test_store_http.py
+++ b/tests/platform/test_store_http.py
@@ -13,7 +13,7 @@
 from tests.platform import store_server
 
 _Kind = store.ErrorKind
-_Trouble = store_server.Trouble
+_Fault = store_server.Fault
 
 
 class Rig:
@@ -111,8 +111,8 @@
         """Guards against an outage that is taken for an empty table."""
 
         async def scenario(rig: Rig) -> None:
-            for trouble in (_Trouble.BUSY, _Trouble.MANY, _Trouble.SILENT):
-                rig.server.trouble = trouble
+            for fault in (_Fault.BUSY, _Fault.MANY, _Fault.SILENT):
+                rig.server.fault = fault
                 answer = await rig.client.read('t')
                 self.assertEqual(_Kind.UNAVAILABLE, kind_of(answer))
 
@@ -136,7 +136,7 @@
         """Guards against a claim that is believed lost but stands."""
 
         async def scenario(rig: Rig) -> None:
-            rig.server.trouble = _Trouble.BUSY
+            rig.server.fault = _Fault.BUSY
             self.assertEqual(_Kind.UNAVAILABLE, kind_of(await rig.write('t/a')))
             self.assertIsNone(rig.rows.get('t/a'))
 
@@ -146,7 +146,7 @@
         """Guards against a claim that is believed refused but stands."""
 
         async def scenario(rig: Rig) -> None:
-            rig.server.trouble = _Trouble.LOST
+            rig.server.fault = _Fault.LOST
             self.assertEqual(_Kind.UNKNOWN, kind_of(await rig.write('t/a')))
             self.assertIsNotNone(rig.rows.get('t/a'))
 
@@ -156,7 +156,7 @@
         """Guards against doubts about a store that cannot be reached."""
 
         async def scenario(rig: Rig) -> None:
-            rig.client.use(deployment.Address(host='127.0.0.1', port=1))
+            rig.client.set_address(deployment.Address(host='127.0.0.1', port=1))
             self.assertEqual(_Kind.UNAVAILABLE, kind_of(await rig.write('t/a')))
 
         with_rig(scenario)
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -25,7 +25,7 @@
         self.clock = clock.SystemClock()
         self.model = worker_model.WorkerModel(
             worker=samples.make_worker(),
-            work_of=lambda task, run: samples.usual_work(task, run, 30),
+            work_of=lambda task, run: samples.typical_work(task, run, 30),
             born_at=self.clock.now(),
         )
         self.server = worker_server.WorkerServer(
@@ -56,11 +56,11 @@
             timeout_s=timeout_s,
         )
 
-    async def look(self, **changes: Any) -> Any:
+    async def poll(self, **changes: Any) -> Any:
         fields = {'fence': 1, 'acked': 0, 'expires_ms': None, 'wait_s': 0}
-        return await self.api.look(
+        return await self.api.poll(
             self.model.worker,
-            workers.Look(**{**fields, **changes}),
+            workers.Poll(**{**fields, **changes}),
             timeout_s=LONG_S,
         )
 
@@ -83,12 +83,14 @@
         async def scenario(rig: Rig) -> None:
             self.assertIsInstance(await rig.start(), workers.Accepted)
             self.assertEqual({'t': 'text'}, rig.server.payloads)
-            report = await rig.look()
-            self.assertEqual('t', report.running[0].task)
+            report = await rig.poll()
+            self.assertEqual('t', report.active[0].task)
             self.assertIsInstance(await rig.stop(), workers.Accepted)
-            report = await rig.look()
-            self.assertEqual((), report.running)
-            self.assertEqual(workers.Ending.STOPPED, report.ended[0].how)
+            report = await rig.poll()
+            self.assertEqual((), report.active)
+            self.assertEqual(
+                workers.RunResult.STOPPED, report.finished[0].result
+            )
 
         with_rig(scenario)
 
@@ -98,11 +100,11 @@
         async def scenario(rig: Rig) -> None:
             await rig.start(fence=5)
             old = await rig.start('u', fence=4)
-            self.assertEqual(workers.Refusal.FENCED, old.why)
+            self.assertEqual(workers.Refusal.FENCED, old.reason)
             late = await rig.start('v', fence=5, expires_ms=1)
-            self.assertEqual(workers.Refusal.EXPIRED, late.why)
+            self.assertEqual(workers.Refusal.EXPIRED, late.reason)
             again = await rig.start('t', fence=5, run=0)
-            self.assertEqual(workers.Refusal.OLD_RUN, again.why)
+            self.assertEqual(workers.Refusal.OLD_RUN, again.reason)
 
         with_rig(scenario)
 
@@ -112,7 +114,7 @@
         async def scenario(rig: Rig) -> None:
             rig.server.is_unhealthy = True
             refused = await rig.start()
-            self.assertEqual(workers.Refusal.NOT_DONE, refused.why)
+            self.assertEqual(workers.Refusal.NOT_DONE, refused.reason)
 
         with_rig(scenario)
 
@@ -133,7 +135,7 @@
                 fence=1,
                 timeout_s=LONG_S,
             )
-            self.assertEqual(workers.Refusal.OTHER_WORKER, answer.why)
+            self.assertEqual(workers.Refusal.OTHER_WORKER, answer.reason)
 
         with_rig(scenario)
 
@@ -141,7 +143,7 @@
         """Guards against a second run of what starts late."""
 
         async def scenario(rig: Rig) -> None:
-            rig.server.late_s = LONG_S
+            rig.server.order_delay_s = LONG_S
             answer = await rig.stop(timeout_s=0.05)
             self.assertIsInstance(answer, workers.Unanswered)
             self.assertFalse(answer.unsent)
@@ -159,7 +161,7 @@
         with_rig(scenario)
 
 
-class TestLooks(testtools.TestCase):
+class TestPolls(testtools.TestCase):
     def test_look_waits_for_an_end(self) -> None:
         """Guards against looks without an end, each of which is priced."""
 
@@ -167,13 +169,13 @@
             await rig.start()
             expires_ms = rig.model.clock_ms(rig.clock.now()) + 1000
             waiting = asyncio.create_task(
-                rig.look(wait_s=1.5, expires_ms=expires_ms)
+                rig.poll(wait_s=1.5, expires_ms=expires_ms)
             )
             await asyncio.sleep(0.05)
             self.assertFalse(waiting.done())
             await rig.stop()
             report = await waiting
-            self.assertThat(report.ended, matchers.HasLength(1))
+            self.assertThat(report.finished, matchers.HasLength(1))
 
         with_rig(scenario)
 
@@ -183,8 +185,8 @@
         async def scenario(rig: Rig) -> None:
             await rig.start()
             await rig.stop()
-            first = await rig.look()
-            second = await rig.look(acked=first.ended[0].number)
-            self.assertEqual((), second.ended)
+            first = await rig.poll()
+            second = await rig.poll(acked=first.finished[0].position)
+            self.assertEqual((), second.finished)
 
         with_rig(scenario)
--- a/tests/platform/worker_server.py
+++ b/tests/platform/worker_server.py
@@ -36,7 +36,7 @@
 
         #: Orders get no answer and are carried out after this time, in
         #: seconds; 0 for orders that are carried out at once.
-        self.late_s: float = 0
+        self.order_delay_s: float = 0
         self._late: set[asyncio.Task[None]] = set()
 
     async def listen(self, host: str = '127.0.0.1') -> int:
@@ -55,7 +55,7 @@
             self.model.worker, address=deployment.Address(host=host, port=port)
         )
 
-    def entry(self) -> bytes:
+    def worker_entry(self) -> bytes:
         """Return what the worker writes into the platform's list."""
         worker = self.model.worker
         document = {
@@ -73,7 +73,7 @@
             },
             'labels': list(worker.labels),
             'clock_ms': self.model.clock_ms(self.clock.now()),
-            'born': worker.born_ms,
+            'born': worker.started_ms,
             'seq': 1,
         }
         return json.dumps(document).encode()
@@ -87,7 +87,7 @@
         document = await req.json()
         if self.is_unhealthy and req.path != '/v1/hold':
             return web.Response(status=503)
-        if self.late_s and req.path != '/v1/hold':
+        if self.order_delay_s and req.path != '/v1/hold':
             self._carry_out_late(req.path, document)
             await asyncio.sleep(3600)
         if req.path == '/v1/hold':
@@ -116,13 +116,13 @@
                     now,
                 )
             case '/v1/hold':
-                return self.model.look(_to_look(document), now)
+                return self.model.poll(_to_look(document), now)
         return None
 
     async def _wait(self, document: Any) -> None:
         """Keep a look open until there is an end; its fence counts at once."""
         wait_s = document.get('wait_ms', 0) / 1000
-        first = self.model.look(_to_look(document), self.clock.now())
+        first = self.model.poll(_to_look(document), self.clock.now())
         until = self.clock.now() + wait_s
         while isinstance(first, workers.Report) and self.clock.now() < until:
             self.model.advance(self.clock.now())
@@ -131,11 +131,11 @@
             await asyncio.sleep(_LOOK_STEP_S)
 
     def _carry_out_late(self, path: str, document: Any) -> None:
-        born_ms = self.model.worker.born_ms
+        started_ms = self.model.worker.started_ms
 
         async def later() -> None:
-            await asyncio.sleep(self.late_s)
-            if self.model.is_up and self.model.worker.born_ms == born_ms:
+            await asyncio.sleep(self.order_delay_s)
+            if self.model.is_up and self.model.worker.started_ms == started_ms:
                 self._act(path, document)
 
         task = asyncio.create_task(later())
@@ -145,21 +145,21 @@
     def _reply(self, answer: Any) -> web.Response:
         document: dict[str, Any] = {
             'clock_ms': self.model.clock_ms(self.clock.now()),
-            'born': self.model.worker.born_ms,
+            'born': self.model.worker.started_ms,
         }
         status = 200
         match answer:
-            case workers.Refused(why=why):
+            case workers.Refused(reason=why):
                 status = 409
                 document['reason'] = _REASONS[why]
             case workers.Report():
                 document['running'] = [
                     [row.task, row.run, '', row.percent, 0]
-                    for row in answer.running
+                    for row in answer.active
                 ]
                 document['finished'] = [
-                    [end.number, end.task, end.run, end.how.value, '']
-                    for end in answer.ended
+                    [end.position, end.task, end.run, end.result.value, '']
+                    for end in answer.finished
                 ]
             case None:
                 return web.Response(status=404)
@@ -170,8 +170,8 @@
         )
 
 
-def _to_look(document: Any) -> workers.Look:
-    return workers.Look(
+def _to_look(document: Any) -> workers.Poll:
+    return workers.Poll(
         fence=document.get('fence', 0),
         acked=document['acked_through'],
         expires_ms=document.get('expires_ms'),
--- a/tests/process/membership/test_links.py
+++ b/tests/process/membership/test_links.py
@@ -10,7 +10,7 @@
 from sardineproxy.process.membership import links
 from tests import virtual_time
 
-BEAT = messages.Beat(version=1, shards=(), pending=())
+BEAT = messages.Heartbeat(version=1, shards=(), pending=())
 
 
 class FakeLink:
@@ -23,8 +23,8 @@
             zone=ids.ZoneId('z'),
         )
         self.opened_at = now
-        self.heard_at = now
-        self.sent_at = now
+        self.last_received_at = now
+        self.last_sent_at = now
         self.sent: list[Any] = []
         self.is_aborted = False
 
@@ -48,7 +48,7 @@
         self.tested = links.Links(
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
-            me=FakeLink(0).peer,
+            identity=FakeLink(0).peer,
             events=self,
             heartbeat_timing=lambda _: self.heartbeat_timing,
         )
@@ -84,7 +84,7 @@
         """Guards against closing links that still receive messages."""
         rig = Rig()
         for tenth in range(50):
-            rig.link.heard_at = 1000 + tenth / 10
+            rig.link.last_received_at = 1000 + tenth / 10
             self.assertTrue(rig.tick(tenth / 10))
 
     def test_heartbeats_are_sent_on_idle_links(self) -> None:
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -7,7 +7,7 @@
 import testtools
 
 from sardineproxy import ids
-from sardineproxy.platform import roster
+from sardineproxy.platform import worker_entries
 from sardineproxy.process import metrics, store
 from sardineproxy.process.membership import table_follower, worker_list
 from tests import virtual_time
@@ -19,7 +19,7 @@
 
 def make_list() -> worker_list.WorkerList:
     return worker_list.WorkerList(
-        worker_id=roster.worker_id, decode=roster.decode
+        worker_id=worker_entries.worker_id, decode=worker_entries.decode
     )
 
 
@@ -32,7 +32,7 @@
     def test_removed_entry_stays_listed_for_the_removal_delay(self) -> None:
         """Guards against dropping workers whose heartbeat is late."""
         tested = make_list()
-        tested.update((row(samples.entry()),), 10)
+        tested.update((row(samples.worker_entry()),), 10)
         tested.update((row(None),), 20)
         tested.drop_removed(healthy_since=0, now=22)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
@@ -42,19 +42,19 @@
     def test_entry_that_expired_in_an_outage_may_return(self) -> None:
         """Guards against dropping workers as soon as an outage ends."""
         tested = make_list()
-        tested.update((row(samples.entry()),), 10)
+        tested.update((row(samples.worker_entry()),), 10)
         tested.update((row(None),), 20)
         tested.drop_removed(healthy_since=None, now=40)
         tested.drop_removed(healthy_since=40, now=42)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
-        tested.update((row(samples.entry()),), 42)
+        tested.update((row(samples.worker_entry()),), 42)
         tested.drop_removed(healthy_since=40, now=60)
         self.assertEqual(1, len(tested.of_shard(SHARD)))
 
     def test_malformed_entry_counts_as_removed(self) -> None:
         """Guards against orders based on an entry that is malformed now."""
         tested = make_list()
-        tested.update((row(samples.entry()),), 10)
+        tested.update((row(samples.worker_entry()),), 10)
         tested.update((row({'state': 'ready'}),), 20)
         tested.drop_removed(healthy_since=0, now=30)
         self.assertEqual([], tested.of_shard(SHARD))
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -1,4 +1,4 @@
-"""A node without sockets, with a store and workers that a test holds."""
+"""A node without sockets, with an in-memory store and test workers."""
 
 import random
 from typing import Any
@@ -51,10 +51,10 @@
     async def transact(self, **changes: Any) -> Any:
         if self.is_down:
             return _unavailable()
-        done = self.rows.transact(**changes)
-        if isinstance(done, row_store.Conflict):
+        outcome = self.rows.transact(**changes)
+        if isinstance(outcome, row_store.Conflict):
             return _failed(store.ErrorKind.CONFLICT)
-        return result.Ok(done)
+        return result.Ok(outcome)
 
     def _answer(self, page: Any) -> Any:
         self.calls += 1
@@ -66,9 +66,9 @@
 
 
 def make_job(**changes: Any) -> jobs.Job:
-    """Return a job of one task of 0.3 s."""
+    """Return a job of one task with an estimated run time of 0.3 s."""
     step = jobs.Step(
-        count=1, resources=samples.usual_work('', 1).resources, estimate_s=0.3
+        count=1, resources=samples.typical_work('', 1).resources, estimate_s=0.3
     )
     fields: dict[str, Any] = {
         'job_id': ids.JobId('00000000000000a1'),
@@ -87,7 +87,7 @@
     """Return a node that has not been started."""
     return node.Node(
         cfg=make_deployment(),
-        rules=policy.Policy(),
+        node_policy=policy.Policy(),
         dependencies=dependencies.Dependencies(
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -5,7 +5,7 @@
 import testtools
 
 from sardineproxy import deployment, ids
-from sardineproxy.process.shards import fences
+from sardineproxy.process.shards import fencing
 from sardineproxy.process.membership import registry
 from sardineproxy.process.node import claiming
 from tests import virtual_time
@@ -29,18 +29,18 @@
     """The shard claimer of one VM, and the store shared with other VMs."""
 
     def __init__(
-        self, me: registry.Member, shared: samples.MemoryStore | None = None
+        self, member: registry.Member, shared: samples.MemoryStore | None = None
     ) -> None:
         self.store = shared or samples.MemoryStore()
         self.directory = registry.Registry()
-        self.tokens: list[fences.Right] = []
+        self.tokens: list[fencing.FencingToken] = []
         self.claimer = claiming.ShardClaimer(
             store=self.store,
             directory=self.directory,
-            me=me,
+            member=member,
             on_token=lambda _, token: self.tokens.append(token),
         )
-        self.join(me)
+        self.join(member)
 
     def join(self, *members: registry.Member) -> None:
         for member in members:
@@ -55,7 +55,7 @@
         return self.claimer.should_claim(
             SHARD,
             leader=changes.get('leader'),
-            in_reach=changes.get('in_reach', NO_VMS),
+            connected_vms=changes.get('connected_vms', NO_VMS),
             now=1000 + now,
         )
 
@@ -78,9 +78,9 @@
         small = Rig(make_member('small'))
         small.join(make_member('large', cores=2))
         connected = frozenset((ids.VmId('large'),))
-        self.assertFalse(small.should_claim(0, in_reach=connected))
-        self.assertFalse(small.should_claim(0.6, in_reach=connected))
-        self.assertTrue(small.should_claim(0.8, in_reach=connected))
+        self.assertFalse(small.should_claim(0, connected_vms=connected))
+        self.assertFalse(small.should_claim(0.6, connected_vms=connected))
+        self.assertTrue(small.should_claim(0.8, connected_vms=connected))
 
     def test_shard_with_a_leader_is_not_claimed(self) -> None:
         """Guards against a change of leader without a failure."""
@@ -94,8 +94,8 @@
         rig = Rig(make_member('a', zone='other'))
         rig.join(make_member('b'))
         connected = frozenset((ids.VmId('b'),))
-        self.assertFalse(rig.should_claim(0, in_reach=connected))
-        self.assertFalse(rig.should_claim(60, in_reach=connected))
+        self.assertFalse(rig.should_claim(0, connected_vms=connected))
+        self.assertFalse(rig.should_claim(60, connected_vms=connected))
         self.assertTrue(rig.should_claim(61))
 
     def test_rewritten_claim_row_restarts_the_delay(self) -> None:
@@ -156,7 +156,9 @@
             successor = Rig(make_member('b'), rig.store)
             successor.store.is_down = True
             await successor.claim()
-            self.assertEqual([fences.Right(epoch=1, rank=1)], successor.tokens)
+            self.assertEqual(
+                [fencing.FencingToken(epoch=1, rank=1)], successor.tokens
+            )
 
         run(scenario)
 
--- a/tests/process/node/test_node.py
+++ b/tests/process/node/test_node.py
@@ -1,4 +1,4 @@
-"""Jobs at a node that shuts down."""
+"""Jobs at a node that is shutting down."""
 
 from typing import Any, Callable, Coroutine
 
@@ -20,8 +20,8 @@
 
 
 class TestDraining(testtools.TestCase):
-    def test_job_that_would_end_after_the_process_is_not_run(self) -> None:
-        """Guards against jobs that the end of a process cuts off."""
+    def test_job_that_would_outlast_the_process_is_not_run(self) -> None:
+        """Guards against jobs that are cut off by the end of the process."""
 
         async def scenario(tested: node.Node) -> None:
             now = virtual_time.LoopClock().now()
@@ -40,7 +40,7 @@
         with_node(scenario)
 
     def test_draining_node_is_not_ready(self) -> None:
-        """Guards against new connections to a process that ends."""
+        """Guards against new connections to a process that shuts down."""
 
         async def scenario(tested: node.Node) -> None:
             self.assertFalse(tested.draining)
--- a/tests/process/node/test_peer_sync.py
+++ b/tests/process/node/test_peer_sync.py
@@ -1,4 +1,4 @@
-"""What entry VMs tell each other of the store's contents."""
+"""Exchange of versions and registry rows between entry VMs."""
 
 import zlib
 
@@ -11,13 +11,13 @@
 from sardineproxy.process import store
 from sardineproxy.process.membership import registry
 from sardineproxy.process.node import peer_sync
-from sardineproxy.version import in_force
+from sardineproxy.version import active_config
 from tests.platform import samples
 
 
 class TestVersions(testtools.TestCase):
-    def test_large_version_is_sent_small_and_whole(self) -> None:
-        """Guards against network links that one version fills."""
+    def test_large_version_is_compressed_losslessly(self) -> None:
+        """Guards against one version saturating the network links."""
         body = samples.configuration(
             7,
             *(
@@ -25,24 +25,24 @@
                 for number in range(1900)
             ),
         )
-        versions = in_force.InForce(decode=configuration.decode)
+        versions = active_config.ActiveConfig(decode=configuration.decode)
         versions.offer(body, 'test')
         packed = peer_sync.pack_version(versions)
         self.assertThat(len(packed.packed), matchers.LessThan(len(body) // 8))
         self.assertEqual(body, peer_sync.unpack_version(packed).ok_value)
 
-    def test_damaged_and_oversized_versions_are_refused(self) -> None:
-        """Guards against memory that a peer's message fills."""
-        huge = zlib.compress(bytes(peer_sync.MAX_VERSION_BYTES + 1))
-        for packed in (b'no zlib', huge, zlib.compress(b'{}')[:-1]):
-            given = messages.VersionGive(number=1, packed=packed)
-            unpacked = peer_sync.unpack_version(given)
+    def test_corrupt_and_oversized_versions_are_rejected(self) -> None:
+        """Guards against memory exhaustion by a peer's message."""
+        oversized = zlib.compress(bytes(peer_sync.MAX_VERSION_BYTES + 1))
+        for packed in (b'no zlib', oversized, zlib.compress(b'{}')[:-1]):
+            message = messages.VersionResponse(number=1, packed=packed)
+            unpacked = peer_sync.unpack_version(message)
             self.assertIsInstance(unpacked, result.Err)
 
 
 class TestDirectory(testtools.TestCase):
     def test_rows_keep_their_revisions(self) -> None:
-        """Guards against old claims that replace newer ones."""
+        """Guards against outdated claims that replace newer ones."""
         directory = registry.Registry()
         row = store.Row(
             key='sardineproxy/cell/z',
@@ -50,5 +50,5 @@
             body=b'{"epoch": 3, "owner": ["a", "1"], "heirs": []}',
         )
         directory.apply((row,))
-        given = peer_sync.pack_directory(directory)
-        self.assertEqual((row,), peer_sync.unpack_directory(given))
+        message = peer_sync.pack_directory(directory)
+        self.assertEqual((row,), peer_sync.unpack_directory(message))
--- a/tests/process/node/test_policy.py
+++ b/tests/process/node/test_policy.py
@@ -1,4 +1,4 @@
-"""Settings of the node's own policy."""
+"""Policy settings of the node."""
 
 import dataclasses
 import pathlib
@@ -13,19 +13,22 @@
 
 class TestParse(testtools.TestCase):
     def test_settings_of_the_repository_are_valid(self) -> None:
-        """Guards against a deployment that cannot start."""
+        """Guards against a deployment that fails to start.
+
+        An invalid policy file in the repository would cause this.
+        """
         path = pathlib.Path(__file__).parents[3] / 'deploy' / 'policy.jsonc'
         self.assertIsInstance(policy.load(path), result.Ok)
 
     def test_settings_replace_defaults(self) -> None:
-        """Guards against settings that have no effect."""
+        """Guards against settings that are parsed but not applied."""
         text = '{"cell": {"recall_s": 4}, "workers": {"lease_s": 0.5}} // end'
-        rules = policy.parse(text).ok_value
-        self.assertEqual(4, rules.shard.recall_s)
-        self.assertEqual(0.5, rules.shard.calls.lease_s)
+        node_policy = policy.parse(text).ok_value
+        self.assertEqual(4, node_policy.shard.recall_s)
+        self.assertEqual(0.5, node_policy.shard.calls.lease_s)
 
     def test_errors_name_the_place(self) -> None:
-        """Guards against a misspelt setting that is taken for a default."""
+        """Guards against silently ignoring a misspelt setting."""
         for text, place in (
             ('{"cells": {}}', 'cells'),
             ('{"workers": {"lease": 1}}', 'workers.lease'),
@@ -41,7 +44,10 @@
 
 class TestFit(testtools.TestCase):
     def test_short_leases_are_extended_in_time(self) -> None:
-        """Guards against runs that lapse where leases are shorter."""
+        """Guards against leases that expire between two polls.
+
+        A platform with a shorter lease also needs a shorter poll wait.
+        """
         bounds = dataclasses.replace(
             samples.make_deployment().bounds, lease_s=0.4
         )
@@ -49,8 +55,8 @@
         self.assertEqual(0.4, calls.lease_s)
         self.assertThat(2 * calls.look_wait_s, matchers.LessThan(0.4))
 
-    def test_slow_stops_are_not_repeated_early(self) -> None:
-        """Guards against stops that are sent again while one is on its way."""
+    def test_slow_stops_are_not_retried_early(self) -> None:
+        """Guards against sending a stop again while the first is pending."""
         bounds = dataclasses.replace(
             samples.make_deployment().bounds, stop_s=0.5
         )
@@ -58,6 +64,6 @@
         self.assertThat(calls.stop_retry_s, matchers.GreaterThan(0.5))
 
     def test_usual_bounds_change_nothing(self) -> None:
-        """Guards against a policy file without effect."""
+        """Guards against bounds that override a valid policy."""
         bounds = samples.make_deployment().bounds
         self.assertEqual(policy.Policy(), policy.Policy().fit(bounds))
--- a/tests/process/shards/wire.py
+++ b/tests/process/shards/faults.py
@@ -12,7 +12,7 @@
 _LOOK_STEP_S = 0.002
 
 
-class Fate(enum.Enum):
+class CallFault(enum.Enum):
     """What becomes of one call."""
 
     DONE = 'done'
@@ -24,16 +24,21 @@
     REFUSED = 'refused'
 
 
-def draw_fate(rng: random.Random, fault_share: float) -> Fate:
+def draw_fault(rng: random.Random, fault_share: float) -> CallFault:
     """Return what becomes of a call, a share of which is disturbed."""
     if rng.random() >= fault_share:
-        return Fate.DONE
+        return CallFault.DONE
     return rng.choice(
-        (Fate.REQUEST_LOST, Fate.ANSWER_LOST, Fate.LATE, Fate.REFUSED)
+        (
+            CallFault.REQUEST_LOST,
+            CallFault.ANSWER_LOST,
+            CallFault.LATE,
+            CallFault.REFUSED,
+        )
     )
 
 
-class Wire:
+class FaultyWorkerApi:
     """Implements ``workers.WorkerApi`` for one owner."""
 
     def __init__(
@@ -41,12 +46,12 @@
         *,
         models: dict[str, worker_model.WorkerModel],
         clock: Any,
-        fate_of: Callable[[str], Fate] | None = None,
+        fault_of: Callable[[str], CallFault] | None = None,
         delay_s: Callable[[], float] | None = None,
     ) -> None:
         self.models = models
         self.clock = clock
-        self.fate_of = fate_of or (lambda _: Fate.DONE)
+        self.fault_of = fault_of or (lambda _: CallFault.DONE)
         self.delay_s = delay_s or (lambda: 0.0005)
         self.late_s = 3.0
         self.calls: list[tuple[str, Any]] = []
@@ -80,17 +85,17 @@
             timeout_s,
         )
 
-    async def look(
-        self, worker: workers.Worker, look: workers.Look, *, timeout_s: float
+    async def poll(
+        self, worker: workers.Worker, poll: workers.Poll, *, timeout_s: float
     ) -> Any:
-        self.calls.append(('look', look))
+        self.calls.append(('look', poll))
         return await self._call(
             'look',
             worker,
-            lambda model, now: model.look(look, now),
+            lambda model, now: model.poll(poll, now),
             timeout_s,
-            wait_s=look.wait_s,
-            acked=look.acked,
+            wait_s=poll.wait_s,
+            acked=poll.acked,
         )
 
     async def _call(
@@ -103,19 +108,19 @@
         acked: int = 0,
     ) -> Any:
         model = self.models[worker.worker]
-        fate = self.fate_of(kind)
-        if fate is Fate.REFUSED:
+        fault = self.fault_of(kind)
+        if fault is CallFault.REFUSED:
             return workers.Unanswered(unsent=True, cause='refused')
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.sleep(self.delay_s())
-                if not model.is_up or fate is Fate.REQUEST_LOST:
+                if not model.is_up or fault is CallFault.REQUEST_LOST:
                     await asyncio.sleep(timeout_s)
-                if fate is Fate.LATE:
+                if fault is CallFault.LATE:
                     self._act_later(model, act)
                     await asyncio.sleep(timeout_s)
                 answer = act(model, self.clock.now())
-                if fate is Fate.ANSWER_LOST:
+                if fault is CallFault.ANSWER_LOST:
                     await asyncio.sleep(timeout_s)
                 if wait_s and isinstance(answer, workers.Report):
                     answer = await self._wait(model, act, wait_s, acked)
@@ -146,11 +151,11 @@
         act: Callable[[worker_model.WorkerModel, float], Any],
     ) -> None:
         # A worker that holds an order back loses it with its life.
-        life = model.worker.born_ms
+        life = model.worker.started_ms
 
         async def later() -> None:
             await asyncio.sleep(self.late_s)
-            if model.is_up and model.worker.born_ms == life:
+            if model.is_up and model.worker.started_ms == life:
                 act(model, self.clock.now())
 
         task = asyncio.create_task(later())
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -7,12 +7,17 @@
 from sardineproxy.connection import messages
 from sardineproxy.process import metrics
 from sardineproxy.process.shards import shard as shards
-from sardineproxy.process.shards import fences, rooms, times, workers
+from sardineproxy.process.shards import (
+    fencing,
+    shard_capacities,
+    times,
+    workers,
+)
 from sardineproxy.process.membership import loaded_shards
 from sardineproxy.request import jobs
 from sardineproxy.standin import run_checks, worker_model
 from tests import virtual_time
-from tests.process.shards import wire
+from tests.process.shards import faults
 
 SHARD = ids.ShardId('zone-a')
 SERVICE = ids.ServiceId('print')
@@ -28,7 +33,7 @@
         'address': deployment.Address(host='10.0.0.1', port=80),
         'zone': ids.ZoneId('zone-a'),
         'state': workers.WorkerState.READY,
-        'born_ms': 1,
+        'started_ms': 1,
         'capacity': jobs.Resources(millicores=32_000, memory_mb=65_536, gpus=0),
         'labels': ('a', 'r1'),
     }
@@ -53,11 +58,11 @@
     def is_closing(self) -> bool:
         return False
 
-    def ends(self) -> dict[int, str]:
+    def results(self) -> dict[int, str]:
         return {
-            message.index: message.how
+            message.index: message.result
             for message in self.sent
-            if isinstance(message, messages.Ended)
+            if isinstance(message, messages.RunEnded)
         }
 
     def declined(self) -> list[messages.Declined]:
@@ -86,12 +91,12 @@
         'per_worker': 0,
         'estimate_s': 0.2,
         'age_s': float(0),
-        'left_s': 3.0,
+        'timeout_s': 3.0,
         'stretch': 1.6,
         'slack_s': 0.06,
         'resumed': False,
-        'begun': False,
-        'firm': False,
+        'job_started': False,
+        'pinned': False,
         'stored': False,
     }
     return messages.Submit(**{**fields, **changes})
@@ -103,7 +108,7 @@
     return found[0]
 
 
-def usual_work(
+def typical_work(
     task: workers.TaskName, run: int, work_s: float = 0.2
 ) -> worker_model.Work:
     return worker_model.Work(
@@ -114,7 +119,7 @@
     )
 
 
-class NoKeeper:
+class UnstoredJobManager:
     """Says of all ends that their jobs are not stored."""
 
     def __init__(self) -> None:
@@ -122,12 +127,12 @@
 
     def send(self, message: Any) -> bool:
         for each in self.shards:
-            each.note_ends(
-                messages.EndsNoted(
+            each.acknowledge_results(
+                messages.ResultsStored(
                     shard=message.shard,
                     job=message.job,
                     step=message.step,
-                    ends=((message.index, message.run),),
+                    runs=((message.index, message.run),),
                 )
             )
         return True
@@ -140,7 +145,7 @@
         self,
         *,
         count: int = 1,
-        work_of: worker_model.WorkOf = usual_work,
+        work_of: worker_model.WorkOf = typical_work,
         cfg: times.ShardTiming | None = None,
         **changes: Any,
     ) -> None:
@@ -152,77 +157,77 @@
             )
             for number in range(count)
         }
-        self.wire = wire.Wire(models=self.models, clock=self.clock)
+        self.api = faults.FaultyWorkerApi(models=self.models, clock=self.clock)
         self.list_is_new = True
         self.is_confirmed = True
         self.superseded_shards: list[shards.ShardLeader] = []
-        self.others = rooms.Rooms()
-        self.unkept = NoKeeper()
-        self.shards = self.unkept.shards
+        self.capacities = shard_capacities.ShardCapacities()
+        self.unstored_manager = UnstoredJobManager()
+        self.shards = self.unstored_manager.shards
         self._tickers: list[asyncio.Task[None]] = []
 
-    def listed_at(self) -> float:
+    def workers_listed_at(self) -> float:
         return self.clock.now() if self.list_is_new else 0
 
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now if self.is_confirmed else 0
 
-    def list_answers(self) -> bool:
+    def is_list_available(self) -> bool:
         return True
 
-    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
+    def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         return loaded_shards.LoadedShard(vm=ids.VmId('vm-1'), since=0)
 
-    def keeper_of(self, job: ids.JobId) -> Any:
-        return self.unkept
+    def manager_link(self, job: ids.JobId) -> Any:
+        return self.unstored_manager
 
     def superseded(self, lost: shards.ShardLeader) -> None:
         self.superseded_shards.append(lost)
 
-    def own(
+    def lead(
         self,
         epoch: int = 1,
         *,
         api: Any = None,
         complete: bool = True,
         ticks: bool = True,
-        around: Any = None,
+        context: Any = None,
     ) -> shards.ShardLeader:
-        owned = shards.ShardLeader(
+        leader = shards.ShardLeader(
             shard=SHARD,
-            right=fences.Right(epoch=epoch, rank=0),
-            api=api or self.wire,
+            token=fencing.FencingToken(epoch=epoch, rank=0),
+            api=api or self.api,
             clock=self.clock,
             metrics=metrics.Metrics(),
             events=self,
-            others=self.others,
-            around=around or self,
+            capacities=self.capacities,
+            context=context or self,
             cfg=self.cfg,
         )
-        self.list_workers(owned, list(self.models.values()), complete=complete)
-        self.shards.append(owned)
+        self.list_workers(leader, list(self.models.values()), complete=complete)
+        self.shards.append(leader)
         if ticks:
-            self._tickers.append(asyncio.create_task(self._tick(owned)))
-        return owned
+            self._tickers.append(asyncio.create_task(self._tick(leader)))
+        return leader
 
     def list_workers(
         self,
-        owned: shards.ShardLeader,
+        leader: shards.ShardLeader,
         models: list[worker_model.WorkerModel],
         *,
         complete: bool = True,
     ) -> None:
         """Hand an owner the list of its workers."""
-        owned.set_workers(
+        leader.set_workers(
             [model.worker for model in models],
             complete=complete,
         )
 
     async def ready(self, **kwargs: Any) -> shards.ShardLeader:
         """Own the cell and wait for the first reports."""
-        owned = self.own(**kwargs)
+        leader = self.lead(**kwargs)
         await asyncio.sleep(0.01)
-        return owned
+        return leader
 
     def records(self) -> list[worker_model.Record]:
         for model in self.models.values():
@@ -239,9 +244,9 @@
         ]
         return found + run_checks.find_doubles(self.records())
 
-    async def _tick(self, owned: shards.ShardLeader) -> None:
-        while owned not in self.superseded_shards:
-            owned.tick(self.clock.now())
+    async def _tick(self, leader: shards.ShardLeader) -> None:
+        while leader not in self.superseded_shards:
+            leader.tick(self.clock.now())
             await asyncio.sleep(0.025)
 
 
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -8,21 +8,21 @@
 from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 from sardineproxy.standin import worker_model
-from tests.process.shards import samples, wire
+from tests.process.shards import samples, faults
 
 
-def _fates(*fates: wire.Fate, kind: str = 'start'):
+def _fates(*fates: faults.CallFault, kind: str = 'start'):
     """Return a function that gives the first calls of a kind these fates."""
     left = list(fates)
 
-    def fate_of(called: str) -> wire.Fate:
-        return left.pop(0) if called == kind and left else wire.Fate.DONE
+    def fault_of(called: str) -> faults.CallFault:
+        return left.pop(0) if called == kind and left else faults.CallFault.DONE
 
-    return fate_of
+    return fault_of
 
 
 def _never_ends(task: workers.TaskName, run: int) -> worker_model.Work:
-    usual = samples.usual_work(task, run)
+    usual = samples.typical_work(task, run)
     return worker_model.Work(resources=usual.resources, work_s=0.2, how=None)
 
 
@@ -31,13 +31,13 @@
         """Guards against a run that starts seconds after its replacement."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.wire.fate_of = _fates(wire.Fate.LATE)
-            rig.wire.late_s = 0.2
+            rig.api.fault_of = _fates(faults.CallFault.LATE)
+            rig.api.late_s = 0.2
             link = samples.FakeLink()
-            owned = await rig.ready()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader = await rig.ready()
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(3)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
             self.assertEqual([], rig.complaints())
             self.assertEqual([2], [record.run for record in rig.records()])
 
@@ -47,12 +47,12 @@
         """Guards against a repeat of an order that was carried out."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.wire.fate_of = _fates(wire.Fate.ANSWER_LOST)
+            rig.api.fault_of = _fates(faults.CallFault.ANSWER_LOST)
             link = samples.FakeLink()
-            owned = await rig.ready()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader = await rig.ready()
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
             self.assertEqual(1, len(rig.records()))
 
         samples.with_rig(scenario, count=2)
@@ -62,11 +62,11 @@
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            owned = await rig.ready()
+            leader = await rig.ready()
             now = rig.clock.now()
-            owned.submit(link, samples.make_submit('j1', 2), now)
-            owned.withdraw(link, samples.make_submit('j1').job)
-            owned.submit(link, samples.make_submit('j2', 2), now)
+            leader.submit(link, samples.make_submit('j1', 2), now)
+            leader.withdraw(link, samples.make_submit('j1').job)
+            leader.submit(link, samples.make_submit('j2', 2), now)
             await asyncio.sleep(1)
             self.assertEqual([], rig.complaints())
             self.assertEqual(
@@ -80,10 +80,10 @@
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            owned = await rig.ready()
+            leader = await rig.ready()
             now = rig.clock.now()
             for number in range(6):
-                owned.submit(
+                leader.submit(
                     link,
                     samples.make_submit(f'j{number}', estimate_s=2.0),
                     now,
@@ -99,34 +99,34 @@
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            owned = await rig.ready()
-            submit = samples.make_submit(estimate_s=2.0, left_s=9.0)
-            owned.submit(link, submit, rig.clock.now())
+            leader = await rig.ready()
+            submit = samples.make_submit(estimate_s=2.0, timeout_s=9.0)
+            leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(0.1)
             first = samples.only(rig.records())
-            cut = wire.Wire(
+            cut = faults.FaultyWorkerApi(
                 models=rig.models,
                 clock=rig.clock,
-                fate_of=lambda _: wire.Fate.REQUEST_LOST,
+                fault_of=lambda _: faults.CallFault.REQUEST_LOST,
             )
             silent = rig.models[first.worker].worker.worker
 
-            async def look(worker, asked, *, timeout_s):
-                api = cut if worker.worker == silent else rig.wire
-                return await wire.Wire.look(
+            async def poll(worker, asked, *, timeout_s):
+                api = cut if worker.worker == silent else rig.api
+                return await faults.FaultyWorkerApi.poll(
                     api, worker, asked, timeout_s=timeout_s
                 )
 
-            rig.wire.look = look
+            rig.api.poll = poll
             await asyncio.sleep(4)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
             self.assertEqual([], rig.complaints())
             self.assertEqual(2, len(rig.records()))
 
         samples.with_rig(
             scenario,
             count=2,
-            work_of=lambda task, run: samples.usual_work(task, run, 1.5),
+            work_of=lambda task, run: samples.typical_work(task, run, 1.5),
         )
 
     def test_new_life_of_a_worker_knows_nothing(self) -> None:
@@ -134,16 +134,16 @@
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            owned = await rig.ready()
-            submit = samples.make_submit(estimate_s=2.0, left_s=9.0)
-            owned.submit(link, submit, rig.clock.now())
+            leader = await rig.ready()
+            submit = samples.make_submit(estimate_s=2.0, timeout_s=9.0)
+            leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(0.1)
             rig.models['w0'].crash(rig.clock.now())
             rig.models['w0'].restart(rig.clock.now())
             await asyncio.sleep(0.2)
-            rig.list_workers(owned, list(rig.models.values()))
+            rig.list_workers(leader, list(rig.models.values()))
             await asyncio.sleep(2)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
             self.assertEqual([], rig.complaints())
 
         samples.with_rig(scenario)
@@ -152,14 +152,14 @@
         """Guards against orders by the capacity of a former life."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             model = rig.models['w0']
             model.crash(rig.clock.now())
             model.restart(rig.clock.now())
             model.set_capacity(samples.TASK_MILLICORES - 1)
-            owned.doubt_all('test')
+            leader.mark_all_unconfirmed('test')
             await asyncio.sleep(0.1)
-            owned.submit(
+            leader.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
             await asyncio.sleep(0.2)
@@ -176,16 +176,18 @@
         """
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             rig.models['w0'].slow_down(0.98)
             await asyncio.sleep(200)
-            rig.wire.late_s = 1.1
-            rig.wire.fate_of = lambda kind: (
-                wire.Fate.LATE if kind == 'start' else wire.Fate.REQUEST_LOST
+            rig.api.late_s = 1.1
+            rig.api.fault_of = lambda kind: (
+                faults.CallFault.LATE
+                if kind == 'start'
+                else faults.CallFault.REQUEST_LOST
             )
-            owned.submit(
+            leader.submit(
                 samples.FakeLink(),
-                samples.make_submit(estimate_s=2.0, left_s=9.0),
+                samples.make_submit(estimate_s=2.0, timeout_s=9.0),
                 rig.clock.now(),
             )
             await asyncio.sleep(3)
@@ -198,13 +200,13 @@
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            owned = await rig.ready()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader = await rig.ready()
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.01)
             first = samples.only(rig.records())
             await asyncio.sleep(2)
             how = {record.how for record in rig.records()}
-            self.assertIn(workers.Ending.STOPPED, how)
+            self.assertIn(workers.RunResult.STOPPED, how)
             self.assertNotEqual(first.worker, rig.records()[-1].worker)
 
         samples.with_rig(scenario, count=2, work_of=_never_ends)
@@ -213,8 +215,8 @@
         """Guards against ends that a worker has to list for good."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
             await asyncio.sleep(2)
@@ -227,9 +229,9 @@
 
         async def scenario(rig: samples.Rig) -> None:
             await rig.ready()
-            before = len(rig.wire.calls)
+            before = len(rig.api.calls)
             await asyncio.sleep(5)
-            self.assertEqual(before, len(rig.wire.calls))
+            self.assertEqual(before, len(rig.api.calls))
 
         samples.with_rig(scenario)
 
@@ -237,8 +239,8 @@
         """Guards against work for workers that are about to leave."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
             await asyncio.sleep(0.5)
@@ -253,13 +255,13 @@
             return worker_model.Work(
                 resources=jobs.Resources(millicores=1000, memory_mb=1, gpus=0),
                 work_s=0.05,
-                how=workers.Ending.FAILED,
+                how=workers.RunResult.FAILED,
             )
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             for number in range(30):
-                owned.submit(
+                leader.submit(
                     samples.FakeLink(),
                     samples.make_submit(f'j{number}', millicores=1000),
                     rig.clock.now(),
