--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -20,7 +20,7 @@
 from sardineproxy.standin import worker_model
 from sardineproxy.version import routes
 from tests import examples, virtual_time
-from tests.process.shards import samples, wire
+from tests.process.shards import samples, faults
 
 #: Time from a failed answer until a client sends its job again, in seconds.
 RESEND_S = 1.3
@@ -83,20 +83,20 @@
     def leader(self, shard: ids.ShardId) -> Any:
         return self.ends.get(self.world.leader)
 
-    def connect(self, owned: shards.ShardLeader) -> None:
+    def connect(self, leader: shards.ShardLeader) -> None:
         near = _End(
             self.world,
-            lambda end, message: self._to_leader(owned, end, message),
+            lambda end, message: self._to_leader(leader, end, message),
         )
         far = _End(self.world, lambda _, message: self.board.deliver(message))
         near.other = far
         far.other = near
-        self.ends[owned] = near
+        self.ends[leader] = near
         self.board.notify_leader_found(samples.SHARD)
 
-    def cut(self, owned: shards.ShardLeader) -> None:
+    def cut(self, leader: shards.ShardLeader) -> None:
         """Cut a link; both ends notice some time later."""
-        near = self.ends.pop(owned, None)
+        near = self.ends.pop(leader, None)
         if near is None:
             return
         near.is_cut = True
@@ -110,22 +110,22 @@
             near,
         )
         loop.call_later(
-            rng.uniform(0, NOTICE_S), self._notice, owned, near.other
+            rng.uniform(0, NOTICE_S), self._notice, leader, near.other
         )
 
-    def _notice(self, owned: shards.ShardLeader, far: Any) -> None:
-        owned.link_lost(far, self.world.rig.clock.now())
+    def _notice(self, leader: shards.ShardLeader, far: Any) -> None:
+        leader.link_lost(far, self.world.rig.clock.now())
 
     def _to_leader(
-        self, owned: shards.ShardLeader, end: Any, message: Any
+        self, leader: shards.ShardLeader, end: Any, message: Any
     ) -> None:
         now = self.world.rig.clock.now()
-        if owned in self.world.rig.superseded_shards:
-            end.send(messages.Disowned(shard=samples.SHARD))
+        if leader in self.world.rig.superseded_shards:
+            end.send(messages.ShardReleased(shard=samples.SHARD))
         elif isinstance(message, messages.Submit):
-            owned.submit(end, message, now)
+            leader.submit(end, message, now)
         elif isinstance(message, messages.Withdraw):
-            owned.withdraw(end, message.job)
+            leader.withdraw(end, message.job)
 
 
 class World:
@@ -143,26 +143,26 @@
 
     def work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
         draw = random.Random(f'{task}.{run}').randrange(100)
-        how = workers.Ending.FAILED if draw < 3 else workers.Ending.DONE
+        how = workers.RunResult.FAILED if draw < 3 else workers.RunResult.DONE
         return worker_model.Work(
-            resources=samples.usual_work(task, run).resources,
+            resources=samples.typical_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
             how=how,
         )
 
-    def fate_of(self, kind: str) -> wire.Fate:
-        return wire.draw_fate(self.rng, self.fault_share)
+    def fault_of(self, kind: str) -> faults.CallFault:
+        return faults.draw_fault(self.rng, self.fault_share)
 
     def take_over(self) -> None:
         self.epoch += 1
-        api = wire.Wire(
+        api = faults.FaultyWorkerApi(
             models=self.rig.models,
             clock=self.rig.clock,
-            fate_of=self.fate_of,
+            fault_of=self.fault_of,
             delay_s=lambda: self.rng.uniform(0.0001, 0.003),
         )
         api.late_s = self.rng.uniform(0.5, 4)
-        self.leader = self.rig.own(epoch=self.epoch, api=api)
+        self.leader = self.rig.lead(epoch=self.epoch, api=api)
         for vm in self.vms:
             vm.connect(self.leader)
 
@@ -186,7 +186,7 @@
             case 'restart':
                 self.restart_workers(now)
             case 'stall':
-                self.leader.doubt_all('test')
+                self.leader.mark_all_unconfirmed('test')
 
     def reconnect(self) -> None:
         for vm in self.vms:
@@ -209,7 +209,7 @@
             steps=(
                 jobs.Step(
                     count=self.rng.randint(1, 4),
-                    resources=samples.usual_work('', 1).resources,
+                    resources=samples.typical_work('', 1).resources,
                     estimate_s=0.3,
                 ),
             ),
--- a/tests/process/shards/test_ordering.py
+++ b/tests/process/shards/test_scheduler.py
@@ -11,7 +11,7 @@
 
 
 def long_work(task: workers.TaskName, run: int) -> worker_model.Work:
-    return samples.usual_work(task, run, 30)
+    return samples.typical_work(task, run, 30)
 
 
 class TestConfirmation(testtools.TestCase):
@@ -19,8 +19,8 @@
         """Guards against two runs, one by an owner that is cut off."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(stored=True),
                 rig.clock.now(),
@@ -29,7 +29,7 @@
             rig.is_confirmed = False
             await asyncio.sleep(3)
             record = samples.only(rig.records())
-            self.assertIs(workers.Ending.LAPSED, record.how)
+            self.assertIs(workers.RunResult.LEASE_EXPIRED, record.how)
             rig.is_confirmed = True
             await asyncio.sleep(1)
             self.assertEqual(2, len(rig.records()))
@@ -40,13 +40,13 @@
         """Guards against outages for jobs that need not be kept."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             rig.is_confirmed = False
             await asyncio.sleep(3)
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.5)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
 
         samples.with_rig(scenario)
 
@@ -56,18 +56,19 @@
         """Guards against a watch that ends over an expected time of 0."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(
+            leader.submit(
                 link,
                 samples.make_submit(estimate_s=float(0), slack_s=5.0),
                 rig.clock.now(),
             )
             await asyncio.sleep(2)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
 
         samples.with_rig(
-            scenario, work_of=lambda task, run: samples.usual_work(task, run, 1)
+            scenario,
+            work_of=lambda task, run: samples.typical_work(task, run, 1),
         )
 
 
@@ -80,8 +81,8 @@
                 model.worker = dataclasses.replace(
                     model.worker, labels=('a', f'rack-{name}')
                 )
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(count=2, rack='rack-w2'),
                 rig.clock.now(),
@@ -96,10 +97,10 @@
         """Guards against more tasks on one worker than the job allows."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(),
-                samples.make_submit(count=3, per_worker=1, firm=True),
+                samples.make_submit(count=3, per_worker=1, pinned=True),
                 rig.clock.now(),
             )
             await asyncio.sleep(0.1)
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -8,11 +8,11 @@
 from sardineproxy import ids
 from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
-from tests.process.shards import samples, wire
+from tests.process.shards import samples, faults
 
 
 def _long(task: workers.TaskName, run: int) -> worker_model.Work:
-    return samples.usual_work(task, run, 1.0)
+    return samples.typical_work(task, run, 1.0)
 
 
 class TestQueue(testtools.TestCase):
@@ -20,17 +20,17 @@
         """Guards against work for a job whose client gains nothing."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             now = rig.clock.now()
             first, second = samples.FakeLink(), samples.FakeLink()
-            owned.submit(
+            leader.submit(
                 first, samples.make_submit('j1', 2, estimate_s=1.0), now
             )
-            owned.submit(second, samples.make_submit('j2', 1), now)
+            leader.submit(second, samples.make_submit('j2', 1), now)
             await asyncio.sleep(0.6)
             declined = samples.only(second.declined())
             self.assertEqual((0,), declined.indices)
-            self.assertEqual('', declined.other)
+            self.assertEqual('', declined.suggested_shard)
             self.assertEqual(
                 {'j1'}, {record.task[:2] for record in rig.records()}
             )
@@ -41,13 +41,13 @@
         """Guards against work thrown away for a task that waits a little."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             now = rig.clock.now()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit('j1', 2), now)
-            owned.submit(
+            leader.submit(link, samples.make_submit('j1', 2), now)
+            leader.submit(
                 link,
-                samples.make_submit('j2', 1, begun=True, estimate_s=0.1),
+                samples.make_submit('j2', 1, job_started=True, estimate_s=0.1),
                 now,
             )
             await asyncio.sleep(0.6)
@@ -60,14 +60,14 @@
         """Guards against short jobs late behind long ones."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             now = rig.clock.now()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit('first', 2), now)
-            owned.submit(
+            leader.submit(link, samples.make_submit('first', 2), now)
+            leader.submit(
                 link, samples.make_submit('long', 2, estimate_s=2.0), now
             )
-            owned.submit(
+            leader.submit(
                 link, samples.make_submit('short', 2, slack_s=0.2), now
             )
             await asyncio.sleep(2)
@@ -82,12 +82,14 @@
         """Guards against urgent jobs behind a backlog of others."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             now = rig.clock.now()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit('first', 2), now)
-            owned.submit(link, samples.make_submit('later', 2, priority=2), now)
-            owned.submit(
+            leader.submit(link, samples.make_submit('first', 2), now)
+            leader.submit(
+                link, samples.make_submit('later', 2, priority=2), now
+            )
+            leader.submit(
                 link, samples.make_submit('urgent', 2, estimate_s=0.3), now
             )
             await asyncio.sleep(2)
@@ -100,12 +102,12 @@
         """Guards against waiting while another cell is idle."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
-            owned = await rig.ready()
+            rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit('j1', 5), rig.clock.now())
+            leader.submit(link, samples.make_submit('j1', 5), rig.clock.now())
             declined = samples.only(link.declined())
-            self.assertEqual('zone-b', declined.other)
+            self.assertEqual('zone-b', declined.suggested_shard)
             self.assertThat(declined.indices, matchers.HasLength(3))
 
         samples.with_rig(scenario)
@@ -114,11 +116,11 @@
         """Guards against tasks sent to an owner that is lost."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
-            owned = await rig.ready()
+            rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
+            leader = await rig.ready()
             await asyncio.sleep(0.6)
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit('j1', 5), rig.clock.now())
+            leader.submit(link, samples.make_submit('j1', 5), rig.clock.now())
             self.assertEqual([], link.declined())
 
         samples.with_rig(scenario)
@@ -127,11 +129,11 @@
         """Guards against tasks that are sent to and fro between cells."""
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.others.note(ids.ShardId('zone-b'), 5, rig.clock.now())
-            owned = await rig.ready()
+            rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(
-                link, samples.make_submit('j1', 5, firm=True), rig.clock.now()
+            leader.submit(
+                link, samples.make_submit('j1', 5, pinned=True), rig.clock.now()
             )
             self.assertEqual([], link.declined())
 
@@ -141,8 +143,8 @@
         """Guards against starts on workers of another kind."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(requires='b'),
                 rig.clock.now(),
@@ -156,18 +158,18 @@
         """Guards against jobs that never fail."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
-            self.assertEqual({0: 'failed'}, link.ends())
+            self.assertEqual({0: 'failed'}, link.results())
 
         samples.with_rig(
             scenario,
             work_of=lambda task, run: worker_model.Work(
-                resources=samples.usual_work(task, run).resources,
+                resources=samples.typical_work(task, run).resources,
                 work_s=0.1,
-                how=workers.Ending.FAILED,
+                how=workers.RunResult.FAILED,
             ),
         )
 
@@ -175,16 +177,16 @@
         """Guards against a second original after an answer was lost."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
-            owned.submit(
+            leader = await rig.ready()
+            leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(count=2),
                 rig.clock.now(),
             )
             await asyncio.sleep(4)
             again = samples.FakeLink('vm-2')
-            owned.submit(again, samples.make_submit(count=2), rig.clock.now())
-            self.assertEqual({0: 'done', 1: 'done'}, again.ends())
+            leader.submit(again, samples.make_submit(count=2), rig.clock.now())
+            self.assertEqual({0: 'done', 1: 'done'}, again.results())
             await asyncio.sleep(1)
             self.assertThat(rig.records(), matchers.HasLength(2))
 
@@ -194,15 +196,15 @@
         """Guards against a second run of what ended as it was stopped."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.2006)
-            owned.withdraw(link, ids.JobId('j1'))
+            leader.withdraw(link, ids.JobId('j1'))
             await asyncio.sleep(1.3)
             again = samples.FakeLink('vm-2')
-            owned.submit(again, samples.make_submit(), rig.clock.now())
-            self.assertEqual({0: 'done'}, again.ends())
+            leader.submit(again, samples.make_submit(), rig.clock.now())
+            self.assertEqual({0: 'done'}, again.results())
 
         samples.with_rig(scenario)
 
@@ -210,17 +212,17 @@
         """Guards against memory that grows with each task."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             for at in range(3):
-                owned.submit(
+                leader.submit(
                     samples.FakeLink(),
                     samples.make_submit(f'j{at}'),
                     rig.clock.now(),
                 )
                 await asyncio.sleep(6)
             again = samples.FakeLink()
-            owned.submit(again, samples.make_submit('j0'), rig.clock.now())
-            self.assertEqual({}, again.ends())
+            leader.submit(again, samples.make_submit('j0'), rig.clock.now())
+            self.assertEqual({}, again.results())
 
         samples.with_rig(scenario)
 
@@ -233,14 +235,14 @@
 
         async def scenario(rig: samples.Rig) -> None:
             rig.list_is_new = False
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.3)
             self.assertEqual([], rig.records())
             rig.list_is_new = True
             await asyncio.sleep(0.3)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
 
         samples.with_rig(scenario)
 
@@ -249,12 +251,12 @@
 
         async def scenario(rig: samples.Rig) -> None:
             rig.list_is_new = False
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
             submit = samples.make_submit(estimate_s=0.5)
-            owned.submit(link, submit, rig.clock.now())
+            leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(1)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
 
         samples.with_rig(scenario)
 
@@ -262,14 +264,14 @@
         """Guards against looks at workers that are gone, which are priced."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             rig.models['w0'].crash(rig.clock.now())
-            rig.list_workers(owned, [])
+            rig.list_workers(leader, [])
             await asyncio.sleep(3)
-            before = len(rig.wire.calls)
+            before = len(rig.api.calls)
             await asyncio.sleep(10)
-            self.assertEqual(before, len(rig.wire.calls))
-            self.assertEqual([], owned.state(rig.clock.now())['workers'])
+            self.assertEqual(before, len(rig.api.calls))
+            self.assertEqual([], leader.state(rig.clock.now())['workers'])
 
         samples.with_rig(scenario)
 
@@ -277,16 +279,16 @@
         """Guards against a lower fence after a worker was away."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             for _ in range(3):
-                rig.list_workers(owned, [])
+                rig.list_workers(leader, [])
                 await asyncio.sleep(3)
-                rig.list_workers(owned, list(rig.models.values()))
+                rig.list_workers(leader, list(rig.models.values()))
                 await asyncio.sleep(1)
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
             self.assertEqual([], rig.superseded_shards)
 
         samples.with_rig(scenario)
@@ -295,14 +297,14 @@
         """Guards against work for a client whose VM is gone."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.1)
-            owned.link_lost(link, rig.clock.now())
+            leader.link_lost(link, rig.clock.now())
             await asyncio.sleep(0.6)
             record = samples.only(rig.records())
-            self.assertEqual(workers.Ending.STOPPED, record.how)
+            self.assertEqual(workers.RunResult.STOPPED, record.how)
 
         samples.with_rig(scenario, work_of=_long)
 
@@ -310,17 +312,17 @@
         """Guards against repeated work after a reset of a link."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             link, again = samples.FakeLink(), samples.FakeLink()
-            owned.submit(link, samples.make_submit(), rig.clock.now())
+            leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.1)
-            owned.link_lost(link, rig.clock.now())
+            leader.link_lost(link, rig.clock.now())
             await asyncio.sleep(0.1)
-            owned.submit(
+            leader.submit(
                 again, samples.make_submit(resumed=True), rig.clock.now()
             )
             await asyncio.sleep(1.5)
-            self.assertEqual({0: 'done'}, again.ends())
+            self.assertEqual({0: 'done'}, again.results())
             self.assertEqual(1, len(rig.records()))
 
         samples.with_rig(scenario, work_of=_long)
@@ -346,7 +348,7 @@
                 rig.clock.now(),
             )
             await asyncio.sleep(1.5)
-            self.assertEqual({0: 'done', 1: 'done'}, link.ends())
+            self.assertEqual({0: 'done', 1: 'done'}, link.results())
             self.assertEqual(2, len(rig.records()))
 
         samples.with_rig(scenario, work_of=_long)
@@ -384,7 +386,7 @@
             new.submit(link, samples.make_submit(resumed=True), rig.clock.now())
             await asyncio.sleep(1.0)
             rig.models['w0'] = hidden
-            self.assertEqual({0: 'late'}, link.ends())
+            self.assertEqual({0: 'late'}, link.results())
             self.assertEqual(1, len(rig.records()))
 
         samples.with_rig(scenario, count=2, work_of=_long)
@@ -399,15 +401,15 @@
             )
             await asyncio.sleep(0.1)
             await old.close()
-            api = wire.Wire(
+            api = faults.FaultyWorkerApi(
                 models=rig.models,
                 clock=rig.clock,
-                fate_of=lambda _: wire.Fate.REQUEST_LOST,
+                fault_of=lambda _: faults.CallFault.REQUEST_LOST,
             )
-            new, link = rig.own(epoch=2, api=api), samples.FakeLink()
+            new, link = rig.lead(epoch=2, api=api), samples.FakeLink()
             new.submit(link, samples.make_submit(resumed=True), rig.clock.now())
             await asyncio.sleep(0.4)
-            self.assertEqual({0: 'late'}, link.ends())
+            self.assertEqual({0: 'late'}, link.results())
 
         samples.with_rig(scenario, work_of=_long)
 
@@ -426,26 +428,27 @@
             await rig.ready(epoch=2)
             await asyncio.sleep(0.8)
             self.assertEqual(
-                {workers.Ending.STOPPED},
+                {workers.RunResult.STOPPED},
                 {record.how for record in rig.records()},
             )
 
         samples.with_rig(
-            scenario, work_of=lambda task, run: samples.usual_work(task, run, 5)
+            scenario,
+            work_of=lambda task, run: samples.typical_work(task, run, 5),
         )
 
     def test_same_job_from_another_vm_replaces_the_first(self) -> None:
         """Guards against two runs when a client sends a job again."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             first, second = samples.FakeLink('vm-1'), samples.FakeLink('vm-2')
-            owned.submit(first, samples.make_submit(), rig.clock.now())
+            leader.submit(first, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.1)
-            owned.submit(second, samples.make_submit(), rig.clock.now())
+            leader.submit(second, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1.5)
-            self.assertEqual({0: 'replaced'}, first.ends())
-            self.assertEqual({0: 'done'}, second.ends())
+            self.assertEqual({0: 'replaced'}, first.results())
+            self.assertEqual({0: 'done'}, second.results())
             self.assertEqual(1, len(rig.records()))
 
         samples.with_rig(scenario, work_of=_long)
@@ -454,19 +457,21 @@
         """Guards against two runs of a job that is withdrawn and sent again."""
 
         async def scenario(rig: samples.Rig) -> None:
-            owned = await rig.ready()
+            leader = await rig.ready()
             link = samples.FakeLink()
             submit = samples.make_submit()
-            owned.submit(link, submit, rig.clock.now())
+            leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(0.1)
-            stops = [wire.Fate.REQUEST_LOST]
-            rig.wire.fate_of = lambda kind: (
-                stops.pop() if kind == 'stop' and stops else wire.Fate.DONE
+            stops = [faults.CallFault.REQUEST_LOST]
+            rig.api.fault_of = lambda kind: (
+                stops.pop()
+                if kind == 'stop' and stops
+                else faults.CallFault.DONE
             )
-            owned.withdraw(link, submit.job)
-            owned.submit(link, submit, rig.clock.now())
+            leader.withdraw(link, submit.job)
+            leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(2)
-            self.assertEqual({0: 'done'}, link.ends())
+            self.assertEqual({0: 'done'}, link.results())
             self.assertEqual([], rig.complaints())
             self.assertEqual(2, len(rig.records()))
 
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -10,7 +10,7 @@
 from sardineproxy.connection import messages
 from sardineproxy.process import metrics, store
 from sardineproxy.process.shards import shard as shards
-from sardineproxy.process.shards import fences, times, workers
+from sardineproxy.process.shards import fencing, times, workers
 from sardineproxy.process.stored_jobs import (
     fenced_rows,
     job_manager,
@@ -22,7 +22,7 @@
 from sardineproxy.standin import row_store, run_checks, worker_model
 from sardineproxy.version import routes
 from tests import virtual_time
-from tests.process.shards import samples, wire
+from tests.process.shards import samples, faults
 
 MAX_ATTEMPTS = 3
 
@@ -43,7 +43,7 @@
     steps = tuple(
         jobs.Step(
             count=count,
-            resources=samples.usual_work('', 1).resources,
+            resources=samples.typical_work('', 1).resources,
             estimate_s=0.2,
             after=(position - 1,) if position else (),
         )
@@ -153,21 +153,21 @@
         self.epoch = epoch
         self.is_up = True
         self.link: Any = Link(self)
-        api = wire.Wire(
+        api = faults.FaultyWorkerApi(
             models=cluster.rig.models,
             clock=cluster.rig.clock,
-            fate_of=cluster.fate_of,
+            fault_of=cluster.fault_of,
             delay_s=lambda: cluster.rng.uniform(0.0001, 0.003),
         )
         api.late_s = cluster.rng.uniform(0.5, 4)
-        self.shard: shards.ShardLeader = cluster.rig.own(
-            epoch=epoch, api=api, around=self
+        self.shard: shards.ShardLeader = cluster.rig.lead(
+            epoch=epoch, api=api, context=self
         )
         self.manager = job_manager.JobManager(
             table=job_table.JobTable(
                 shard=samples.SHARD,
                 writer=fenced_rows.Writer(
-                    token=fences.Right(epoch=epoch, rank=0),
+                    token=fencing.FencingToken(epoch=epoch, rank=0),
                     incarnation=ids.Incarnation(f'i{epoch}'),
                 ),
                 store=cluster.store,
@@ -183,22 +183,22 @@
         self._loaded_shards = loaded_shards.LoadedShards()
         self.manager.start()
 
-    def kept(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
+    def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         vm = self.link.peer.vm
         loaded = [samples.SHARD] if self.manager.is_loaded else []
         self._loaded_shards.update(vm, loaded, self.cluster.rig.clock.now())
         return self._loaded_shards.get(samples.SHARD, vm)
 
-    def keeper_of(self, job: ids.JobId) -> Any:
+    def manager_link(self, job: ids.JobId) -> Any:
         return self.link
 
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now
 
-    def listed_at(self) -> float:
+    def workers_listed_at(self) -> float:
         return self.cluster.rig.clock.now()
 
-    def list_answers(self) -> bool:
+    def is_list_available(self) -> bool:
         return True
 
     def default_shard(self) -> ids.ShardId | None:
@@ -237,8 +237,8 @@
                 self.shard.submit(self.link, message, now)
             case messages.Withdraw(job=job):
                 self.shard.withdraw(self.link, job)
-            case messages.EndsNoted():
-                self.shard.note_ends(message)
+            case messages.ResultsStored():
+                self.shard.acknowledge_results(message)
             case _:
                 self.manager.handle_message(self.link, message)
 
@@ -268,13 +268,15 @@
         draw = random.Random(f'{task}.{run}').randrange(100)
         is_failing = draw < self.failing_percent
         return worker_model.Work(
-            resources=samples.usual_work(task, run).resources,
+            resources=samples.typical_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
-            how=workers.Ending.FAILED if is_failing else workers.Ending.DONE,
+            how=workers.RunResult.FAILED
+            if is_failing
+            else workers.RunResult.DONE,
         )
 
-    def fate_of(self, kind: str) -> wire.Fate:
-        return wire.draw_fate(self.rng, self.fault_share)
+    def fault_of(self, kind: str) -> faults.CallFault:
+        return faults.draw_fault(self.rng, self.fault_share)
 
     def take_over(self) -> Process:
         """Make a new process the leader; the former one keeps running."""
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -92,9 +92,9 @@
                     (record.started_at, record.ended_at or 0)
                 )
             for before, after in (('0', '1'), ('1', '2')):
-                ended = max(end for _, end in spans[before])
-                begun = min(start for start, _ in spans[after])
-                self.assertLess(ended, begun)
+                last_end = max(end for _, end in spans[before])
+                first_start = min(start for start, _ in spans[after])
+                self.assertLess(last_end, first_start)
 
         with_cluster(scenario)
 
@@ -222,12 +222,12 @@
         """Guards against two leaders that both accept jobs of a shard."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            former = cluster.leader
+            former_leader = cluster.leader
             cluster.take_over()
             await asyncio.sleep(0.2)
-            answer = await former.manager.accept(clusters.make_job(1, 1))
+            answer = await former_leader.manager.accept(clusters.make_job(1, 1))
             self.assertEqual(_Reply.UNKNOWN, answer)
-            answer = await former.manager.accept(clusters.make_job(2, 1))
+            answer = await former_leader.manager.accept(clusters.make_job(2, 1))
             self.assertEqual(_Reply.UNAVAILABLE, answer)
             await asyncio.sleep(2)
             self.assertEqual([], cluster.rig.records())
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -52,7 +52,7 @@
         self.cancelled: set[ids.JobId] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def at(self, time_s: float, kind: str) -> None:
+    def schedule(self, time_s: float, kind: str) -> None:
         """Schedule a fault."""
         asyncio.get_running_loop().call_later(
             time_s, lambda: self._spawn(self._inject(kind))
@@ -132,8 +132,8 @@
     )
     scenario = FaultScenario(cluster)
     loop = asyncio.get_running_loop()
-    for at, kind in events:
-        scenario.at(at, kind)
+    for time_s, kind in events:
+        scenario.schedule(time_s, kind)
     for number in range(JOBS):
         loop.call_later(0.2 + number * 0.2, scenario.submit, number)
     await asyncio.sleep(9)
--- a/tests/process/test_directory.py
+++ b/tests/process/test_directory.py
@@ -1,4 +1,4 @@
-"""Look-ups always match the newest list."""
+"""Tests of the VM directory: look-ups match the newest list."""
 
 import testtools
 from testtools import matchers
@@ -13,15 +13,15 @@
 
 
 class DirectoryTest(testtools.TestCase):
-    """An older list never replaces a newer one."""
+    """Guards against look-ups in a list that is out of date."""
 
     def test_looks_up_by_role(self):
         target = directory.VmDirectory()
-        both = [
+        vms = [
             test_listing.vm_fields('a', role=role)
             for role in ('entry', 'endpoint')
         ]
-        target.offer(vm_list(2, *both))
+        target.offer(vm_list(2, *vms))
         entry, endpoint = target.newest.vms
         self.assertThat(target.entry_vms(), matchers.Equals((entry,)))
         self.assertThat(target.endpoints(), matchers.Equals((endpoint,)))
@@ -29,13 +29,15 @@
 
     def test_forgets_endpoints_that_a_newer_list_lacks(self):
         target = directory.VmDirectory()
-        seen = []
-        target.listing.subscribe(lambda newest: seen.append(newest.revision))
-        taken = [
+        revisions = []
+        target.listing.subscribe(
+            lambda newest: revisions.append(newest.revision)
+        )
+        accepted = [
             target.offer(vm_list(2, test_listing.vm_fields('a'))),
             target.offer(vm_list(3)),
             target.offer(vm_list(2, test_listing.vm_fields('a'))),
         ]
-        self.assertThat(taken, matchers.Equals([True, True, False]))
+        self.assertThat(accepted, matchers.Equals([True, True, False]))
         self.assertThat(target.endpoint('a'), matchers.Is(None))
-        self.assertThat(seen, matchers.Equals([0, 2, 3]))
+        self.assertThat(revisions, matchers.Equals([0, 2, 3]))
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Matching of tasks and slots, with endpoints that a test controls."""
+"""Dispatcher, with a fake endpoint client that the tests control."""
 
 import asyncio
 import collections
@@ -25,23 +25,26 @@
 
 
 class FakeClient:
-    """Endpoints that answer when ``answer`` is set, and some that refuse."""
+    """Endpoints that respond once ``answer`` is set, or are unreachable."""
 
     def __init__(self) -> None:
         self.started: list[tuple[str, str]] = []
         self.unreachable: set[str] = set()
         self.answer = asyncio.Event()
         self.running = collections.Counter[str]()
-        self.most = collections.Counter[str]()
+        self.max_running = collections.Counter[str]()
 
     async def attempt(self, *, task: Any, vm: platform.Vm) -> work.Outcome:
+        """Record the start, wait for ``answer`` and respond with 200."""
         if vm.name in self.unreachable:
             return work.Refused(
                 problem=samples.make_problem(endpoint.UNREACHABLE)
             )
         self.started.append((task.request_id, vm.name))
         self.running[vm.name] += 1
-        self.most[vm.name] = max(self.most[vm.name], self.running[vm.name])
+        self.max_running[vm.name] = max(
+            self.max_running[vm.name], self.running[vm.name]
+        )
         try:
             await self.answer.wait()
             await asyncio.sleep(0)
@@ -53,46 +56,51 @@
 
 
 class LimitedSlots(slots.SlotTable):
-    """Slots of which each customer may hold only some."""
+    """A slot table with a concurrency limit for each customer."""
 
     def __init__(self, limits: dict[str, int]) -> None:
         super().__init__()
         self.limits = limits
         self.searches = 0
-        self.held: dict[int, slots.Ticket] = {}
+        self.tickets: dict[int, slots.Ticket] = {}
 
-    def holding(self, customer: str | None = None) -> int:
-        held = self.held.values()
-        return sum(customer in {None, ticket.customer} for ticket in held)
+    def held_slots(self, customer: str | None = None) -> int:
+        """Return the slots in use by the customer, or by all if None."""
+        tickets = self.tickets.values()
+        return sum(customer in {None, ticket.customer} for ticket in tickets)
 
-    def acquire(self, **place: Any) -> slots.Ticket | None:
-        ticket = super().acquire(**place)
+    def acquire(self, **slot: Any) -> slots.Ticket | None:
+        """Acquire a slot and record its ticket."""
+        ticket = super().acquire(**slot)
         if ticket is not None:
-            self.held[ticket.number] = ticket
+            self.tickets[ticket.number] = ticket
         return ticket
 
     def release(self, *, ticket: slots.Ticket, now: float) -> None:
-        self.held.pop(ticket.number, None)
+        self.tickets.pop(ticket.number, None)
         super().release(ticket=ticket, now=now)
 
     def free_endpoints(self, *, customer: Any, now: float) -> Any:
         self.searches += 1
         limit = self.limits.get(customer)
-        if limit is not None and self.holding(customer) >= limit:
+        if limit is not None and self.held_slots(customer) >= limit:
             return ()
         return super().free_endpoints(customer=customer, now=now)
 
 
-class Rig:
-    """A dispatcher with endpoints ``w0`` and so on."""
+class DispatcherRig:
+    """A dispatcher with endpoints ``w0``, ``w1`` and so on.
+
+    ``limits`` are the concurrency limits of customers.
+    """
 
     def __init__(self, *endpoint_slots: int, **limits: int) -> None:
         self.client = FakeClient()
         self.slots = LimitedSlots(limits)
         self.directory = directory.VmDirectory()
-        names = [f'w{no}' for no, _ in enumerate(endpoint_slots)]
+        names = [f'w{index}' for index, _ in enumerate(endpoint_slots)]
         self.list_vms(*(samples.make_vm(name=name) for name in names))
-        self.own(*endpoint_slots)
+        self.set_owned(*endpoint_slots)
         self.health = health.Health(rng=random.Random(1))
         self.dispatcher = dispatcher.Dispatcher(
             clock=clock.SystemClock(),
@@ -110,33 +118,43 @@
         revision = self.directory.newest.revision + 1
         self.directory.offer(platform.VmList(revision=revision, vms=vms))
 
-    def own(self, *endpoint_slots: int) -> None:
-        owned = {f'w{no}': count for no, count in enumerate(endpoint_slots)}
+    def set_owned(self, *endpoint_slots: int) -> None:
+        owned = {
+            f'w{index}': count for index, count in enumerate(endpoint_slots)
+        }
         self.slots.set_owned(owned)  # type: ignore[arg-type]
 
     def submit(
         self, request: str, customer: str = 'c', **changes: Any
     ) -> 'asyncio.Task[work.Outcome]':
+        """Run a sample task with the given changes in the background."""
         task = samples.make_task(
             request_id=request, customer=customer, **changes
         )
         return asyncio.create_task(self.dispatcher.run(task=task))
 
 
-async def turn() -> None:
-    """Let all tasks run as far as they can."""
+async def run_pending() -> None:
+    """Run the event loop until the tasks wait for an event or a timer."""
     for _ in range(10):
         await asyncio.sleep(0)
 
 
-async def run_mix(
+async def run_and_cancel(
     customers: list[int], unreachable: set[str], cancelled: int
-) -> tuple[Rig, list[Any]]:
-    """Run a task for each customer named and cancel some of them."""
-    rig = Rig(2, 1, 1, c1=2)
+) -> tuple[DispatcherRig, list[Any]]:
+    """Run one task per item of ``customers`` and cancel some of them.
+
+    The request with the number ``cancelled`` is cancelled at the dispatcher,
+    and the coroutines of the requests before it are cancelled.
+    """
+    rig = DispatcherRig(2, 1, 1, c1=2)
     rig.client.unreachable = unreachable
-    runs = [rig.submit(f'{no}', f'c{who}') for no, who in enumerate(customers)]
-    await turn()
+    runs = [
+        rig.submit(f'{number}', f'c{customer}')
+        for number, customer in enumerate(customers)
+    ]
+    await run_pending()
     rig.dispatcher.cancel(request_id=f'{cancelled}')
     for run in runs[:cancelled]:
         run.cancel()
@@ -145,7 +163,9 @@
     return rig, await asyncio.wait_for(gathered, samples.LONG_S)
 
 
-def within_loop(scenario: Any) -> Any:
+def async_test(scenario: Any) -> Any:
+    """Run the decorated test in an event loop, with a timeout."""
+
     @functools.wraps(scenario)
     def run(self: Any) -> None:
         asyncio.run(asyncio.wait_for(scenario(self), samples.LONG_S))
@@ -154,9 +174,9 @@
 
 
 class DispatcherTest(testtools.TestCase):
-    """Slots are used when tasks wait, and each task starts at most once."""
+    """Free slots are used while tasks wait; tasks start at most once."""
 
-    def code_of(self, run: 'asyncio.Task[Any]') -> str:
+    def problem_code(self, run: 'asyncio.Task[Any]') -> str:
         self.assertIsInstance(run.result(), work.Refused)
         return run.result().problem.code
 
@@ -169,111 +189,138 @@
     def test_each_task_starts_once(
         self, customers: list[int], unreachable: set[str], cancelled: int
     ) -> None:
-        """Guards against lost tasks, second starts and overfull endpoints."""
-        rig, outcomes = asyncio.run(run_mix(customers, unreachable, cancelled))
+        """Guards against tasks that are lost, start twice or exceed slots.
+
+        Tasks of several customers meet unreachable endpoints, a concurrency
+        limit and cancellations.
+        """
+        rig, outcomes = asyncio.run(
+            run_and_cancel(customers, unreachable, cancelled)
+        )
         starts = [request for request, _ in rig.client.started]
         self.assertEqual(len(set(starts)), len(starts))
         ran = [isinstance(outcome, work.Response) for outcome in outcomes]
-        answers = {f'{no}' for no, whole in enumerate(ran) if whole}
-        self.assertEqual(set(), answers - set(starts))
-        self.assertGreater(len(answers), len(outcomes) - cancelled - 2)
-        self.assertEqual(0, rig.slots.holding())
-        self.assertLess(rig.client.most['w0'], 3)
+        responses = {
+            f'{number}' for number, did_run in enumerate(ran) if did_run
+        }
+        self.assertEqual(set(), responses - set(starts))
+        self.assertGreater(len(responses), len(outcomes) - cancelled - 2)
+        self.assertEqual(0, rig.slots.held_slots())
+        self.assertLess(rig.client.max_running['w0'], 3)
         self.assertEqual((), rig.dispatcher.demand().customers)
 
-    @within_loop
-    async def test_unreachable_endpoints_are_passed_over(self) -> None:
-        """Guards against refusing a task that another endpoint can run."""
-        rig = Rig(1, 1, 1, 1, 1, 1)
+    @async_test
+    async def test_unreachable_endpoints_are_skipped(self) -> None:
+        """Guards against refusing a task that another endpoint could run.
+
+        Five of six endpoints refuse the connection.
+        """
+        rig = DispatcherRig(1, 1, 1, 1, 1, 1)
         rig.client.answer.set()
         rig.client.unreachable = {'w0', 'w1', 'w2', 'w3', 'w4'}
         outcome = await rig.submit('r')
         self.assertEqual('w5', outcome.endpoint)  # type: ignore[union-attr]
         self.assertEqual([('r', 'w5')], rig.client.started)
 
-    @within_loop
+    @async_test
     async def test_deadlines_pass_without_other_events(self) -> None:
-        """Guards against tasks that wait on after their deadline."""
-        rig = Rig(1)
+        """Guards against tasks that stay queued after their deadline.
+
+        No other event occurs before the deadline, so only the timer can end
+        the wait, for a full endpoint as for an unreachable one.
+        """
+        rig = DispatcherRig(1)
         running = rig.submit('a')
         waiting = rig.submit('b', deadline_s=0.05)
         await waiting
-        self.assertEqual('deadline_passed', self.code_of(waiting))
+        self.assertEqual('deadline_passed', self.problem_code(waiting))
         rig.client.unreachable = {'w0'}
         rig.client.answer.set()
         await running
         unreachable = rig.submit('d', deadline_s=0.05)
         await unreachable
-        self.assertEqual('deadline_passed', self.code_of(unreachable))
+        self.assertEqual('deadline_passed', self.problem_code(unreachable))
         self.assertEqual([('a', 'w0')], rig.client.started)
 
-    @within_loop
+    @async_test
     async def test_cancelled_work_never_starts(self) -> None:
-        """Guards against a start after the caller was told "cancelled"."""
-        rig = Rig(1)
+        """Guards against a start after "cancelled" was returned."""
+        rig = DispatcherRig(1)
         runs = [rig.submit(request) for request in ('a', 'b', 'b', 'd')]
-        await turn()
+        await run_pending()
         rig.dispatcher.cancel(request_id='b')
         self.assertEqual(1, rig.dispatcher.waiting(customer='c'))
         rig.client.answer.set()
         await asyncio.gather(*runs)
         for run in runs[1:3]:
-            self.assertEqual('cancelled', self.code_of(run))
-        self.assertEqual(['a', 'd'], [who for who, _ in rig.client.started])
+            self.assertEqual('cancelled', self.problem_code(run))
+        self.assertEqual(
+            ['a', 'd'], [request for request, _ in rig.client.started]
+        )
 
-    @within_loop
+    @async_test
     async def test_task_granted_but_not_yet_sent_can_be_cancelled(self) -> None:
-        """Guards against a start between the grant and the first byte."""
-        rig = Rig(0)
+        """Guards against sending a task that was cancelled after its start.
+
+        The slot is assigned, but the coroutine that sends the task has not
+        run yet.
+        """
+        rig = DispatcherRig(0)
         runs = [rig.submit('a'), rig.submit('b')]
-        await turn()
-        rig.own(1)
+        await run_pending()
+        rig.set_owned(1)
         rig.dispatcher.wake()
         rig.dispatcher.cancel(request_id='a')
         rig.client.answer.set()
         await asyncio.gather(*runs)
-        self.assertEqual('cancelled', self.code_of(runs[0]))
-        self.assertEqual(['b'], [who for who, _ in rig.client.started])
+        self.assertEqual('cancelled', self.problem_code(runs[0]))
+        self.assertEqual(['b'], [request for request, _ in rig.client.started])
+
+    @async_test
+    async def test_cancelled_coroutines_release_their_slots(self) -> None:
+        """Guards against leaked slots when a submitting coroutine is cancelled.
 
-    @within_loop
-    async def test_abandoned_coroutines_leave_no_slot_taken(self) -> None:
-        """Guards against slots that leak when a caller's task is cancelled."""
-        rig = Rig(0)
+        It is cancelled while queued, after a slot is assigned, or while the
+        task runs.
+        """
+        rig = DispatcherRig(0)
         runs = [rig.submit(request) for request in ('a', 'b', 'd')]
-        await turn()
+        await run_pending()
         runs[0].cancel()
-        rig.own(1)
+        rig.set_owned(1)
         rig.dispatcher.wake()
         runs[1].cancel()
-        await turn()
+        await run_pending()
         self.assertEqual([('d', 'w0')], rig.client.started)
-        await self.abandon(rig, runs[2])
+        await self.assert_cancel_releases_slot(rig, runs[2])
 
-    async def abandon(self, rig: Rig, run: 'asyncio.Task[Any]') -> None:
-        """Cancel a running task and expect that it leaves nothing behind."""
+    async def assert_cancel_releases_slot(
+        self, rig: DispatcherRig, run: 'asyncio.Task[Any]'
+    ) -> None:
+        """Cancel a running task; expect no used slots and no demand."""
         run.cancel()
-        await turn()
-        self.assertEqual(0, rig.slots.holding())
+        await run_pending()
+        self.assertEqual(0, rig.slots.held_slots())
         self.assertEqual((), rig.dispatcher.demand().customers)
 
-    @within_loop
+    @async_test
     async def test_leaving_endpoints_get_no_new_work(self) -> None:
-        """Guards against sending work to a VM that is about to stop."""
-        rig = Rig(1, 1)
+        """Guards against sending tasks to an endpoint that is shutting down."""
+        rig = DispatcherRig(1, 1)
         leaving = samples.make_vm(state=platform.VmState.LEAVING)
         rig.list_vms(leaving)
         runs = [rig.submit('a'), rig.submit('b')]
-        await turn()
+        await run_pending()
         self.assertEqual([], rig.client.started)
         rig.list_vms(leaving, samples.make_vm(name='w1'))
         rig.client.answer.set()
         await asyncio.gather(*runs)
         self.assertEqual(['w1', 'w1'], [vm for _, vm in rig.client.started])
 
-    @within_loop
-    async def test_own_zone_goes_first(self) -> None:
-        """Guards against needless traffic between zones."""
-        rig = Rig(1, 1)
+    @async_test
+    async def test_own_zone_is_preferred(self) -> None:
+        """Guards against traffic between zones while the own zone has slots."""
+        rig = DispatcherRig(1, 1)
         far = samples.make_vm(zone=ids.ZoneId('far'))
         rig.list_vms(far, samples.make_vm(name='w1'))
         runs = [rig.submit('a'), rig.submit('b')]
@@ -281,64 +328,78 @@
         await asyncio.gather(*runs)
         self.assertEqual([('a', 'w1'), ('b', 'w0')], rig.client.started)
 
-    @within_loop
+    @async_test
     async def test_customer_at_its_limit_does_not_block_others(self) -> None:
-        """Guards against idle slots behind a holding limit."""
-        rig = Rig(2, full=1)
-        runs = [rig.submit(f'{no}', 'full') for no in range(4)]
-        runs += [rig.submit(f'{no}', 'free') for no in range(4, 6)]
-        await turn()
-        self.assertEqual(['0', '4'], [who for who, _ in rig.client.started])
+        """Guards against idle slots while the first customer is at its limit.
+
+        Tasks of a customer behind it must start.
+        """
+        rig = DispatcherRig(2, full=1)
+        runs = [rig.submit(f'{number}', 'full') for number in range(4)]
+        runs += [rig.submit(f'{number}', 'free') for number in range(4, 6)]
+        await run_pending()
+        self.assertEqual(
+            ['0', '4'], [request for request, _ in rig.client.started]
+        )
         rig.client.answer.set()
         await asyncio.gather(*runs)
         self.assertEqual(6, len(rig.client.started))
 
-    @within_loop
-    async def test_release_searches_once(self) -> None:
-        """Guards against waking all waiting tasks on every release."""
-        rig = Rig(4)
-        runs = [rig.submit(f'{no}', f'c{no % 50}') for no in range(1000)]
-        await turn()
+    @async_test
+    async def test_release_does_not_try_all_waiting_tasks(self) -> None:
+        """Guards against a search over all waiting tasks at every release.
+
+        The cost of a release would then grow with the length of the queue.
+        """
+        rig = DispatcherRig(4)
+        runs = [
+            rig.submit(f'{number}', f'c{number % 50}') for number in range(1000)
+        ]
+        await run_pending()
         rig.client.answer.set()
         await asyncio.gather(*runs)
         self.assertLess(rig.slots.searches, 3000)
 
-    @within_loop
-    async def test_backlog_is_told_once_a_turn(self) -> None:
-        """Guards against one message to lenders for each waiting task."""
-        rig = Rig(1)
-        told: list[Any] = []
-        rig.dispatcher.backlog.subscribe(told.append)
-        runs = [rig.submit(f'{no}') for no in range(50)]
-        await turn()
-        self.assertEqual(1, len(told))
-        self.assertEqual(49, told[0].customers[0].waiting)
+    @async_test
+    async def test_backlog_is_reported_once_a_turn(self) -> None:
+        """Guards against one message to lenders for every waiting task."""
+        rig = DispatcherRig(1)
+        reports: list[Any] = []
+        rig.dispatcher.backlog.subscribe(reports.append)
+        runs = [rig.submit(f'{number}') for number in range(50)]
+        await run_pending()
+        self.assertEqual(1, len(reports))
+        self.assertEqual(49, reports[0].customers[0].waiting)
         rig.client.answer.set()
         await asyncio.gather(*runs)
 
-    @within_loop
+    @async_test
     async def test_close_refuses_waiting_and_new_tasks(self) -> None:
-        """Guards against a shutdown that hangs or interrupts a task."""
-        rig = Rig(1)
+        """Guards against a shutdown that hangs or interrupts running tasks."""
+        rig = DispatcherRig(1)
         runs = [rig.submit('a'), rig.submit('b')]
-        await turn()
+        await run_pending()
         rig.dispatcher.close()
         runs.append(rig.submit('late'))
         rig.client.answer.set()
         await asyncio.gather(*runs)
         self.assertIsInstance(runs[0].result(), work.Response)
         for run in runs[1:]:
-            self.assertEqual('shutting_down', self.code_of(run))
+            self.assertEqual('shutting_down', self.problem_code(run))
+
+    @async_test
+    async def test_waiting_task_starts_when_an_ejection_ends(self) -> None:
+        """Guards against tasks that stay queued after an ejection ends.
 
-    @within_loop
-    async def test_work_returns_after_an_ejection(self) -> None:
-        """Guards against tasks that wait on when an ejection ends."""
-        rig = Rig(0, 1)
+        The only endpoint with a slot is ejected, and no other event wakes the
+        dispatcher.
+        """
+        rig = DispatcherRig(0, 1)
         rig.client.answer.set()
         now = clock.SystemClock().now()
         rig.health.record_refusal('w1', request_id='r', now=now)
         run = rig.submit('a')
-        await turn()
+        await run_pending()
         self.assertEqual([], rig.client.started)
         self.assertIsInstance(await run, work.Response)
         self.assertIn('w1', rig.health.ranks)
--- a/tests/process/test_health.py
+++ b/tests/process/test_health.py
@@ -1,4 +1,4 @@
-"""Ranks and ejections of endpoints."""
+"""Ranking and outlier ejection of endpoints."""
 
 import random
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class Estimates(health.Health):
-    """Estimates of the first ``count`` names, without jitter."""
+    """Health estimates of the first ``count`` endpoints, without jitter."""
 
     def __init__(self, count: int) -> None:
         super().__init__(rng=random.Random(1), cfg=health.Config(jitter=0))
@@ -34,10 +34,10 @@
 
 
 class HealthTest(testtools.TestCase):
-    """Failing endpoints lose work, and healthy ones keep it."""
+    """Failing endpoints are ejected, and healthy ones are not."""
 
     def test_slower_endpoints_rank_later(self) -> None:
-        """Guards against a choice that ignores a factor of four in speed."""
+        """Guards against ranks that ignore a fourfold difference in speed."""
         estimates = Estimates(3)
         for _ in range(100):
             for endpoint, run_s in zip(NAMES, (0.1, 0.2, 0.4)):
@@ -46,20 +46,24 @@
         self.assertEqual(sorted(ranks), ranks)
         self.assertGreater(ranks[2] - ranks[0], 12)
 
-    def test_spread_of_run_times_does_not_hide_speeds(self) -> None:
-        """Guards against noise that ranks a slow endpoint before a fast one."""
+    def test_spread_of_run_times_does_not_change_the_order(self) -> None:
+        """Guards against noise that ranks a slow endpoint before a fast one.
+
+        Run times of equal tasks spread over a factor of 20, and one endpoint
+        has 0.7 times the speed of the other.
+        """
         rng = random.Random(1)
         estimates = Estimates(2)
-        wrong = 0
+        misrankings = 0
         for count in range(1000):
             for endpoint, speed in zip(NAMES, (1, 0.7)):
                 estimates.succeed(endpoint, 0.05 * 20 ** rng.random() / speed)
             if count >= 100:
-                wrong += estimates.ranks[FIRST] >= estimates.ranks[SECOND]
-        self.assertLess(wrong, 20)
+                misrankings += estimates.ranks[FIRST] >= estimates.ranks[SECOND]
+        self.assertLess(misrankings, 20)
 
-    def test_fast_failures_do_not_attract(self) -> None:
-        """Guards against an endpoint that fails at once looking fast."""
+    def test_fast_failures_do_not_improve_the_rank(self) -> None:
+        """Guards against a good rank for an endpoint that fails quickly."""
         estimates = Estimates(1)
         for _ in range(20):
             estimates.succeed(FIRST)
@@ -68,7 +72,7 @@
         self.assertGreater(estimates.ranks[FIRST], 10)
 
     def test_failures_in_a_row_eject_for_longer_each_time(self) -> None:
-        """Guards against a broken endpoint being tried without end."""
+        """Guards against frequent probes of an endpoint that keeps failing."""
         estimates = Estimates(2)
         for _ in range(3):
             self.assertIn(FIRST, estimates.ranks)
@@ -84,7 +88,7 @@
             estimates.fail(FIRST, now=now)
 
     def test_success_between_failures_prevents_ejection(self) -> None:
-        """Guards against ejecting an endpoint for rare failures."""
+        """Guards against ejecting an endpoint for occasional failures."""
         estimates = Estimates(2)
         for _ in range(5):
             estimates.fail(FIRST)
@@ -93,7 +97,7 @@
         self.assertIn(FIRST, estimates.ranks)
 
     def test_probes_go_one_at_a_time(self) -> None:
-        """Guards against a full load on an endpoint that may be broken."""
+        """Guards against a full load on an endpoint that may still fail."""
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
         self.assertEqual([], estimates.endpoints_on_probation(NAMES, now=0.9))
@@ -106,8 +110,11 @@
         estimates.succeed(FIRST, now=1)
         self.assertIn(FIRST, estimates.ranks)
 
-    def test_tasks_that_cannot_be_repeated_wait_to_probe(self) -> None:
-        """Guards against a job that fails as the probe of a bad endpoint."""
+    def test_non_idempotent_tasks_wait_to_probe(self) -> None:
+        """Guards against failing a job by using it as a probe.
+
+        Its tasks may not be retried if the endpoint still fails.
+        """
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
         self.assertEqual([], estimates.probes_for_any_task([FIRST], now=2))
@@ -123,30 +130,36 @@
         estimates.ranks.clear()
         self.assertEqual([FIRST], estimates.probes_for_any_task([FIRST], now=2))
 
-    def test_half_of_a_zone_stays(self) -> None:
-        """Guards against a zone without endpoints when all seem to fail."""
+    def test_half_of_a_zone_stays_in_service(self) -> None:
+        """Guards against a zone without endpoints when all of them fail."""
         estimates = Estimates(5)
         for endpoint in NAMES * 6:
             estimates.fail(endpoint)
         self.assertEqual(3, len(estimates.ranks))
 
-    def test_bad_job_does_not_eject_good_endpoints(self) -> None:
-        """Guards against one impossible job ejecting half of a zone."""
+    def test_failing_job_does_not_eject_healthy_endpoints(self) -> None:
+        """Guards against a job that fails everywhere and ejects half a zone.
+
+        Only its failures at the first endpoint count.
+        """
         estimates = Estimates(4)
         for endpoint in NAMES[:4] * 3:
             estimates.fail(endpoint, 'bad job')
         self.assertEqual(3, len(estimates.ranks))
 
-    def test_good_job_shows_all_bad_endpoints(self) -> None:
-        """Guards against blaming a job for a second bad endpoint."""
+    def test_job_with_a_success_ejects_all_failing_endpoints(self) -> None:
+        """Guards against attributing endpoint failures to a job that can run.
+
+        A task of the job has succeeded, so failures at two endpoints count.
+        """
         estimates = Estimates(4)
         estimates.record_job_success(ids.RequestId('good job'))
         for endpoint in (FIRST, SECOND) * 3:
             estimates.fail(endpoint, 'good job')
         self.assertEqual(NAMES[2:4], tuple(estimates.ranks))
 
-    def test_silent_endpoint_is_ejected(self) -> None:
-        """Guards against slots that wait for an endpoint that hangs."""
+    def test_unresponsive_endpoint_is_ejected(self) -> None:
+        """Guards against slots that stay blocked by an endpoint that hangs."""
         estimates = Estimates(2)
         estimates.succeed(FIRST, now=1)
         estimates.succeed(SECOND, now=5)
@@ -155,8 +168,8 @@
             estimates.record_stragglers(endpoint, count=2, since=2, now=6)
         self.assertEqual([SECOND], list(estimates.ranks))
 
-    def test_old_slowness_is_forgotten(self) -> None:
-        """Guards against an endpoint that never gets work again."""
+    def test_estimates_of_unused_endpoints_decay(self) -> None:
+        """Guards against a slow endpoint that never gets tasks again."""
         estimates = Estimates(2)
         for _ in range(50):
             estimates.succeed(FIRST, 0.1)
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -1,4 +1,4 @@
-"""Loans: slots and holding limits are never used twice."""
+"""Slot loans between entry VMs."""
 
 import collections
 import random
@@ -25,7 +25,11 @@
 
 
 class Vms:
-    """VMs that share a view and whose messages wait to be delivered."""
+    """Entry VMs with a common view; the test delivers their frames.
+
+    ``names`` has one letter per VM. Every VM owns ``ENDPOINTS`` endpoints with
+    ``SLOTS`` slots.
+    """
 
     def __init__(self, names: str, limits: dict[ids.CustomerId, int]) -> None:
         self.now: float = 0
@@ -35,7 +39,7 @@
         self.loans: dict[str, loans.Loans] = {}
         self.free_slots = dict.fromkeys(names, SLOTS * ENDPOINTS)
         self.tickets: list[tuple[str, slots.Ticket]] = []
-        self.most_running = 0
+        self.max_running = 0
         self.sent: collections.Counter = collections.Counter()
         for name in names:
             division = views.LimitDivision(
@@ -50,8 +54,8 @@
             self.tables[name].set_limit_divisions([division])
             self.tables[name].set_concurrency_limits(limits)
             self.loans[name] = loans.Loans(cfg=CFG, table=self.tables[name])
-            for other in names.replace(name, ''):
-                self.links[name, other] = collections.deque()
+            for receiver in names.replace(name, ''):
+                self.links[name, receiver] = collections.deque()
 
     def lenders(self, name: str) -> Callable[[], list[borrowing.LenderPeer]]:
         return lambda: [
@@ -62,6 +66,7 @@
         ]
 
     def send(self, name: str, outgoing: borrowing.OutgoingFrames) -> None:
+        """Queue frames of a VM for delivery, encoded and decoded again."""
         for vm, frame in outgoing:
             self.sent[type(frame).__name__] += 1
             encoded = frames.encode(frame).unwrap()
@@ -81,30 +86,32 @@
         self.send(name, requests)
 
     def tick(self, name: str) -> None:
-        due = self.loans[name].tick(self.lenders(name), self.now)
-        self.send(name, due)
+        outgoing = self.loans[name].tick(self.lenders(name), self.now)
+        self.send(name, outgoing)
 
-    def deliver(self, one: str, other: str) -> bool:
-        if not self.links[one, other]:
+    def deliver(self, sender: str, receiver: str) -> bool:
+        """Deliver the oldest frame; return whether there was one."""
+        if not self.links[sender, receiver]:
             return False
-        self.free_slots[one] = self.tables[one].free_slots
-        frame = self.links[one, other].popleft()
-        loans = self.loans[other]
-        loans.renew_lease(one, self.now)
-        self.send(other, loans.handle_frame(one, frame, self.now))
+        self.free_slots[sender] = self.tables[sender].free_slots
+        frame = self.links[sender, receiver].popleft()
+        loans = self.loans[receiver]
+        loans.renew_lease(sender, self.now)
+        self.send(receiver, loans.handle_frame(sender, frame, self.now))
         return True
 
-    def settle(self) -> None:
+    def deliver_all(self) -> None:
         delivered = True
         while delivered:
             delivered = any([self.deliver(*link) for link in self.links])
 
-    def cut(self, one: str, other: str) -> None:
-        for here, there in ((one, other), (other, one)):
-            self.links[here, there].clear()
-            self.loans[here].handle_disconnect(there, self.now)
+    def disconnect(self, vm: str, peer: str) -> None:
+        """Drop undelivered frames and close the stream on both sides."""
+        for sender, receiver in ((vm, peer), (peer, vm)):
+            self.links[sender, receiver].clear()
+            self.loans[sender].handle_disconnect(receiver, self.now)
 
-    def take(self, name: str, customer: ids.CustomerId) -> bool:
+    def acquire_slot(self, name: str, customer: ids.CustomerId) -> bool:
         table = self.tables[name]
         for endpoint in table.free_endpoints(customer=customer, now=self.now):
             ticket = table.acquire(
@@ -115,21 +122,25 @@
             return ticket is not None
         return False
 
-    def take_all(self, name: str, customer: ids.CustomerId) -> None:
-        taken = True
-        while taken:
-            taken = self.take(name, customer)
+    def acquire_all(self, name: str, customer: ids.CustomerId) -> None:
+        acquired = True
+        while acquired:
+            acquired = self.acquire_slot(name, customer)
 
     def release(self, index: int) -> None:
         name, ticket = self.tickets.pop(index % len(self.tickets))
         self.tables[name].release(ticket=ticket, now=self.now)
 
     def run_job(self, name: str, customer: ids.CustomerId) -> None:
-        self.take_all(name, customer)
+        """Run tasks on all own slots and on slots borrowed for 40 more.
+
+        Afterwards the time advances by half of the idle time.
+        """
+        self.acquire_all(name, customer)
         self.report(name, **{customer: 40})
-        self.settle()
-        self.take_all(name, customer)
-        self.most_running = self.running(customer)
+        self.deliver_all()
+        self.acquire_all(name, customer)
+        self.max_running = self.running(customer)
         while self.tickets:
             self.release(0)
         self.report(name)
@@ -137,21 +148,25 @@
         self.tick(name)
 
     def replace_task(self, name: str, customer: ids.CustomerId) -> None:
+        """End the oldest task and start the customer's tasks at a VM."""
         self.release(0)
         self.tick(name)
-        self.settle()
-        self.take_all(name, customer)
+        self.deliver_all()
+        self.acquire_all(name, customer)
         self.report(name, **{customer: 100})
         self.now += 0.01
 
     def running(self, customer: ids.CustomerId) -> int:
         return sum(ticket.customer == customer for _, ticket in self.tickets)
 
-    def busiest(self) -> int:
-        at = collections.Counter(ticket.endpoint for _, ticket in self.tickets)
-        return max(at.values(), default=0)
+    def max_tasks_at_one_endpoint(self) -> int:
+        running = collections.Counter(
+            ticket.endpoint for _, ticket in self.tickets
+        )
+        return max(running.values(), default=0)
 
-    def held(self, customer: ids.CustomerId) -> int:
+    def held_slots(self, customer: ids.CustomerId) -> int:
+        """Return the slots that are used by the customer or lent for it."""
         return sum(
             table.state(now=self.now)['held'].get(customer, 0)  # type: ignore
             for table in self.tables.values()
@@ -159,11 +174,12 @@
 
 
 def _step(vms: Vms, rng: random.Random, links: list[tuple[str, str]]) -> None:
+    """Perform a random action."""
     name = rng.choice(vms.names)
     customer = rng.choice((X, Y))
     match rng.choice('ttttrrbbkdddddd' * 5 + 'c'):
         case 't':
-            vms.take(name, customer)
+            vms.acquire_slot(name, customer)
         case 'r' if vms.tickets:
             vms.release(rng.randrange(100))
         case 'b':
@@ -172,21 +188,22 @@
             vms.now += 0.1
             vms.tick(name)
         case 'c':
-            vms.cut(*rng.choice(links))
+            vms.disconnect(*rng.choice(links))
         case _:
             vms.deliver(*rng.choice(links))
 
 
-def _borrowing_all() -> Vms:
+def _vms_with_loan() -> Vms:
+    """Return two VMs of which ``a`` uses its own slots and all of ``b``."""
     vms = Vms('ab', {X: 100})
     vms.report('a', x=40)
-    vms.settle()
-    vms.take_all('a', X)
+    vms.deliver_all()
+    vms.acquire_all('a', X)
     return vms
 
 
 class LoansTest(testtools.TestCase):
-    """Lent slots serve the borrower, within limits, and come back."""
+    """Lent slots are used by the borrower, within limits, and returned."""
 
     @examples.settings(100)
     @hypothesis.given(
@@ -195,109 +212,139 @@
     def test_limits_hold_under_any_sequence(
         self, limit: int, seed: int
     ) -> None:
+        """Guards against slots or limits that are used twice.
+
+        Frames are delayed and streams closed while both sides account for the
+        same slots.
+        """
         rng = random.Random(seed)
         vms = Vms('abc', {X: limit, Y: 7})
         links = list(vms.links)
         for _ in range(150):
             _step(vms, rng, links)
-            for customer, most in ((X, limit), (Y, 7)):
-                held = vms.held(customer)
-                self.assertThat(held, matchers.LessThan(most + 1))
+            for customer, customer_limit in ((X, limit), (Y, 7)):
+                held_slots = vms.held_slots(customer)
+                self.assertThat(
+                    held_slots, matchers.LessThan(customer_limit + 1)
+                )
                 self.assertThat(
-                    vms.running(customer), matchers.LessThan(held + 1)
+                    vms.running(customer), matchers.LessThan(held_slots + 1)
                 )
-            self.assertThat(vms.busiest(), matchers.LessThan(SLOTS + 1))
+            self.assertThat(
+                vms.max_tasks_at_one_endpoint(), matchers.LessThan(SLOTS + 1)
+            )
+
+    def test_a_job_borrows_idle_slots_with_few_messages(self) -> None:
+        """Guards against loans that are requested anew for every job.
 
-    def test_a_job_uses_idle_slots_of_all_with_few_messages(self) -> None:
-        """Each lender is asked once, and the loan outlives short pauses."""
+        One request and one grant for each of three lenders serve five jobs
+        with short pauses.
+        """
         vms = Vms('abcd', {X: 100})
         for _ in range(5):
             vms.run_job('a', X)
-        self.assertEqual(48, vms.most_running)
+        self.assertEqual(48, vms.max_running)
         self.assertEqual(6, sum(vms.sent.values()))
 
     def test_idle_loans_return_in_one_message(self) -> None:
+        """Guards against one return message for every idle slot."""
         vms = Vms('abcd', {X: 100})
         vms.run_job('a', X)
         vms.now += CFG.idle_return_s
         vms.tick('a')
-        vms.settle()
+        vms.deliver_all()
         self.assertEqual(3, vms.sent['SlotReturn'])
-        self.assertEqual(0, vms.held(X))
+        self.assertEqual(0, vms.held_slots(X))
 
     def test_idle_loans_return_when_the_lender_has_work(self) -> None:
+        """Guards against tasks that wait while a borrower has idle slots."""
         vms = Vms('ab', {X: 100, Y: 100})
         vms.report('a', x=40)
-        vms.settle()
-        self.assertFalse(vms.take('b', Y))
+        vms.deliver_all()
+        self.assertFalse(vms.acquire_slot('b', Y))
         vms.report('b', y=12)
         vms.now += CFG.min_backlog_age_s
         vms.tick('b')
-        vms.settle()
-        self.assertTrue(vms.take('b', Y))
+        vms.deliver_all()
+        self.assertTrue(vms.acquire_slot('b', Y))
+
+    def test_lender_with_backlog_grants_only_the_fair_share(self) -> None:
+        """Guards against a backlog that takes the fair share of borrowers.
 
-    def test_busy_lender_grants_the_fair_part_and_no_more(self) -> None:
-        """A rival's backlog at one VM leaves other customers their part."""
+        The lender's local backlog of another customer fills all its slots.
+        """
         vms = Vms('ab', {X: 100, Y: 100})
-        vms.take_all('b', Y)
+        vms.acquire_all('b', Y)
         vms.report('b', y=100)
         vms.free_slots['b'] = 0
         vms.report('a', x=100)
-        vms.settle()
+        vms.deliver_all()
         for _ in range(20):
             vms.replace_task('b', Y)
-            vms.take_all('a', X)
-        at_b = sum(
+            vms.acquire_all('a', X)
+        borrowed_from_b = sum(
             name == 'a' and ticket.endpoint.startswith('b')
             for name, ticket in vms.tickets
         )
-        self.assertEqual(SLOTS * ENDPOINTS // 2, at_b)
+        self.assertEqual(SLOTS * ENDPOINTS // 2, borrowed_from_b)
 
-    def test_lost_borrower_keeps_slots_until_its_tasks_ended(self) -> None:
-        vms = _borrowing_all()
-        vms.cut('a', 'b')
+    def test_loans_of_disconnected_borrower_end_after_its_tasks(self) -> None:
+        """Guards against use of lent slots on which tasks may still run.
+
+        The lender cannot see the borrower's tasks after the stream is closed.
+        """
+        vms = _vms_with_loan()
+        vms.disconnect('a', 'b')
         vms.release(-1)
-        self.assertFalse(vms.take('a', X))
-        lasting_s = CFG.lease_s + CFG.max_task_s
-        for wait_s, free in ((lasting_s - 1, 0), (1, SLOTS * ENDPOINTS)):
+        self.assertFalse(vms.acquire_slot('a', X))
+        loan_end_s = CFG.lease_s + CFG.max_task_s
+        for wait_s, free in ((loan_end_s - 1, 0), (1, SLOTS * ENDPOINTS)):
             vms.now += wait_s
             vms.tick('b')
             self.assertEqual(free, vms.tables['b'].free_slots)
 
-    def test_borrower_starts_nothing_after_the_lease(self) -> None:
-        vms = _borrowing_all()
+    def test_borrower_starts_no_task_after_the_lease(self) -> None:
+        """Guards against tasks on slots that the lender uses again."""
+        vms = _vms_with_loan()
         vms.release(-1)
         vms.now += CFG.lease_s
-        self.assertFalse(vms.take('a', X))
+        self.assertFalse(vms.acquire_slot('a', X))
+
+    def test_short_backlog_sends_no_requests(self) -> None:
+        """Guards against requests for a backlog that has just started.
 
-    def test_short_backlog_that_ends_soon_asks_nobody(self) -> None:
-        """An old backlog must not make a new short one look lasting."""
+        Its age must not be counted from an earlier backlog that has ended.
+        """
         vms = Vms('ab', {X: 100})
         for _ in range(3):
             vms.report('a', x=1)
             vms.now += 1
         self.assertEqual(0, sum(vms.sent.values()))
 
-    def test_finds_the_only_part_of_a_small_limit(self) -> None:
-        """A customer that may hold one task may run it from any VM."""
+    def test_finds_the_only_share_of_a_small_limit(self) -> None:
+        """Guards against a limit of one that is usable only at one VM.
+
+        Only one VM has a share of the limit; the others must find it.
+        """
         for name in 'abcd':
             vms = Vms('abcd', {X: 1})
             for _ in range(8):
                 vms.report(name, x=1)
                 vms.now += CFG.min_backlog_age_s
                 vms.tick(name)
-                vms.settle()
-            self.assertTrue(vms.take(name, X), name)
+                vms.deliver_all()
+            self.assertTrue(vms.acquire_slot(name, X), name)
 
     def test_a_peer_cannot_return_more_than_it_has(self) -> None:
+        """Guards against negative loans after an excessive return."""
         vms = Vms('ab', {X: 100})
         vms.report('a', x=2)
         vms.now += CFG.min_backlog_age_s
         vms.report('a', x=2)
-        vms.settle()
-        self.assertEqual(2, vms.held(X))
+        vms.deliver_all()
+        self.assertEqual(2, vms.held_slots(X))
         lots = ((X, 'b0', 50), (Y, 'b1', 1))
         vms.links['a', 'b'].append(frames.SlotReturn(lots=lots))
-        vms.settle()
-        self.assertEqual(0, vms.held(X))
+        vms.deliver_all()
+        self.assertEqual(0, vms.held_slots(X))
         self.assertEqual(SLOTS * ENDPOINTS, vms.tables['b'].free_slots)
--- a/tests/process/test_listing.py
+++ b/tests/process/test_listing.py
@@ -1,4 +1,4 @@
-"""Lists of VMs are taken whole and newer, or not at all."""
+"""Tests of the VM list: only valid and newer lists are used."""
 
 import json
 import random
@@ -43,9 +43,9 @@
 
 
 class ListFollowerTest(testtools.TestCase):
-    """A lagging platform or a bad peer does not take the list back."""
+    """Guards against a stale platform or a faulty peer reverting the list."""
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_keeps_the_newest_list_through_lag_and_outage(self, client):
         target = make_follower(client)
         revisions = []
@@ -91,8 +91,8 @@
             (payload_of(1, vm_fields(state='dead')), 'vms.0.state'),
             (payload_of(-1), 'revision'),
         ):
-            refusal = listing.decode(payload).unwrap_err()
-            self.assertThat(refusal, matchers.Contains(expected))
+            error = listing.decode(payload).unwrap_err()
+            self.assertThat(error, matchers.Contains(expected))
             target = make_follower()
             target.offer(payload)
             self.assertThat(target.revision(), matchers.Equals(0))
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -1,4 +1,4 @@
-"""Entry processes of a deployment over loopback."""
+"""Tests of the peer protocol between entry processes over loopback."""
 
 import asyncio
 import contextlib
@@ -26,9 +26,10 @@
 
 HOST = '127.0.0.1'
 TIMEOUT_S = 60
-X = 'x'
+CUSTOMER = 'x'
 
-#: Only tests of silence shorten it, as a busy machine may stall a process.
+#: Heartbeat and peer timeouts keep their defaults, because a busy machine may
+#: stall a process; only tests of these timeouts shorten them.
 CFG = peers.Config(takeover_grace_s=0.2, tick_s=0.01)
 NEVER_S = 10_000
 
@@ -37,7 +38,7 @@
 
 
 class ShiftedClock(clock.SystemClock):
-    """System clock that a test can set forward."""
+    """System clock that a test can advance."""
 
     shift: float = 0
 
@@ -46,7 +47,7 @@
 
 
 class Process:
-    """One entry process, with its handler and what it gossips."""
+    """An entry process with its request handler and gossip."""
 
     def __init__(
         self,
@@ -55,11 +56,13 @@
         *,
         cfg: peers.Config = CFG,
         incarnation: str = '1',
-        cut: set[int] | None = None,
+        refused_ports: set[int] | None = None,
     ) -> None:
         self.name = name
         self.zone = zone
-        self.cut = cut if cut is not None else set()
+        self.refused_ports = (
+            refused_ports if refused_ports is not None else set()
+        )
         self.clock = ShiftedClock()
         self.table = slots.SlotTable()
         self.directory = directory.VmDirectory()
@@ -89,7 +92,7 @@
         )
 
     async def connect(self, host: str, port: int):
-        if port in self.cut:
+        if port in self.refused_ports:
             raise ConnectionRefusedError
         return await asyncio.open_connection(host, port)
 
@@ -104,15 +107,15 @@
 
     def free_for_backlog(self) -> int:
         backlog = demand.CustomerDemand(
-            customer=X, weight=1, waiting=200, running=0
+            customer=CUSTOMER, weight=1, waiting=200, running=0
         )
         self.peers.on_backlog(demand.Demand(customers=(backlog,)))
         now = self.clock.now()
-        return len(self.table.free_endpoints(customer=X, now=now))
+        return len(self.table.free_endpoints(customer=CUSTOMER, now=now))
 
     def peer_names(self) -> list[str]:
         state = json.dumps(self.peers.state(now=self.clock.now()))
-        return [each['vm'] for each in json.loads(state)['peers']]
+        return [peer['vm'] for peer in json.loads(state)['peers']]
 
     async def forward(self, to: str, incarnation: str, wait_s: float = 60):
         return await self.peers.forward(
@@ -123,15 +126,15 @@
         )
 
 
-async def eventually(holds: Callable[[], object]) -> None:
-    """Wait until it holds, for as long as the test may last."""
-    while not holds():
+async def eventually(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds; the test's timeout limits the wait."""
+    while not condition():
         await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
 async def running(*processes: Process) -> AsyncIterator[dict[str, int]]:
-    """Start processes that list each other; yield their ports."""
+    """Start processes with a common VM list; yield their ports by name."""
     ports = {}
     try:
         async with asyncio.timeout(TIMEOUT_S):
@@ -150,14 +153,14 @@
 
 
 def owned(*processes: Process) -> list[str]:
-    """Return all endpoints that the processes own, with repetitions."""
+    """Return all endpoints that the processes own, with duplicates."""
     return sorted(
         endpoint for process in processes for endpoint in process.table.owned
     )
 
 
 def share_all(*processes: Process) -> Callable[[], bool]:
-    """Return the check that each endpoint has one owner among these."""
+    """Return a check that every endpoint has one owner among ``processes``."""
 
     def check() -> bool:
         names = owned(*processes)
@@ -171,10 +174,10 @@
 
 
 class ZoneTest(testtools.TestCase):
-    """The processes of one zone share its endpoints."""
+    """The processes of one zone divide its endpoints among them."""
 
     @test_peer.asynchronous
-    async def test_vanished_process_is_replaced(self) -> None:
+    async def test_slots_of_an_unreachable_process_are_taken_over(self) -> None:
         one, two, three = _zone()
         async with running(one, two, three):
             counts: list[int] = []
@@ -186,7 +189,9 @@
             await eventually(lambda: counts[-1] == 2)
 
     @test_peer.asynchronous
-    async def test_goodbye_needs_no_grace(self) -> None:
+    async def test_goodbye_hands_over_slots_without_a_grace_period(
+        self,
+    ) -> None:
         one, two, three = _zone()
         async with running(one, two, three):
             await eventually(share_all(one, two, three))
@@ -215,7 +220,7 @@
             await new.peers.close()
 
     @test_peer.asynchronous
-    async def test_frozen_process_drops_what_it_owned(self) -> None:
+    async def test_stalled_process_drops_its_slots(self) -> None:
         one, two = _zone('ab')
         async with running(one, two):
             await eventually(share_all(one, two))
@@ -223,7 +228,10 @@
             one.clock.shift = CFG.stream.peer_silent_s
             now = one.clock.now()
             self.assertIs(
-                None, one.table.acquire(endpoint=endpoint, customer=X, now=now)
+                None,
+                one.table.acquire(
+                    endpoint=endpoint, customer=CUSTOMER, now=now
+                ),
             )
             one.peers.tick(now)
             self.assertEqual([], owned(one))
@@ -231,15 +239,15 @@
 
     @test_peer.asynchronous
     async def test_both_sides_of_a_partition_serve(self) -> None:
-        cut: set[int] = set()
-        one, two = _zone('ab', cut=cut)
+        refused_ports: set[int] = set()
+        one, two = _zone('ab', refused_ports=refused_ports)
         async with running(one, two) as ports:
             await eventually(share_all(one, two))
-            cut.update(ports.values())
-            one.peers._streams.abort_all('cut by the test')
+            refused_ports.update(ports.values())
+            one.peers._streams.abort_all('reset by the test')
             await eventually(share_all(one))
             await eventually(share_all(two))
-            cut.clear()
+            refused_ports.clear()
             await eventually(share_all(one, two))
 
     @test_peer.asynchronous
@@ -254,24 +262,24 @@
                 lambda: one.free_for_backlog() == test_views.ENDPOINTS
             )
             self.assertEqual(0, two.table.free_slots)
-            counted = two.metrics.counters()
-            self.assertIn('peer_frames_total{kind="SlotGrant"}', counted)
+            counters = two.metrics.counters()
+            self.assertIn('peer_frames_total{kind="SlotGrant"}', counters)
 
 
 class StreamsTest(testtools.TestCase):
-    """Streams fail and are opened again; what was asked is asked again."""
+    """Streams are reopened after failures, and pending forwards are resent."""
 
     @test_peer.asynchronous
-    async def test_forwards_are_asked_again_on_a_new_stream(self) -> None:
+    async def test_pending_forwards_are_resent_on_a_new_stream(self) -> None:
         one, two = _zone('ab')
         async with running(one, two):
             two.hold = asyncio.Event()
-            asked = asyncio.create_task(one.forward('b', '1'))
+            pending_reply = asyncio.create_task(one.forward('b', '1'))
             await eventually(lambda: two.handled)
-            one.peers._streams.abort_all('cut by the test')
+            one.peers._streams.abort_all('reset by the test')
             await eventually(lambda: len(two.handled) == 2)
             two.hold.set()
-            self.assertEqual(REPLIED, await asked)
+            self.assertEqual(REPLIED, await pending_reply)
 
     @test_peer.asynchronous
     async def test_opens_a_stream_for_a_forward(self) -> None:
@@ -285,25 +293,29 @@
     async def test_unreachable_until_the_deadline(self) -> None:
         one, two = _zone('ab')
         async with running(one, two) as ports:
-            one.cut.update(ports.values())
-            two.cut.update(ports.values())
-            one.peers._streams.abort_all('cut by the test')
+            one.refused_ports.update(ports.values())
+            two.refused_ports.update(ports.values())
+            one.peers._streams.abort_all('reset by the test')
             for to in ('b', 'unlisted'):
                 reply = await one.forward(to, '1', 0.2)
                 self.assertEqual(forwarding.Unreachable(), reply)
 
     @test_peer.asynchronous
     async def test_garbled_stream_changes_nothing(self) -> None:
-        """A View after garbage on the same stream must not be acted on."""
+        """Guards against handling a valid frame after a malformed one."""
         one = Process('a', 'z1')
         hello = frames.Hello(
             vm='x', incarnation='1', zone='z9', version=0, revision=0
         )
-        good = frames.encode(frames.Forward(number=1, payload=b'x')).unwrap()
+        valid_frame = frames.encode(
+            frames.Forward(number=1, payload=b'x')
+        ).unwrap()
         async with running(one) as ports:
-            for bad in (b'\x00\x00\x00\x01\xc1', b'\xff\xff\xff\xff'):
+            for malformed in (b'\x00\x00\x00\x01\xc1', b'\xff\xff\xff\xff'):
                 reader, writer = await asyncio.open_connection(HOST, ports['a'])
-                writer.write(frames.encode(hello).unwrap() + bad + good)
+                writer.write(
+                    frames.encode(hello).unwrap() + malformed + valid_frame
+                )
                 with contextlib.suppress(OSError):
                     await reader.read()
                 writer.close()
@@ -312,8 +324,11 @@
             self.assertEqual(test_views.ENDPOINTS, len(owned(one)))
 
     @test_peer.asynchronous
-    async def test_silent_stream_is_closed_and_opened_again(self) -> None:
-        """The far end says Hello and nothing more, on every stream."""
+    async def test_unresponsive_stream_is_closed_and_reopened(self) -> None:
+        """Guards against a stream to a hung peer that stays open.
+
+        The peer sends only Hello on every stream.
+        """
         cfg = dataclasses.replace(
             CFG, stream=peers.streams.Config(heartbeat_s=0.1, peer_silent_s=0.3)
         )
@@ -334,26 +349,28 @@
             entries = (('a', 'z1', 1), ('b', 'z1', port))
             one.directory.offer(test_views.listing(2, entries))
             await eventually(lambda: len(received) > 2)
-            beats = one.metrics.counters()
-            self.assertIn('peer_frames_total{kind="Heartbeat"}', beats)
+            counters = one.metrics.counters()
+            self.assertIn('peer_frames_total{kind="Heartbeat"}', counters)
         server.close()
 
     @test_peer.asynchronous
     async def test_newer_versions_spread(self) -> None:
-        processes = [Process(f'v{each}', f'z{each % 3}') for each in range(6)]
+        processes = [
+            Process(f'v{index}', f'z{index % 3}') for index in range(6)
+        ]
         async with running(*processes):
-            for each in processes:
-                await eventually(each.peer_names)
+            for process in processes:
+                await eventually(process.peer_names)
             processes[4].version = 7
             await eventually(lambda: {p.version for p in processes} == {7})
 
 
 class NeighborsTest(testtools.TestCase):
-    """Streams stay few at the target size, one for each pair."""
+    """Guards against too many streams, or two between the same VMs."""
 
     def test_one_end_opens_each_stream(self) -> None:
         entries = tuple(
-            (f'vm-{each}', f'zone-{each % 13}', 1) for each in range(104)
+            (f'vm-{index}', f'zone-{index % 13}', 1) for index in range(104)
         )
         listing = test_views.listing(1, entries)
         chosen = {
--- a/tests/process/test_platform_http.py
+++ b/tests/process/test_platform_http.py
@@ -1,4 +1,4 @@
-"""Errors of the platform's client say truly what may have happened."""
+"""Tests of the platform client, and of the kinds of its errors."""
 
 import asyncio
 import json
@@ -43,16 +43,16 @@
 
 
 async def error_kind(answer, call, timeout_s=20):
-    """Return the error's kind when the platform sends ``answer``.
+    """Return the kind of the error when the platform sends ``answer``.
 
-    ``None`` for an answer means that the platform stays silent.
+    If ``answer`` is None, the platform does not respond at all.
     """
-    ended = asyncio.Event()
+    finished = asyncio.Event()
 
     async def serve(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
         if answer is None:
-            await ended.wait()
+            await finished.wait()
         writer.write(answer or b'')
         writer.close()
 
@@ -63,17 +63,17 @@
             session=session, host='127.0.0.1', port=port, timeout_s=timeout_s
         )
         outcome = await call(client)
-        ended.set()
+        finished.set()
         return outcome.unwrap_err().kind
 
 
 class ErrorKindTest(testtools.TestCase):
-    """Only what certainly had no effect is reported so."""
+    """Guards against a write reported as without effect that may have one."""
 
     def expect(self, kind, call, *answers, **options):
         for answer in answers:
-            found = asyncio.run(error_kind(answer, call, **options))
-            self.assertThat((answer, found), matchers.Equals((answer, kind)))
+            actual = asyncio.run(error_kind(answer, call, **options))
+            self.assertThat((answer, actual), matchers.Equals((answer, kind)))
 
     def test_refused_connections_had_no_effect(self):
         async def act(client):
@@ -108,7 +108,7 @@
         ):
             self.expect(kind, write, http_answer(b'', status))
 
-    def test_reads_tell_an_outage_from_a_bad_answer(self):
+    def test_reads_distinguish_an_outage_from_a_malformed_answer(self):
         self.expect(
             UNAVAILABLE,
             read,
@@ -134,7 +134,7 @@
             page([], more=1),
         )
 
-    def test_refuses_bad_lists_and_oversized_objects(self):
+    def test_rejects_malformed_lists_and_oversized_objects(self):
         self.expect(
             INVALID,
             list_vms,
@@ -147,9 +147,9 @@
 
 
 class RoundTripTest(testtools.TestCase):
-    """The client and the stand-in agree on what is read and written."""
+    """The client reads back what it wrote to the platform stand-in."""
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_reads_pages_in_order_and_after_a_key(self, client):
         for number in range(3):
             large = store.Write(key=f'a/{number}', body=bytes(700_000))
@@ -161,14 +161,14 @@
         rows = (await client.read_rows('a/')).unwrap()
         rest = (await client.read_rows('a/', after='a/1')).unwrap()
         other = (await client.read_rows('b', strict=True)).unwrap()
-        keys = [found.key for found in rows + rest]
+        keys = [returned.key for returned in rows + rest]
         self.assertThat(keys, matchers.Equals(['a/0', 'a/1', 'a/2', 'a/2']))
         self.assertThat(other[0].revision, matchers.Equals(3))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_objects_and_unchanged_lists(self, client):
-        found = [await get(client), await put(client), await get(client)]
-        bodies = [outcome.unwrap() for outcome in found]
+        outcomes = [await get(client), await put(client), await get(client)]
+        bodies = [outcome.unwrap() for outcome in outcomes]
         self.assertThat(bodies, matchers.Equals([None, None, b'1']))
         lists = [await list_vms(client), await list_vms(client)]
         self.assertThat(lists[0].unwrap(), matchers.Is(lists[1].unwrap()))
--- a/tests/process/test_settings.py
+++ b/tests/process/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, with one sentence for each error."""
+"""Tests of the settings: validation and error messages."""
 
 import json
 
@@ -23,12 +23,12 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """Wrong settings stop the program before a port opens."""
+    """Guards against a start with invalid settings."""
 
     def test_accepts_valid_settings(self) -> None:
         self.assertThat(parse_with().unwrap().vm, matchers.Equals('entry-1'))
 
-    def test_each_error_is_one_sentence_with_the_place(self) -> None:
+    def test_error_is_one_sentence_with_the_location(self) -> None:
         for changes, expected in (
             ({'zon': 'x'}, "zon: unknown key, found 'x'."),
             ({'size': '2'}, 'size: Input should be a valid integer'),
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -1,4 +1,4 @@
-"""Slot table: what is taken, held and free."""
+"""Slot table, and division of concurrency limits."""
 
 import hypothesis
 import testtools
@@ -16,82 +16,92 @@
 
 
 class SlotTableTest(testtools.TestCase):
-    """A slot is used once at a time and within the holding limit."""
+    """A slot runs one task at a time, within the concurrency limits."""
 
     def setUp(self) -> None:
-        """Own three slots at two endpoints."""
+        """Create a table that owns three slots at two endpoints."""
         super().setUp()
         self.table = slots.SlotTable()
         self.table.set_owned({E1: 2, E2: 1})
 
-    def take(
+    def acquire(
         self, endpoint: ids.EndpointId, customer: ids.CustomerId = X
     ) -> slots.Ticket | None:
         return self.table.acquire(endpoint=endpoint, customer=customer, now=0)
 
-    def free(self, customer: ids.CustomerId = X) -> set[str]:
+    def free_endpoints(self, customer: ids.CustomerId = X) -> set[str]:
         return set(self.table.free_endpoints(customer=customer, now=0))
 
-    def test_takes_each_slot_once(self) -> None:
-        tickets = [self.take(E1), self.take(E1), self.take(E1)]
+    def test_acquires_each_slot_once(self) -> None:
+        """Guards against two tasks on one slot."""
+        tickets = [self.acquire(E1), self.acquire(E1), self.acquire(E1)]
         self.assertIs(None, tickets[2])
-        self.assertEqual({E2}, self.free())
+        self.assertEqual({E2}, self.free_endpoints())
 
     def test_second_release_frees_nothing(self) -> None:
-        """A ticket released twice must not free another task's slot."""
-        first = self.take(E1)
-        self.take(E1)
+        """Guards against a second release that frees another task's slot."""
+        ticket = self.acquire(E1)
+        self.acquire(E1)
         for _ in range(2):
-            self.table.release(ticket=first, now=0)
+            self.table.release(ticket=ticket, now=0)
         self.assertEqual(2, self.table.free_slots)
 
-    def test_holds_each_customer_to_its_limit(self) -> None:
+    def test_limits_each_customer(self) -> None:
+        """Guards against exceeding a limit, and use of slots without one."""
         self.table.set_concurrency_limits({X: 1})
-        self.assertIsNot(None, self.take(E1))
-        self.assertEqual(0, len(self.free(X)))
-        self.assertIs(None, self.take(E2))
-        self.assertEqual(0, len(self.free(Y)))
+        self.assertIsNot(None, self.acquire(E1))
+        self.assertEqual(0, len(self.free_endpoints(X)))
+        self.assertIs(None, self.acquire(E2))
+        self.assertEqual(0, len(self.free_endpoints(Y)))
         self.table.set_concurrency_limits({X: 1, Y: 1})
-        self.assertEqual({E1, E2}, self.free(Y))
+        self.assertEqual({E1, E2}, self.free_endpoints(Y))
 
     def test_loans_count_against_the_limit(self) -> None:
+        """Guards against exceeding a limit by lending slots."""
         self.table.set_concurrency_limits({X: 2})
-        self.take(E1)
+        self.acquire(E1)
         self.assertEqual(1, sum(self.table.lend(X, 5).values()))
-        self.assertIs(None, self.take(E2))
+        self.assertIs(None, self.acquire(E2))
 
-    def test_slot_given_up_in_use_comes_back_used(self) -> None:
-        """A view that takes an endpoint and returns it resets no counts."""
-        ticket = self.take(E2)
+    def test_slot_released_in_use_is_still_used_when_owned_again(self) -> None:
+        """Guards against use counts that are lost with the ownership.
+
+        A view removes an endpoint with a running task and a later view
+        returns it.
+        """
+        ticket = self.acquire(E2)
         self.table.set_owned({E1: 2})
         self.table.set_owned({E1: 2, E2: 1})
-        self.assertEqual({E1}, self.free())
+        self.assertEqual({E1}, self.free_endpoints())
         self.table.release(ticket=ticket, now=0)
-        self.assertEqual({E1, E2}, self.free())
+        self.assertEqual({E1, E2}, self.free_endpoints())
 
-    def test_starts_nothing_when_ownership_may_have_passed(self) -> None:
+    def test_starts_nothing_after_the_ownership_has_expired(self) -> None:
+        """Guards against use of slots that another VM may own by now."""
         self.table.set_valid_until(0)
-        self.assertEqual(0, len(self.free()))
-        self.assertIs(None, self.take(E1))
+        self.assertEqual(0, len(self.free_endpoints()))
+        self.assertIs(None, self.acquire(E1))
 
-    def test_tells_of_slots_that_come_otherwise_than_by_release(self) -> None:
-        told: list[None] = []
-        self.table.changed.subscribe(told.append)
+    def test_change_of_slots_or_limits_is_emitted(self) -> None:
+        """Guards against tasks that wait although slots became available."""
+        notifications: list[None] = []
+        self.table.changed.subscribe(notifications.append)
         self.table.set_owned({E1: 3})
         self.table.set_concurrency_limits({X: 1})
-        self.assertEqual(2, len(told))
+        self.assertEqual(2, len(notifications))
 
     def test_uses_borrowed_slots_of_its_customer_only(self) -> None:
+        """Guards against use of slots that were lent for other customers."""
         self.table.set_owned({})
         lent = 'e3'
         self.table.borrowed.extend_lease('b', 1)
         self.table.borrowed.add(lender='b', lots=[(X, lent, 1)], now=0)
-        self.assertEqual(0, len(self.free(Y)))
-        self.assertEqual({lent}, self.free(X))
-        ticket = self.take(lent)
-        self.assertEqual(0, len(self.free(X)))
+        self.assertEqual(0, len(self.free_endpoints(Y)))
+        self.assertEqual({lent}, self.free_endpoints(X))
+        ticket = self.acquire(lent)
+        self.assertEqual(0, len(self.free_endpoints(X)))
         self.table.release(ticket=ticket, now=0)
-        self.assertEqual({lent}, self.free(X))
+        self.assertEqual({lent}, self.free_endpoints(X))
 
 
 _weights = strategies.dictionaries(
@@ -100,17 +110,17 @@
 
 
 class DivisionTest(testtools.TestCase):
-    """Parts of a limit add up to it exactly in every view."""
+    """The shares of a limit add up to it exactly."""
 
     @examples.settings()
     @hypothesis.given(total=strategies.integers(0, 10_000), weights=_weights)
     def test_divides_exactly(self, total: int, weights: dict[str, int]) -> None:
-        parts = rendezvous.divide(total, weights, 'key')
-        whole = sum(weights.values())
-        self.assertEqual(total if whole else 0, sum(parts.values()))
-        for node, part in parts.items():
-            fair = total * weights[node] / whole if whole else 0
-            self.assertThat(abs(part - fair), matchers.LessThan(1))
+        shares = rendezvous.divide(total, weights, 'key')
+        weight_sum = sum(weights.values())
+        self.assertEqual(total if weight_sum else 0, sum(shares.values()))
+        for node, share in shares.items():
+            fair = total * weights[node] / weight_sum if weight_sum else 0
+            self.assertThat(abs(share - fair), matchers.LessThan(1))
 
     @examples.settings()
     @hypothesis.given(
@@ -123,28 +133,31 @@
             max_size=4,
         ),
     )
-    def test_parts_of_all_vms_add_up_to_the_limit(
+    def test_shares_of_all_vms_add_up_to_the_limit(
         self, limit: int, zones: list[list[int]]
     ) -> None:
         zone_slots = {
             f'z{zone}': sum(owned) for zone, owned in enumerate(zones)
         }
-        parts = [
+        shares = [
             views.LimitDivision(
                 vm=f'v{vm}',
                 zone=f'z{zone}',
                 zone_slots=zone_slots,
                 vm_slots={
-                    f'v{each}': count for each, count in enumerate(owned)
+                    f'v{index}': count for index, count in enumerate(owned)
                 },
             ).limit_share(X, limit)
             for zone, owned in enumerate(zones)
             for vm, _ in enumerate(owned)
         ]
-        self.assertEqual(limit, sum(parts))
+        self.assertEqual(limit, sum(shares))
+
+    def test_assigns_by_size_and_moves_few_keys(self) -> None:
+        """Guards against needless moves of endpoints when a VM disappears.
 
-    def test_assigns_by_size_and_moves_only_what_it_must(self) -> None:
-        """A vanished VM's endpoints move; the others stay where they are."""
+        Only the keys of the removed VM get another owner.
+        """
         sizes = {'a': 1.0, 'b': 2.0, 'c': 1.0}
         keys = [f'endpoint-{number}' for number in range(4000)]
         before = [rendezvous.winner(key, sizes) for key in keys]
--- a/tests/process/test_views.py
+++ b/tests/process/test_views.py
@@ -1,4 +1,4 @@
-"""Views: no slot has two owners while the zone is whole."""
+"""Membership views, and the ownership of slots that follows from them."""
 
 import collections
 import dataclasses
@@ -51,14 +51,14 @@
 
 
 class Zone:
-    """Members whose messages wait until the test delivers them."""
+    """Members of a zone; the test delivers their announcements."""
 
     def __init__(self, names: str) -> None:
         self.now: float = 0
         self.links: dict[tuple[str, str], collections.deque] = {}
         self.views: dict[str, views.MembershipViews] = {}
         self.tables: dict[str, slots.SlotTable] = {}
-        self.owners: dict[str, ownership.SlotOwnership] = {}
+        self.ownerships: dict[str, ownership.SlotOwnership] = {}
         for name in names:
             view = views.MembershipViews(
                 vm=name, incarnation='1', zone=ZONE, grace_s=GRACE_S
@@ -66,48 +66,54 @@
             table = slots.SlotTable()
             self.views[name] = view
             self.tables[name] = table
-            self.owners[name] = ownership.SlotOwnership(
+            self.ownerships[name] = ownership.SlotOwnership(
                 views=view, table=table, drain_s=DRAIN_S
             )
         for link in itertools.permutations(names, 2):
             self.connect(*link)
 
-    def connect(self, one: str, other: str) -> None:
-        self.links[one, other] = collections.deque()
-        self.views[one].add_peer(other, '1')
-
-    def cut(self, one: str, other: str) -> None:
-        for here, there in ((one, other), (other, one)):
-            self.links[here, there].clear()
-            self.views[here].remove_peer(there, self.now)
-
-    def review(self, name: str) -> None:
-        for to, view in self.owners[name].update(self.now):
-            self.links[name, to].append(view)
-
-    def deliver(self, one: str, other: str) -> bool:
-        link = self.links.get((one, other))
+    def connect(self, vm: str, peer: str) -> None:
+        """Open a stream in one direction."""
+        self.links[vm, peer] = collections.deque()
+        self.views[vm].add_peer(peer, '1')
+
+    def disconnect(self, vm: str, peer: str) -> None:
+        """Close the streams in both directions and drop their frames."""
+        for sender, receiver in ((vm, peer), (peer, vm)):
+            self.links[sender, receiver].clear()
+            self.views[sender].remove_peer(receiver, self.now)
+
+    def update(self, name: str) -> None:
+        """Update the ownership of a member and queue its announcements."""
+        for receiver, view in self.ownerships[name].update(self.now):
+            self.links[name, receiver].append(view)
+
+    def deliver(self, sender: str, receiver: str) -> bool:
+        """Deliver the oldest announcement; return whether there was one."""
+        link = self.links.get((sender, receiver))
         if not link:
             return False
-        self.views[other].handle_frame(one, link.popleft())
-        self.review(other)
+        self.views[receiver].handle_frame(sender, link.popleft())
+        self.update(receiver)
         return True
 
-    def settle(self) -> None:
+    def deliver_all(self) -> None:
         for name in self.views:
-            self.review(name)
+            self.update(name)
         while any([self.deliver(*link) for link in list(self.links)]):
             for name in self.views:
-                self.review(name)
+                self.update(name)
 
-    def use(self, revision: int, entries: str, names: str) -> None:
+    def set_listing(self, revision: int, entries: str, names: str) -> None:
+        """Set a VM list with the given entry VMs at the members ``names``."""
         for name in names:
             vms = tuple((entry, ZONE, 1) for entry in entries)
             self.views[name].set_listing(listing(revision, vms))
 
-    def leave_for(self, entries: str, name: str) -> None:
-        self.use(3, entries, name)
-        self.review(name)
+    def announce_listing(self, entries: str, name: str) -> None:
+        """Set a VM list at one member; deliver its views to ``b``, ``c``."""
+        self.set_listing(3, entries, name)
+        self.update(name)
         self.deliver(name, 'b')
         self.deliver(name, 'c')
 
@@ -115,16 +121,17 @@
         return set(self.tables[name].owned)
 
 
-def _whole_zone(entries: str = 'abc') -> Zone:
+def _confirmed_zone(entries: str = 'abc') -> Zone:
+    """Return a zone in which all members have confirmed the same view."""
     zone = Zone(entries)
-    zone.use(1, entries, entries)
+    zone.set_listing(1, entries, entries)
     zone.now = GRACE_S
-    zone.settle()
+    zone.deliver_all()
     return zone
 
 
 class ViewsTest(testtools.TestCase):
-    """Each endpoint has at most one owner, and in the end one."""
+    """An endpoint has at most one owner, and one once all members agree."""
 
     def assert_no_overlap(self, zone: Zone) -> None:
         owners = collections.Counter(
@@ -142,121 +149,144 @@
     def test_disagreeing_members_never_share_an_endpoint(
         self, data: strategies.DataObject
     ) -> None:
-        zone = _whole_zone()
+        """Guards against two owners of an endpoint.
+
+        Members get different VM lists, stall, and receive announcements late
+        in any order.
+        """
+        zone = _confirmed_zone()
         names = strategies.sampled_from('abc')
         links = strategies.sampled_from(list(zone.links))
         lists = strategies.sampled_from(('abc', 'ab', 'bc', 'ac', 'a', 'b'))
         for step in range(data.draw(strategies.integers(1, 40))):
             match data.draw(strategies.sampled_from('lfttdddddd')):
                 case 'l':
-                    zone.use(step + 2, data.draw(lists), data.draw(names))
+                    zone.set_listing(
+                        step + 2, data.draw(lists), data.draw(names)
+                    )
                 case 'f':
-                    zone.owners[data.draw(names)].drop_owned()
+                    zone.ownerships[data.draw(names)].drop_owned()
                 case 't':
-                    zone.review(data.draw(names))
+                    zone.update(data.draw(names))
                 case _:
                     zone.deliver(*data.draw(links))
             self.assert_no_overlap(zone)
-        zone.use(1000, 'abc', 'abc')
+        zone.set_listing(1000, 'abc', 'abc')
         zone.now += GRACE_S
-        zone.settle()
+        zone.deliver_all()
         self.assert_all_owned(zone, 'abc')
 
-    def test_statements_under_way_confirm_nothing(self) -> None:
-        """A returns to its old view before it hears that B and C left it."""
-        zone = _whole_zone()
-        zone.use(2, 'ab', 'abc')
-        zone.settle()
+    def test_announcements_in_transit_confirm_nothing(self) -> None:
+        """Guards against two owners after outdated confirmations.
+
+        A returns to its previous view before it receives the announcements by
+        which B and C have left that view.
+        """
+        zone = _confirmed_zone()
+        zone.set_listing(2, 'ab', 'abc')
+        zone.deliver_all()
         for name in 'acb':
-            zone.leave_for('bc', name)
+            zone.announce_listing('bc', name)
         zone.deliver('c', 'b')
-        zone.use(4, 'ab', 'a')
-        zone.review('a')
+        zone.set_listing(4, 'ab', 'a')
+        zone.update('a')
         self.assert_no_overlap(zone)
 
     def test_owns_nothing_until_confirmed(self) -> None:
+        """Guards against use of slots before the peers have agreed."""
         zone = Zone('ab')
-        zone.use(1, 'ab', 'ab')
-        zone.review('a')
+        zone.set_listing(1, 'ab', 'ab')
+        zone.update('a')
         self.assertEqual(0, len(zone.owned('a')))
-        zone.settle()
+        zone.deliver_all()
         self.assert_all_owned(zone, 'ab')
 
-    def test_a_vm_alone_serves_alone(self) -> None:
-        zone = _whole_zone('a')
+    def test_single_vm_owns_all_endpoints(self) -> None:
+        """Guards against a single entry VM that waits for confirmations."""
+        zone = _confirmed_zone('a')
         self.assert_all_owned(zone, 'a')
 
-    def test_vanished_member_is_replaced_after_the_grace(self) -> None:
-        zone = _whole_zone()
-        kept = zone.owned('a')
+    def test_unreachable_member_is_replaced_after_the_grace(self) -> None:
+        """Guards against endpoints without owner, and against two owners.
+
+        A lost member may still use its slots during the grace period.
+        """
+        zone = _confirmed_zone()
+        owned_before = zone.owned('a')
         for other in 'ab':
-            zone.cut('c', other)
+            zone.disconnect('c', other)
         for wait_s in (0, GRACE_S - 0.1):
             zone.now += wait_s
-            zone.settle()
-            self.assertEqual(kept, zone.owned('a'))
+            zone.deliver_all()
+            self.assertEqual(owned_before, zone.owned('a'))
         zone.now += 0.1
-        zone.settle()
-        both = sorted(zone.owned('a')) + sorted(zone.owned('b'))
-        self.assertEqual(12, len(set(both)))
-        self.assertEqual(12, len(both))
-
-    def test_goodbye_hands_over_without_the_grace(self) -> None:
-        zone = _whole_zone()
-        zone.owners['c'].leave()
+        zone.deliver_all()
+        endpoints = sorted(zone.owned('a')) + sorted(zone.owned('b'))
+        self.assertEqual(12, len(set(endpoints)))
+        self.assertEqual(12, len(endpoints))
+
+    def test_endpoints_of_a_leaving_member_move_without_the_grace(self) -> None:
+        """Guards against idle endpoints after an orderly shutdown."""
+        zone = _confirmed_zone()
+        zone.ownerships['c'].leave()
         for other in 'ab':
             zone.views[other].handle_frame('c', views.frames.Goodbye())
             zone.links['c', other].clear()
-        zone.settle()
+        zone.deliver_all()
         self.assert_all_owned(zone, 'ab')
         for other in 'ab':
-            zone.cut('c', other)
-        zone.settle()
+            zone.disconnect('c', other)
+        zone.deliver_all()
         self.assert_all_owned(zone, 'ab')
 
-    def test_frozen_member_owns_nothing_until_confirmed_again(self) -> None:
-        zone = _whole_zone()
+    def test_stalled_member_owns_nothing_until_confirmed_again(self) -> None:
+        """Guards against use of slots that moved while a member stalled."""
+        zone = _confirmed_zone()
         before = zone.owned('b')
-        zone.owners['b'].drop_owned()
+        zone.ownerships['b'].drop_owned()
         self.assertEqual(0, len(zone.owned('b')))
-        zone.use(2, 'b', 'b')
-        zone.review('b')
+        zone.set_listing(2, 'b', 'b')
+        zone.update('b')
         self.assertEqual(0, len(zone.owned('b')))
-        zone.use(3, 'abc', 'b')
-        zone.settle()
+        zone.set_listing(3, 'abc', 'b')
+        zone.deliver_all()
         self.assertEqual(before, zone.owned('b'))
 
-    def test_both_sides_of_a_partition_serve(self) -> None:
-        zone = _whole_zone()
+    def test_both_sides_of_a_partition_own_all_endpoints(self) -> None:
+        """Guards against endpoints without owner during a partition.
+
+        After the partition, every endpoint has one owner again.
+        """
+        zone = _confirmed_zone()
         for other in 'ab':
-            zone.cut('c', other)
+            zone.disconnect('c', other)
         zone.now += GRACE_S
-        zone.settle()
-        self.assert_both_serve(zone)
+        zone.deliver_all()
+        self.assert_both_sides_own_all(zone)
         for other in 'ab':
             zone.connect('c', other)
             zone.connect(other, 'c')
-        zone.settle()
+        zone.deliver_all()
         self.assert_all_owned(zone, 'abc')
 
-    def assert_both_serve(self, zone: Zone) -> None:
+    def assert_both_sides_own_all(self, zone: Zone) -> None:
         self.assertEqual(12, len(zone.owned('c')))
         self.assertEqual(12, len(zone.owned('a') | zone.owned('b')))
 
     def test_waits_for_tasks_on_slots_that_move(self) -> None:
-        """A new member must not use a slot on which a task still runs."""
-        zone = _whole_zone('ab')
+        """Guards against a new owner that uses a slot with a running task."""
+        zone = _confirmed_zone('ab')
         table = zone.tables['a']
         tickets = [
             table.acquire(endpoint=endpoint, customer='x', now=0)
             for endpoint in zone.owned('a')
         ]
-        zone.use(2, 'b', 'ab')
-        zone.settle()
+        zone.set_listing(2, 'b', 'ab')
+        zone.deliver_all()
         self.assertEqual(0, len(zone.owned('a')))
         before = zone.owned('b')
         self.assertThat(len(before), matchers.LessThan(12))
         for ticket in tickets:
             table.release(ticket=ticket, now=0)
-        zone.settle()
+        zone.deliver_all()
         self.assertEqual(12, len(zone.owned('b')))
--- a/tests/request/test_admission.py
+++ b/tests/request/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: the contract's rate, queue, sizes and deadlines."""
+"""Tests of the limits that admission control takes from the contracts."""
 
 import json
 from typing import Any
@@ -9,8 +9,8 @@
 from tests.request import test_submissions as fakes
 
 
-class AdmissionCase(testtools.TestCase):
-    """Helpers around one customer's contract."""
+class AdmissionTestCase(testtools.TestCase):
+    """Base class with an admission control for one contract."""
 
     def make(self, **terms: Any) -> None:
         self.admission = admission.Admission()
@@ -35,38 +35,40 @@
         return admitted.err_value.code if admitted.is_err() else None
 
 
-class RateTest(AdmissionCase):
-    """The token bucket, divided among the live VMs."""
+class RateTest(AdmissionTestCase):
+    """Tests of the token bucket, whose rate is divided by the live VMs."""
 
     def test_burst_then_rate(self) -> None:
+        """Guards against a rate or burst that ignores the number of VMs."""
         self.make(submit_per_s=10.0, submit_burst=20)
         self.admission.set_live_vms(2)
         codes = [self.code() for _ in range(11)]
         self.assertEqual([None, 'rate_limited'], codes[9:])
-        refused = self.admit().err_value
-        self.assertEqual(0.2, refused.retry_after_s)
+        refusal = self.admit().err_value
+        self.assertEqual(0.2, refusal.retry_after_s)
         self.assertIs(self.code(now=0.2), None)
         self.assertEqual('rate_limited', self.code(now=0.2))
 
-    def test_largest_job_is_admissible_and_paid_for(self) -> None:
-        """Guards against jobs larger than the burst that never fit."""
+    def test_job_larger_than_burst_is_admitted_and_charged(self) -> None:
+        """Guards against jobs larger than the burst that are never admitted."""
         self.make(submit_per_s=100.0, submit_burst=10)
         self.assertIs(self.code(tasks=1700), None)
         self.assertEqual('rate_limited', self.code(now=16))
         self.assertIs(self.code(tasks=1700, now=17), None)
 
-    def test_new_version_keeps_the_debt(self) -> None:
-        """Guards against a full burst after each change of contracts."""
+    def test_new_version_keeps_the_token_count(self) -> None:
+        """Guards against a bucket that every new version fills up."""
         self.make(submit_per_s=1.0, submit_burst=1)
         self.code()
         self.admission.set_version(fakes.make_version(submit_burst=50))
         self.assertEqual('rate_limited', self.code())
 
 
-class BoundsTest(AdmissionCase):
-    """Queue, job size, deadlines and credentials."""
+class BoundsTest(AdmissionTestCase):
+    """Tests of the queue, job size and deadline limits and of credentials."""
 
-    def test_queue(self) -> None:
+    def test_queue_limit(self) -> None:
+        """Guards against a job above the limit that an empty queue refuses."""
         self.make(queue=5)
         self.assertIs(self.code(tasks=2, waiting=3), None)
         self.assertEqual('queue_full', self.code(tasks=3, waiting=3))
@@ -80,7 +82,7 @@
         self.make(max_deadline_ms=10)
         self.assertEqual('deadline_too_long', self.code(deadline_ms=11))
 
-    def test_nothing_without_version_contract_or_while_draining(self) -> None:
+    def test_refuses_while_draining_and_without_version(self) -> None:
         self.make()
         self.admission.drain()
         self.assertEqual('shutting_down', self.code())
@@ -88,7 +90,8 @@
         self.admission.set_version(None)
         self.assertEqual('not_ready', self.code())
 
-    def test_credential_opens_the_contract_with_its_hash(self) -> None:
+    def test_credential_selects_the_contract_with_its_hash(self) -> None:
+        """Guards against a wrong customer and failures on lone surrogates."""
         self.make()
         for credential, expected in (
             ('warm-credential', fakes.WARM),
@@ -96,5 +99,7 @@
             ('', None),
             ('\udcff', None),
         ):
-            found = self.admission.authenticate(credential=credential).ok()
-            self.assertEqual(expected, found)
+            authenticated = self.admission.authenticate(
+                credential=credential
+            ).ok()
+            self.assertEqual(expected, authenticated)
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A job at the VM that accepted it, with owners that a test plays."""
+"""Tests of the coordinator with simulated shard leaders."""
 
 import asyncio
 from typing import Any, Callable, Coroutine
@@ -18,7 +18,7 @@
 
 
 class Rig:
-    """A coordinator and the links to the owners of two cells."""
+    """A coordinator with links to the leaders of two shards."""
 
     def __init__(self, count: int = 2) -> None:
         self.clock = virtual_time.LoopClock()
@@ -28,10 +28,10 @@
         }
         step = jobs.Step(
             count=count,
-            resources=shard_samples.usual_work('', 1).resources,
+            resources=shard_samples.typical_work('', 1).resources,
             estimate_s=0.3,
         )
-        self.tested = coordinator.Coordinator(
+        self.coordinator = coordinator.Coordinator(
             job=samples.make_job(steps=(step,)),
             route=samples.ROUTE,
             router=self,
@@ -39,7 +39,7 @@
             arrived_at=self.clock.now(),
             deadline=self.clock.now() + 2,
         )
-        self.outcome = asyncio.create_task(self.tested.run())
+        self.outcome = asyncio.create_task(self.coordinator.run())
 
     def default_shard(self) -> ids.ShardId | None:
         return HOME if HOME in self.links else None
@@ -54,32 +54,35 @@
             if isinstance(message, messages.Submit)
         ]
 
-    async def end(self, index: int, how: str = 'done', run: int = 1) -> None:
-        self.tested.post(
-            messages.Ended(
+    async def end(self, index: int, result: str = 'done', run: int = 1) -> None:
+        self.coordinator.post(
+            messages.RunEnded(
                 shard=HOME,
-                job=self.tested.job.job_id,
+                job=self.coordinator.job.job_id,
                 step=0,
                 index=index,
                 run=run,
-                how=how,
+                result=result,
                 stored=False,
             )
         )
         await asyncio.sleep(0.001)
 
     async def decline(
-        self, *indices: int, shard: ids.ShardId = HOME, other: str = ''
+        self,
+        *indices: int,
+        shard: ids.ShardId = HOME,
+        suggested_shard: str = '',
     ) -> None:
-        self.tested.post(
+        self.coordinator.post(
             messages.Declined(
                 shard=shard,
-                job=self.tested.job.job_id,
+                job=self.coordinator.job.job_id,
                 step=0,
                 indices=indices,
-                other=other,
+                suggested_shard=suggested_shard,
                 cause='no room in time',
-                retry_s=1.0,
+                retry_after_s=1.0,
                 stored=False,
             )
         )
@@ -87,11 +90,13 @@
 
     async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.tested.post(open_tasks.LeaderLost(shard=HOME, former_leader=lost))
+        self.coordinator.post(
+            open_tasks.LeaderLost(shard=HOME, former_leader=lost)
+        )
         await asyncio.sleep(0.001)
 
 
-def with_rig(scenario: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(scenario: Callable[[Rig], Coroutine[Any, Any, None]]) -> None:
     async def main() -> None:
         rig = Rig()
         await asyncio.sleep(0.001)
@@ -102,7 +107,7 @@
 
 class TestOutcomes(testtools.TestCase):
     def test_job_completes_when_all_tasks_have_ended(self) -> None:
-        """Guards against answers before the last task."""
+        """Guards against an answer before the last task has ended."""
 
         async def scenario(rig: Rig) -> None:
             await rig.end(0)
@@ -110,29 +115,29 @@
             await rig.end(1)
             self.assertEqual(jobs.Completed(), await rig.outcome)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
-    def test_declined_job_was_not_run(self) -> None:
-        """Guards against a client that must wait to learn of a refusal."""
+    def test_declined_job_ends_as_not_run(self) -> None:
+        """Guards against a refusal that is reported only at the deadline."""
 
         async def scenario(rig: Rig) -> None:
             await rig.decline(0, 1)
             self.assertIsInstance(await rig.outcome, jobs.NotRun)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
-    def test_job_that_may_have_run_is_never_said_not_to_have(self) -> None:
-        """Guards against a false refusal."""
+    def test_partly_run_job_is_not_reported_as_not_run(self) -> None:
+        """Guards against "not run" for a job of which a task has ended."""
 
         async def scenario(rig: Rig) -> None:
             await rig.end(0)
             await rig.decline(1)
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
     def test_task_that_fails_too_often_fails_the_job(self) -> None:
-        """Guards against endless attempts."""
+        """Guards against retries beyond the route's maximum of attempts."""
 
         async def scenario(rig: Rig) -> None:
             await rig.end(0, 'failed')
@@ -140,82 +145,84 @@
             await rig.end(0, 'failed', run=2)
             self.assertIsInstance(await rig.outcome, jobs.Failed)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
     def test_deadline_ends_the_job_and_withdraws_it(self) -> None:
-        """Guards against work on after the client has stopped waiting."""
+        """Guards against tasks that run on after the client's deadline."""
 
         async def scenario(rig: Rig) -> None:
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
             self.assertIsInstance(rig.links[HOME].sent[-1], messages.Withdraw)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
     def test_stalled_process_ends_its_jobs(self) -> None:
-        """Guards against answers on what others may have taken over."""
+        """Guards against answers for jobs whose tasks others took over."""
 
         async def scenario(rig: Rig) -> None:
-            rig.tested.post(coordinator.Stalled())
+            rig.coordinator.post(coordinator.Stalled())
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
 
 class TestMoves(testtools.TestCase):
-    def test_declined_tasks_go_where_there_is_room(self) -> None:
-        """Guards against a refusal while another cell is idle."""
+    def test_declined_tasks_move_to_the_suggested_shard(self) -> None:
+        """Guards against a refusal while another shard is idle."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.decline(1, other=OTHER)
-            moved = rig.submitted(OTHER)[0]
-            self.assertEqual(((1, 1),), moved.tasks)
-            self.assertTrue(moved.firm)
+            await rig.decline(1, suggested_shard=OTHER)
+            submitted = rig.submitted(OTHER)[0]
+            self.assertEqual(((1, 1),), submitted.tasks)
+            self.assertTrue(submitted.pinned)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
-    def test_moved_tasks_say_that_the_job_has_begun(self) -> None:
-        """Guards against half of a job's work being thrown away."""
+    def test_moved_tasks_are_submitted_with_job_started(self) -> None:
+        """Guards against declining the rest of a job that runs elsewhere."""
 
         async def scenario(rig: Rig) -> None:
-            self.assertFalse(rig.submitted()[0].begun)
-            await rig.decline(1, other=OTHER)
-            self.assertTrue(rig.submitted(OTHER)[0].begun)
+            self.assertFalse(rig.submitted()[0].job_started)
+            await rig.decline(1, suggested_shard=OTHER)
+            self.assertTrue(rig.submitted(OTHER)[0].job_started)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
-    def test_job_moved_as_a_whole_has_not_begun(self) -> None:
-        """Guards against late work for a job that could be refused."""
+    def test_completely_moved_job_has_not_started(self) -> None:
+        """Guards against running a job too late instead of declining it."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.decline(0, 1, other=OTHER)
-            self.assertFalse(rig.submitted(OTHER)[0].begun)
+            await rig.decline(0, 1, suggested_shard=OTHER)
+            self.assertFalse(rig.submitted(OTHER)[0].job_started)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
 
 class TestLostLeader(testtools.TestCase):
-    def test_new_leader_is_asked_for_what_the_former_one_had(self) -> None:
-        """Guards against second runs after a takeover."""
+    def test_open_tasks_are_resumed_at_the_new_leader(self) -> None:
+        """Guards against second runs of tasks after a takeover."""
 
         async def scenario(rig: Rig) -> None:
             await rig.end(0)
             await rig.lose_leader()
             rig.links[HOME] = shard_samples.FakeLink('vm-3')
-            rig.tested.post(open_tasks.LeaderFound(shard=HOME))
+            rig.coordinator.post(open_tasks.LeaderFound(shard=HOME))
             await asyncio.sleep(0.001)
-            asked = shard_samples.only(rig.submitted())
-            self.assertTrue(asked.resumed)
-            self.assertEqual(((1, 1),), asked.tasks)
+            resubmitted = shard_samples.only(rig.submitted())
+            self.assertTrue(resubmitted.resumed)
+            self.assertEqual(((1, 1),), resubmitted.tasks)
 
-        with_rig(scenario)
+        run_scenario(scenario)
 
-    def test_job_without_a_leader_is_given_up_in_time(self) -> None:
-        """Guards against requests held until their deadline."""
+    def test_job_without_a_leader_is_given_up_early(self) -> None:
+        """Guards against requests that wait for a leader until the deadline."""
 
         async def scenario(rig: Rig) -> None:
-            begin = rig.clock.now()
+            started_at = rig.clock.now()
             await rig.lose_leader()
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
-            self.assertThat(rig.clock.now() - begin, matchers.LessThan(1.1))
+            self.assertThat(
+                rig.clock.now() - started_at, matchers.LessThan(1.1)
+            )
 
-        with_rig(scenario)
+        run_scenario(scenario)
--- a/tests/request/test_documents.py
+++ b/tests/request/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents: what cannot be read is refused whole, and answers are exact."""
+"""Tests of parsing submitted documents and rendering replies."""
 
 import base64
 import json
@@ -24,9 +24,9 @@
 
 
 class ParseTest(testtools.TestCase):
-    """Guards against requests that an endpoint could read as another one."""
+    """Guards against requests that an endpoint could interpret differently."""
 
-    def test_refuses_tasks(self) -> None:
+    def test_malformed_tasks_are_refused(self) -> None:
         for change, expected in (
             ({'path': 'stamp'}, 'path must start with "/"'),
             ({'path': '/a b'}, 'path must start with "/"'),
@@ -52,8 +52,8 @@
             self.assertThat(problem.detail, matchers.Contains(expected))
             self.assertEqual(400, problem.status)
 
-    def test_refuses_too_many_members(self) -> None:
-        """Without bounds, one caller's body stalls all others for seconds."""
+    def test_too_many_members_are_refused(self) -> None:
+        """Guards against a body that blocks the event loop for seconds."""
         task = json.dumps(fakes.TASK)
         many = {f'X{count}': 'x' for count in range(65)}
         problem = parse(**fakes.TASK, headers=many).unwrap_err()
@@ -72,13 +72,15 @@
 
     @examples.settings()
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_any_bytes_are_refused_without_exception(self, body: bytes) -> None:
+    def test_random_bytes_are_refused_without_exception(
+        self, body: bytes
+    ) -> None:
         for kind in work.TaskKind:
             self.assertTrue(parse_bytes(kind, body).is_err())
 
     @examples.settings()
     @hypothesis.given(strategies.binary(), strategies.text())
-    def test_bodies_arrive_unchanged(self, raw: bytes, text: str) -> None:
+    def test_body_encodings_are_decoded(self, raw: bytes, text: str) -> None:
         task = {'method': 'PUT', 'path': '/'}
         encoded = base64.b64encode(raw).decode()
         for members, expected in (
@@ -90,9 +92,9 @@
 
 
 class RenderTest(testtools.TestCase):
-    """Problem documents carry what a program branches on."""
+    """Tests of problem documents."""
 
-    def test_problem(self) -> None:
+    def test_problem_reply_has_the_fields_for_clients(self) -> None:
         problem = problems.refusal(
             code='rate_limited', status=429, detail='Wait.', retry_after_s=0.2
         )
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -1,4 +1,4 @@
-"""Jobs: complete, or marked failed with each task's verdict."""
+"""Tests of job execution and of the verdicts in job replies."""
 
 import asyncio
 from typing import Any
@@ -15,15 +15,15 @@
 )
 
 
-class JobTest(fakes.SubmissionsCase):
-    """Guards against jobs that look complete and are not."""
+class JobTest(fakes.SubmissionsTestCase):
+    """Guards against incomplete jobs that are reported as complete."""
 
     async def run_job(self, outcomes: dict[int, Any], count: int = 2) -> Any:
         self.runner.outcomes = outcomes
         _, document = await self.submit_job(count, key_text=self.issue_key())
         return document
 
-    async def test_states(self) -> None:
+    async def test_state_and_verdict_follow_from_task_outcomes(self) -> None:
         for outcomes, state, verdict in (
             ({}, 'complete', 'ran'),
             ({0: fakes.make_answer(500)}, 'failed', 'ran_and_failed'),
@@ -38,7 +38,7 @@
             )
             self.assertThat(document['tasks'], matchers.HasLength(2))
 
-    async def test_body_that_is_not_text(self) -> None:
+    async def test_binary_body_is_returned_as_base64(self) -> None:
         outcome = fakes.make_answer(body=b'\xff')
         task = (await self.run_job({1: outcome}))['tasks'][1]
         self.assertEqual('/w==', task['body_base64'])
@@ -55,22 +55,25 @@
         )
         document = await self.run_job({0: large, 1: large})
         self.assertEqual('failed', document['state'])
-        dropped = document['tasks'][1]
+        oversized = document['tasks'][1]
         self.assertEqual(
             ('ran', 'answers_too_large'),
-            (dropped['verdict'], dropped['problem']['code']),
+            (oversized['verdict'], oversized['problem']['code']),
         )
 
-    async def test_unrenderable_answer_is_answered(self) -> None:
-        """Guards against callers that wait forever for a record."""
+    async def test_rendering_failure_is_answered(self) -> None:
+        """Guards against callers that wait forever after such a failure."""
         self.runner.outcomes[0] = fakes.make_answer(status=b'fault')
         answer = await self.submit()
         self.assert_problem(answer, 'internal_error', 'may_have_run', True)
 
-    async def test_tasks_count_as_waiting_at_once(self) -> None:
-        """Guards against two jobs admitted before the first has started."""
+    async def test_tasks_count_as_waiting_immediately(self) -> None:
+        """Guards against admitting a second job beyond the queue limit.
+
+        It happens if the tasks of the first job count only when they start.
+        """
         self.process.set_version(fakes.make_version(queue=5))
         answers = await asyncio.gather(
-            self.submit_job(4), self.submit_job(4, key_text=self.spare)
+            self.submit_job(4), self.submit_job(4, key_text=self.spare_key)
         )
         self.assertEqual([200, 429], [status for status, _ in answers])
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Order, shares and cancellation of waiting tasks."""
+"""Tests of the order, shares and cancellation of queued tasks."""
 
 import time
 from typing import Any
@@ -34,7 +34,7 @@
 
 
 class Model:
-    """A queue and where each of its tasks should be."""
+    """A queue with a model of the state of its tasks."""
 
     def __init__(self) -> None:
         self.queue = fair_queue.FairQueue()
@@ -58,8 +58,10 @@
 
     def cancel(self, pick: int) -> None:
         for entry in self.queue.cancel(ids.RequestId(f'{pick}')):
-            home = self.waiting if entry.number in self.waiting else self.paused
-            home.pop(entry.number)
+            entries = (
+                self.waiting if entry.number in self.waiting else self.paused
+            )
+            entries.pop(entry.number)
 
     def finish(self, pick: int) -> None:
         if self.running:
@@ -84,7 +86,7 @@
 
 
 class FairQueueTest(testtools.TestCase):
-    """Customers get their shares, and no task is lost or started twice."""
+    """Tests that shares are kept and that no task is lost or started twice."""
 
     @SETTINGS
     @hypothesis.given(
@@ -124,35 +126,38 @@
     def test_shares_follow_weights(
         self, weights: list[int], times: list[float]
     ) -> None:
-        """Guards against a customer gaining by longer or more tasks."""
+        """Guards against a larger share for a customer with longer tasks."""
         queue = fair_queue.FairQueue()
         queue.set_weights(
             {
-                ids.CustomerId(f'c{no}'): weight
-                for no, weight in enumerate(weights)
+                ids.CustomerId(f'c{index}'): weight
+                for index, weight in enumerate(weights)
             }
         )
-        served = [float(0) for _ in weights]
-        for no, _ in enumerate(weights):
+        used_by_customer_s = [float(0) for _ in weights]
+        for index, _ in enumerate(weights):
             for _ in range(4):
-                enqueue(queue, f'c{no}')
-        # The queue learns run times first; the shares count from then on.
+                enqueue(queue, f'c{index}')
+        # Shares are measured after the run time estimates have settled.
         for turn in range(600):
             entry = start_next(queue)
             assert entry is not None
-            no = int(entry.task.customer[1:])
-            queue.finish(entry, run_s=times[no])
-            enqueue(queue, f'c{no}')
+            index = int(entry.task.customer[1:])
+            queue.finish(entry, run_s=times[index])
+            enqueue(queue, f'c{index}')
             if turn >= 100:
-                served[no] += times[no]
-        normalized = [used / weight for used, weight in zip(served, weights)]
-        # One task of each customer is the bound of start-time fair queueing.
+                used_by_customer_s[index] += times[index]
+        normalized = [
+            used_s / weight
+            for used_s, weight in zip(used_by_customer_s, weights)
+        ]
+        # Start-time fair queueing deviates by at most one task per customer.
         bound = 2 * max(time / weight for time, weight in zip(times, weights))
         bound += 2 * max(times) / min(weights)
         self.assertLess(max(normalized) - min(normalized), bound)
 
     def test_idle_time_earns_no_credit(self) -> None:
-        """Guards against a customer that returns and starves the others."""
+        """Guards against a customer that starves others after an idle time."""
         queue = fair_queue.FairQueue()
         for _ in range(100):
             enqueue(queue, 'busy')
@@ -168,10 +173,11 @@
             assert entry is not None
             order.append(entry.task.customer)
             queue.finish(entry, run_s=1)
-        # The late customer's estimate is lower until its first tasks end.
+        # The estimated run time of "late" is too low until its first tasks
+        # end, so it starts more tasks at first.
         self.assertGreater(order.count('busy'), 6)
 
-    def test_jobs_follow_after_eight_singles(self) -> None:
+    def test_job_task_starts_after_eight_singles(self) -> None:
         """Guards against single requests that starve a customer's jobs."""
         queue = fair_queue.FairQueue()
         for _ in range(4):
@@ -183,13 +189,15 @@
             entry = start_next(queue)
             assert entry is not None
             kinds.append(entry.task.kind)
-        jobs = [
-            at for at, kind in enumerate(kinds) if kind is work.TaskKind.JOB
+        job_positions = [
+            position
+            for position, kind in enumerate(kinds)
+            if kind is work.TaskKind.JOB
         ]
-        self.assertEqual([8, 17, 26], jobs)
+        self.assertEqual([8, 17, 26], job_positions)
 
-    def test_deadlines_end_waiting_tasks_only(self) -> None:
-        """Guards against late starts and against ends of running tasks."""
+    def test_only_waiting_tasks_expire(self) -> None:
+        """Guards against late starts and against expiry of running tasks."""
         queue = fair_queue.FairQueue()
         first = enqueue(queue, 'c', deadline=1)
         second = enqueue(queue, 'c', deadline=2)
@@ -199,22 +207,22 @@
         self.assertEqual([second], queue.expire(now=2))
         self.assertEqual(1, queue.waiting)
 
-    def test_cancellation_wave_is_cheap(self) -> None:
-        """Guards against a search through all tasks for each request."""
-        small_s = min(cancelling_s(2000) for _ in range(3))
-        large_s = min(cancelling_s(16000) for _ in range(3))
-        # Eight times the tasks; a search would take eight times as long.
+    def test_cancellation_time_is_independent_of_queue_size(self) -> None:
+        """Guards against a search through all tasks for every request."""
+        small_s = min(cancellation_cpu_s(2000) for _ in range(3))
+        large_s = min(cancellation_cpu_s(16000) for _ in range(3))
+        # With eight times the tasks, a search would take eight times as long.
         self.assertLess(large_s, 4 * small_s + 0.02)
 
 
-def cancelling_s(size: int) -> float:
-    """Return the CPU time that a thousand cancellations take."""
+def cancellation_cpu_s(size: int) -> float:
+    """Return the CPU time of 1000 cancellations, in seconds."""
     queue = fair_queue.FairQueue()
     for number in range(size):
         enqueue(queue, 'c', request_id=f'{number}')
-    began = time.process_time()
+    started_at = time.process_time()
     for number in reversed(range(1000)):
         queue.cancel(ids.RequestId(f'{number}'))
-    elapsed_s = time.process_time() - began
+    elapsed_s = time.process_time() - started_at
     assert queue.waiting == size - 1000
     return elapsed_s
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys: only the minter's customer can use them, and nothing else parses."""
+"""Tests of issuing, parsing and verifying idempotency keys."""
 
 import hypothesis
 import testtools
@@ -22,18 +22,18 @@
 class KeyIssuerTest(testtools.TestCase):
     """Guards against keys that another customer or process could use."""
 
-    def test_only_the_customer_and_the_minter_recognize_a_key(self) -> None:
-        ring = make_key_issuer()
-        key = keys.parse(ring.issue(customer=WARM, now=5))
+    def test_key_is_genuine_only_for_its_customer_and_issuer(self) -> None:
+        key_issuer = make_key_issuer()
+        key = keys.parse(key_issuer.issue(customer=WARM, now=5))
         assert key is not None
         self.assertEqual(905, key.expires_at)
-        for judge, customer, expected in (
-            (ring, WARM, True),
-            (ring, RIVAL, False),
+        for issuer, customer, expected in (
+            (key_issuer, WARM, True),
+            (key_issuer, RIVAL, False),
             (make_key_issuer(secret=b'two'), WARM, False),
             (make_key_issuer(incarnation='a2'), WARM, False),
         ):
-            genuine = judge.is_genuine(key=key, customer=customer)
+            genuine = issuer.is_genuine(key=key, customer=customer)
             self.assertEqual(expected, genuine)
 
     @examples.settings()
@@ -41,17 +41,17 @@
     def test_changed_key_is_not_genuine(
         self, data: strategies.DataObject
     ) -> None:
-        ring = make_key_issuer()
-        text = ring.issue(customer=WARM, now=5)
-        place = data.draw(strategies.integers(0, len(text) - 1))
-        symbol = data.draw(strategies.sampled_from('0123456789abcdef.-sp'))
-        changed = text[:place] + symbol + text[place + 1 :]
+        key_issuer = make_key_issuer()
+        text = key_issuer.issue(customer=WARM, now=5)
+        position = data.draw(strategies.integers(0, len(text) - 1))
+        character = data.draw(strategies.sampled_from('0123456789abcdef.-sp'))
+        changed = text[:position] + character + text[position + 1 :]
         hypothesis.assume(changed != text)
         key = keys.parse(changed)
-        self.assertFalse(key and ring.is_genuine(key=key, customer=WARM))
+        self.assertFalse(key and key_issuer.is_genuine(key=key, customer=WARM))
 
     @examples.settings()
     @hypothesis.given(strategies.text(max_size=300))
-    def test_any_text_is_parsed_or_refused(self, text: str) -> None:
+    def test_random_text_is_parsed_or_rejected(self, text: str) -> None:
         key = keys.parse(text)
         self.assertTrue(key is None or key.text == text)
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -1,4 +1,4 @@
-"""Records: a key that was used never looks new while it is valid."""
+"""Tests that a used key is not reported as new while it is valid."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 
 class RecordStoreCase(testtools.TestCase):
-    """A table with a ring of its own."""
+    """Base class with a record store and a key issuer."""
 
     def make(self, **bounds: Any) -> None:
         self.key_issuer = test_keys.make_key_issuer()
@@ -65,14 +65,12 @@
     def add_tombstone(
         self, key: keys.Key, customer: Any = WARM, now: float = 0
     ) -> None:
-        add_tombstone = {
+        arguments = {
             'fingerprint': None,
             'problem': keys.malformed(),
             'now': now,
         }
-        self.record_store.add_tombstone(
-            key=key, customer=customer, **add_tombstone
-        )
+        self.record_store.add_tombstone(key=key, customer=customer, **arguments)
 
     def find(self, key: keys.Key, customer: Any = WARM, now: float = 0) -> Any:
         return self.record_store.find(key=key, customer=customer, now=now)
@@ -84,49 +82,52 @@
 
 
 class RetentionTest(RecordStoreCase):
-    """What is dropped early still never starts again."""
+    """Guards against evicted entries whose keys start work again."""
 
-    def test_dropped_answer_leaves_its_verdict(self) -> None:
+    def test_evicted_answer_leaves_its_verdict(self) -> None:
         self.make(max_answer_bytes=5)
         first, second = self.issue_key(), self.issue_key()
         for key in (first, second):
             self.end(self.open(key), size=4)
-        add_tombstone = self.find(first)
-        self.assertEqual('answer_dropped', add_tombstone.problem.code)
-        self.assertIs(RAN, add_tombstone.problem.verdict)
+        tombstone = self.find(first)
+        self.assertEqual('answer_dropped', tombstone.problem.code)
+        self.assertIs(RAN, tombstone.problem.verdict)
         self.assertIsInstance(self.find(second), records.Record)
 
-    def test_busiest_customer_makes_room(self) -> None:
-        """A rival's load must not push out another customer's answer."""
+    def test_records_of_the_busiest_customer_are_evicted_first(self) -> None:
+        """Guards against one customer's load evicting another's answers."""
         self.make(max_records=3)
-        mine = self.issue_key()
-        self.end(self.open(mine))
+        kept_key = self.issue_key()
+        self.end(self.open(kept_key))
         for _ in range(20):
             self.end(self.open(self.issue_key(RIVAL), RIVAL))
-        self.assertIsInstance(self.find(mine), records.Record)
+        self.assertIsInstance(self.find(kept_key), records.Record)
 
-    def test_dropped_note_voids_older_keys_of_its_customer(self) -> None:
+    def test_evicted_tombstone_voids_older_keys_of_its_customer(self) -> None:
         self.make(max_records=2)
-        older, mine = self.issue_key(RIVAL), self.issue_key()
-        noted = [self.issue_key(RIVAL) for _ in range(3)]
-        for key in noted:
+        older, kept_key = self.issue_key(RIVAL), self.issue_key()
+        keys_with_tombstone = [self.issue_key(RIVAL) for _ in range(3)]
+        for key in keys_with_tombstone:
             self.add_tombstone(key, RIVAL)
-        for key in (older, noted[0]):
+        for key in (older, keys_with_tombstone[0]):
             self.assertIs(self.find(key, RIVAL), records.UnrecordedKey.VOID)
-        self.assertIs(self.find(mine), records.UnrecordedKey.NEW)
+        self.assertIs(self.find(kept_key), records.UnrecordedKey.NEW)
 
     def test_no_used_key_becomes_new(self) -> None:
-        """Random use of a small table, compared with the set of used keys."""
+        """Guards against a used key that starts work again after eviction.
+
+        A small store is used at random and compared with the set of used keys.
+        """
         rng = random.Random(7)
         self.make(max_records=4, max_answer_bytes=20)
-        now, minted, running = 0, [], []
+        now, issued, running = 0, [], []
         used: set[keys.Key] = set()
         for _ in range(5000):
             now += rng.choice((0, 9, 45))
-            minted = [*minted, self.issue_key(now=now)][-30:]
-            key = rng.choice(minted)
-            found = self.find(key, now=now)
-            if found is records.UnrecordedKey.NEW:
+            issued = [*issued, self.issue_key(now=now)][-30:]
+            key = rng.choice(issued)
+            entry = self.find(key, now=now)
+            if entry is records.UnrecordedKey.NEW:
                 self.assertThat(used, matchers.Not(matchers.Contains(key)))
                 used.add(key)
                 if self.record_store.is_full() or rng.randrange(10) < 3:
@@ -138,7 +139,7 @@
                 self.end(record, now=now, size=rng.randrange(10))
         self.assertThat(len(used), matchers.GreaterThan(1000))
 
-    def test_old_entries_are_dropped(self) -> None:
+    def test_expired_entries_are_removed(self) -> None:
         self.make()
         key = self.issue_key()
         self.end(self.open(key), now=50)
--- a/tests/request/test_retries.py
+++ b/tests/request/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry budget and back-off."""
+"""Tests of the retry budget and the back-off."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 class RetryBudgetTest(testtools.TestCase):
-    """Retries stay a fixed part of the successes."""
+    """Tests that retries are limited to a share of the successes."""
 
     def test_budget_follows_successes(self) -> None:
         """Guards against retries that multiply the load of a failing fleet."""
@@ -19,8 +19,8 @@
             budget.record_success()
         self.assertEqual(2, sum(budget.try_spend() for _ in range(10)))
 
-    def test_pauses_are_spread_and_bounded(self) -> None:
-        """Guards against retries that arrive together."""
+    def test_pauses_have_jitter_and_a_maximum(self) -> None:
+        """Guards against synchronized retries."""
         budget = retries.RetryBudget()
         rng = random.Random(1)
         pauses = [budget.pause_s(attempts=1, rng=rng) for _ in range(200)]
--- a/tests/request/test_runner.py
+++ b/tests/request/test_runner.py
@@ -1,4 +1,4 @@
-"""Which outcomes are retried, and what the caller is told then."""
+"""Tests of which outcomes are retried and which outcome is reported."""
 
 import asyncio
 import random
@@ -19,9 +19,9 @@
     )
 
 
-GOOD = answer(200, 'w3')
+SUCCESS = answer(200, 'w3')
 FAILED = answer(500, 'w1')
-LOST = endpoint.Lost(
+LOST = endpoint.ResponseLost(
     problem=samples.make_problem('x', verdicts.Verdict.MAY_HAVE_RUN),
     endpoint=ids.EndpointId('w2'),
 )
@@ -29,7 +29,7 @@
 
 
 class FakeDispatcher:
-    """Gives the planned outcomes in turn."""
+    """Returns the given outcomes in sequence."""
 
     def __init__(self, *outcomes: work.Outcome) -> None:
         self.outcomes = list(outcomes)
@@ -40,11 +40,11 @@
         return self.outcomes.pop(0)
 
     def cancel(self, *, request_id: ids.RequestId) -> None:
-        """Have nothing waiting."""
+        """Do nothing, as no task waits here."""
 
 
 class RunnerTest(testtools.TestCase):
-    """Only idempotent single requests are tried again."""
+    """Tests that only idempotent single requests are retried."""
 
     def run_with(
         self,
@@ -56,7 +56,7 @@
     ) -> tuple[work.Outcome, list[set[str]]]:
         """Return the outcome and the endpoints excluded in each attempt."""
         dispatcher = FakeDispatcher(*outcomes)
-        tested = runner.Runner(
+        task_runner = runner.Runner(
             dispatcher=dispatcher,  # type: ignore[arg-type]
             budget=retries.RetryBudget(cfg=cfg),
             clock=clock.SystemClock(),
@@ -64,25 +64,25 @@
             metrics=metrics.Metrics(),
         )
         task = samples.make_task(deadline_s=10, **changes)
-        start = tested.run_job_task if job else tested.run_single
+        start = task_runner.run_job_task if job else task_runner.run_single
 
         async def run() -> work.Outcome:
             running = asyncio.create_task(start(task=task))
             await asyncio.sleep(0)
             if cancel:
-                tested.cancel(request_id=task.request_id)
+                task_runner.cancel(request_id=task.request_id)
             return await asyncio.wait_for(running, samples.LONG_S)
 
         return asyncio.run(run()), dispatcher.excluded
 
-    def test_idempotent_single_is_tried_elsewhere(self) -> None:
-        """Guards against a lookup lost with its endpoint."""
-        outcome, excluded = self.run_with(FAILED, LOST, GOOD)
-        self.assertEqual(GOOD, outcome)
+    def test_idempotent_single_is_retried_at_another_endpoint(self) -> None:
+        """Guards against a request that fails when its endpoint fails."""
+        outcome, excluded = self.run_with(FAILED, LOST, SUCCESS)
+        self.assertEqual(SUCCESS, outcome)
         self.assertEqual([set(), {'w1'}, {'w1', 'w2'}], excluded)
 
-    def test_other_work_is_never_started_twice(self) -> None:
-        """Guards against duplicate stamps and cuts."""
+    def test_other_tasks_are_never_retried(self) -> None:
+        """Guards against running non-idempotent tasks and job tasks twice."""
         for outcome in (LOST, FAILED, REFUSED):
             for changes in (
                 {'idempotent': False},
@@ -90,16 +90,16 @@
                 {'job': True},
                 {'kind': work.TaskKind.JOB},
             ):
-                got, excluded = self.run_with(outcome, **changes)  # type: ignore[arg-type]
-                self.assertEqual((outcome, [set()]), (got, excluded))
+                actual, excluded = self.run_with(outcome, **changes)  # type: ignore[arg-type]
+                self.assertEqual((outcome, [set()]), (actual, excluded))
 
-    def test_started_work_is_not_reported_as_not_run(self) -> None:
+    def test_started_task_is_not_reported_as_not_run(self) -> None:
         """Guards against "not run" after a first attempt that may have run."""
         self.assertEqual(LOST, self.run_with(LOST, REFUSED)[0])
         self.assertEqual(FAILED, self.run_with(FAILED, LOST, LOST)[0])
 
-    def test_bounds_of_retries(self) -> None:
-        """Guards against retries without budget, time or consent."""
+    def test_limits_of_retries(self) -> None:
+        """Guards against retries beyond budget, deadline or cancellation."""
         for bounds in (
             {'cfg': retries.Config(max_tokens=0)},
             {'cfg': retries.Config(first_pause_s=99, max_pause_s=99)},
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions: at most one start for each key, whole answers, true verdicts."""
+"""Tests of submissions: keys, cancellation, forwarding and shutdown."""
 
 import asyncio
 import collections
@@ -35,20 +35,20 @@
     )
 
 
-class Runner:
-    """Counts starts; tasks wait while ``gate`` is closed."""
+class FakeRunner:
+    """Counts starts; tasks wait while ``start_gate`` is not set."""
 
     def __init__(self) -> None:
         self.starts: collections.Counter[Any] = collections.Counter()
-        self.entered = asyncio.Event()
-        self.gate = asyncio.Event()
-        self.gate.set()
+        self.task_received = asyncio.Event()
+        self.start_gate = asyncio.Event()
+        self.start_gate.set()
         self.cancelled: set[str] = set()
         self.outcomes: dict[int, Any] = {}
 
     async def run_job_task(self, *, task: work.Task) -> work.Outcome:
-        self.entered.set()
-        await self.gate.wait()
+        self.task_received.set()
+        await self.start_gate.wait()
         if task.request_id in self.cancelled:
             return work.Refused(problem=executions.cancelled())
         self.starts[task.request_id, task.index] += 1
@@ -67,18 +67,21 @@
 
 
 class FakeForwarder:
-    """Delivers forwards to the processes of one test."""
+    """Delivers forwarded requests to the processes of one test.
+
+    Every request gets ``fixed_reply`` instead if that is set.
+    """
 
     def __init__(self) -> None:
         self.processes: dict[str, submissions.Submissions] = {}
-        self.lost: forwarding.Reply | None = None
-        self.time = clock.ManualClock(start=1000)
+        self.fixed_reply: forwarding.Reply | None = None
+        self.clock = clock.ManualClock(start=1000)
 
     async def forward(
         self, *, vm: str, payload: bytes, **_: Any
     ) -> forwarding.Reply:
-        if self.lost is not None:
-            return self.lost
+        if self.fixed_reply is not None:
+            return self.fixed_reply
         reply = await self.processes[vm].handle(payload)
         return forwarding.Replied(payload=reply)
 
@@ -93,33 +96,35 @@
 
 
 def make_version(**terms: Any) -> versions.Version:
-    found = {one: make_contract(one, **terms) for one in (WARM, RIVAL)}
+    contracts_by_customer = {
+        customer: make_contract(customer, **terms) for customer in (WARM, RIVAL)
+    }
     return versions.Version(
-        number=ids.VersionNumber(1), digest='', contracts=found
+        number=ids.VersionNumber(1), digest='', contracts=contracts_by_customer
     )
 
 
 def make_submissions(
-    runner: Runner, mesh: FakeForwarder, vm: str = 'vm1', **cfg: Any
+    runner: FakeRunner, forwarder: FakeForwarder, vm: str = 'vm1', **cfg: Any
 ) -> submissions.Submissions:
     process = submissions.Submissions(
-        clock=mesh.time,
+        clock=forwarder.clock,
         rng=random.Random(1),
         vm=ids.VmId(vm),
         incarnation=ids.Incarnation('a1'),
         secret=vm.encode(),
         cfg=submissions.Config(**cfg),
         runner=runner,
-        forwarder=mesh,
+        forwarder=forwarder,
         metrics=metrics.Metrics(),
     )
     process.set_version(make_version())
-    mesh.processes[vm] = process
+    forwarder.processes[vm] = process
     return process
 
 
-class SubmissionsCase(testtools.TestCase):
-    """Two processes; each test is one scenario on an event loop."""
+class SubmissionsTestCase(testtools.TestCase):
+    """Base class with two processes; tests run on an event loop."""
 
     def issue_key(self) -> str:
         reply = self.process.issue_keys(customer=WARM, body=b'')
@@ -138,11 +143,11 @@
         job = {'tasks': [TASK for _ in range(count)]}
         return await self.submit(kind=work.TaskKind.JOB, body=job, **changes)
 
-    async def ask(
-        self, verb: str, process: Any = None, customer: Any = WARM
+    async def call_method(
+        self, method: str, process: Any = None, customer: Any = WARM
     ) -> tuple[int, Any]:
-        ask = getattr(process or self.process, verb)
-        reply = await ask(customer=customer, key_text=self.key)
+        bound_method = getattr(process or self.process, method)
+        reply = await bound_method(customer=customer, key_text=self.key)
         return reply.status, json.loads(reply.body)
 
     def assert_problem(
@@ -160,31 +165,36 @@
 
     async def _run_scenario(self) -> None:
         self.listener: Any = None
-        self.runner = Runner()
-        self.mesh = FakeForwarder()
-        self.process = make_submissions(self.runner, self.mesh)
-        self.other = make_submissions(Runner(), self.mesh, vm='vm2')
-        self.time = self.mesh.time
+        self.runner = FakeRunner()
+        self.forwarder = FakeForwarder()
+        self.process = make_submissions(self.runner, self.forwarder)
+        self.other_process = make_submissions(
+            FakeRunner(), self.forwarder, vm='vm2'
+        )
+        self.clock = self.forwarder.clock
         self.key = self.issue_key()
-        self.spare = self.issue_key()
+        self.spare_key = self.issue_key()
         await self._get_test_method()()
         if self.listener:
             await self.listener.close()
 
 
-class KeyTest(SubmissionsCase):
-    """A key's work starts at most once, and only for its customer."""
+class KeyTest(SubmissionsTestCase):
+    """Tests that a key's work starts at most once, for its customer only."""
 
-    async def test_same_submission_again_gets_the_same_answer(self) -> None:
+    async def test_repeated_submission_gets_the_same_answer(self) -> None:
         answers = await asyncio.gather(
-            *(self.submit() for _ in range(3)), self.submit(process=self.other)
+            *(self.submit() for _ in range(3)),
+            self.submit(process=self.other_process),
         )
-        answers += [await self.submit(), await self.ask('status')]
+        answers += [await self.submit(), await self.call_method('status')]
         self.assertEqual('reprint', answers[0][1]['body_text'])
-        self.assertThat({repr(one) for one in answers}, matchers.HasLength(1))
+        self.assertThat(
+            {repr(reply) for reply in answers}, matchers.HasLength(1)
+        )
         self.assertEqual({(self.key, 0): 1}, self.runner.starts)
 
-    async def test_other_body_changes_nothing(self) -> None:
+    async def test_key_with_another_body_is_refused(self) -> None:
         first = await self.submit()
         other = await self.submit(body={**TASK, 'path': '/other'})
         self.assert_problem(other, 'key_reused', 'may_have_run', True)
@@ -193,20 +203,20 @@
         job = await self.submit_job()
         self.assert_problem(job, 'key_reused', 'may_have_run', True)
 
-    async def test_rival_sees_an_unknown_key(self) -> None:
-        self.runner.gate.clear()
+    async def test_key_is_unknown_to_other_customers(self) -> None:
+        self.runner.start_gate.clear()
         await self.submit_job(wait=False)
-        for process in (self.process, self.other):
-            for verb in ('status', 'cancel'):
-                answer = await self.ask(verb, process, customer=RIVAL)
+        for process in (self.process, self.other_process):
+            for method in ('status', 'cancel'):
+                answer = await self.call_method(method, process, customer=RIVAL)
                 self.assert_problem(answer, 'unknown_key', 'not_run', True)
             replayed = await self.submit_job(process=process, customer=RIVAL)
             self.assert_problem(replayed, 'unknown_key', 'not_run', True)
-        self.runner.gate.set()
+        self.runner.start_gate.set()
         await self.process.wait_until_idle()
-        self.assertEqual(200, (await self.ask('status'))[0])
+        self.assertEqual(200, (await self.call_method('status'))[0])
 
-    async def test_refusal_is_remembered(self) -> None:
+    async def test_refusal_is_permanent(self) -> None:
         """Guards against "not run" for a key that starts work later."""
         self.process.set_version(make_version(submit_per_s=0.1, submit_burst=1))
         await self.submit(key_text=self.issue_key())
@@ -214,21 +224,21 @@
             refused = await self.submit()
             self.assert_problem(refused, 'rate_limited', 'not_run', True)
             self.process.set_version(make_version())
-            self.time.advance(100)
+            self.clock.advance(100)
         self.assertThat(self.runner.starts, matchers.HasLength(1))
 
-    async def test_unminted_missing_and_expired_keys(self) -> None:
+    async def test_malformed_missing_and_expired_keys(self) -> None:
         answer = await self.submit(key_text='my-key')
         self.assert_problem(answer, 'malformed_key', 'not_run', True)
-        lookup = {'key_text': None, 'body': {**TASK, 'idempotent': True}}
+        idempotent = {'key_text': None, 'body': {**TASK, 'idempotent': True}}
         for answer in (
             await self.submit(key_text=None),
             await self.submit_job(key_text=None),
-            await self.submit(**lookup, wait=False),
+            await self.submit(**idempotent, wait=False),
         ):
             self.assert_problem(answer, 'key_required', 'not_run', True)
-        self.assertEqual(200, (await self.submit(**lookup))[0])
-        self.time.advance(901)
+        self.assertEqual(200, (await self.submit(**idempotent))[0])
+        self.clock.advance(901)
         expired = await self.submit()
         self.assert_problem(expired, 'key_expired', 'may_have_run', True)
 
@@ -246,27 +256,30 @@
         self.assert_problem(answer, 'cancelled', 'not_run', True)
 
 
-class CancelTest(SubmissionsCase):
-    """What has not started never starts."""
+class CancelTest(SubmissionsTestCase):
+    """Tests that cancelled tasks that have not started never start."""
 
-    async def test_job_ends_failed(self) -> None:
-        self.runner.gate.clear()
+    async def test_cancelled_job_fails(self) -> None:
+        self.runner.start_gate.clear()
         await self.submit_job(wait=False)
-        await self.runner.entered.wait()
-        status, document = await self.ask('cancel', self.other)
+        await self.runner.task_received.wait()
+        status, document = await self.call_method('cancel', self.other_process)
         self.assertEqual((202, True), (status, document['cancelled']))
-        self.runner.gate.set()
+        self.runner.start_gate.set()
         _, job = await self.submit_job()
         self.assert_failed(job, 'not_run')
         self.assertThat(self.runner.starts, matchers.HasLength(0))
 
     async def test_job_that_the_runner_cannot_cancel(self) -> None:
-        """Its tasks are not known to the runner yet, or run already."""
+        """Guards against a wrong verdict if the runner cancels nothing.
+
+        It has not received the tasks yet, or they are running already.
+        """
         for handed_over, verdict in ((False, 'not_run'), (True, 'ran')):
             key = self.issue_key()
             await self.submit_job(key_text=key, wait=False)
             if handed_over:
-                await self.runner.entered.wait()
+                await self.runner.task_received.wait()
             await self.process.cancel(customer=WARM, key_text=key)
             self.runner.cancelled.clear()
             _, job = await self.submit_job(key_text=key)
@@ -277,79 +290,81 @@
         self.assertEqual('failed', job['state'])
         self.assertEqual({verdict}, {task['verdict'] for task in job['tasks']})
 
-    async def test_cancel_may_overtake_the_submission(self) -> None:
-        unseen = await self.ask('status')
-        self.assert_problem(unseen, 'not_submitted', 'may_have_run', False)
-        for answer in (await self.ask('cancel'), await self.submit()):
+    async def test_cancel_may_precede_the_submission(self) -> None:
+        unsubmitted = await self.call_method('status')
+        self.assert_problem(unsubmitted, 'not_submitted', 'may_have_run', False)
+        for answer in (await self.call_method('cancel'), await self.submit()):
             self.assert_problem(answer, 'cancelled', 'not_run', True)
 
 
-class ForwardTest(SubmissionsCase):
-    """Only the minter says "not run" of a minted key."""
+class ForwardTest(SubmissionsTestCase):
+    """Tests that only the issuer of a key reports "not run"."""
 
-    async def test_lost_minter(self) -> None:
-        for lost, code, final in (
+    async def test_lost_issuer(self) -> None:
+        for fixed_reply, code, final in (
             (forwarding.Gone(), 'minter_gone', True),
             (forwarding.Unreachable(), 'minter_unreachable', False),
             (forwarding.Replied(payload=b'?'), 'minter_unreachable', False),
         ):
-            self.mesh.lost = lost
+            self.forwarder.fixed_reply = fixed_reply
             for answer in (
-                await self.submit(process=self.other),
-                await self.ask('status', self.other),
-                await self.ask('cancel', self.other),
+                await self.submit(process=self.other_process),
+                await self.call_method('status', self.other_process),
+                await self.call_method('cancel', self.other_process),
             ):
                 self.assert_problem(answer, code, 'may_have_run', final)
-        old = self.key.replace('.a1.', '.b2.')
-        answer = await self.submit(key_text=old)
+        old_key = self.key.replace('.a1.', '.b2.')
+        answer = await self.submit(key_text=old_key)
         self.assert_problem(answer, 'minter_gone', 'may_have_run', True)
 
     async def test_size_limits(self) -> None:
         large = {**TASK, 'body_text': 'x' * (8_388_608 - 4000)}
-        answer = await self.submit(process=self.other, body=large)
+        answer = await self.submit(process=self.other_process, body=large)
         self.assert_problem(
             answer, 'too_large_to_forward', 'may_have_run', False
         )
         self.runner.outcomes[0] = make_answer(body=bytes(8_388_608))
-        answer = await self.submit(process=self.other)
+        answer = await self.submit(process=self.other_process)
         self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
 
     async def test_malformed_forward(self) -> None:
         request = key_requests.KeyRequest(
             operation=key_requests.Operation.CANCEL, customer=WARM, key=self.key
         )
-        whole = key_requests.encode_request(request)
-        for size, _ in enumerate(whole):
-            for payload in (whole[:size], whole + bytes(size + 1)):
+        complete = key_requests.encode_request(request)
+        for size, _ in enumerate(complete):
+            for payload in (complete[:size], complete + bytes(size + 1)):
                 reply = await self.process.handle(payload)
                 verdict = key_requests.decode_reply(reply).verdict
                 self.assertIs(verdicts.Verdict.MAY_HAVE_RUN, verdict)
         self.assertEqual(200, (await self.submit())[0])
 
 
-class ShutdownTest(SubmissionsCase):
-    """Draining refuses new work and ends what is in progress."""
+class ShutdownTest(SubmissionsTestCase):
+    """Tests that draining refuses new work and completes the running work."""
 
     async def test_drain(self) -> None:
-        self.runner.gate.clear()
+        self.runner.start_gate.clear()
         first = asyncio.create_task(self.submit())
         await asyncio.sleep(0)
-        for process in (self.process, self.other):
+        for process in (self.process, self.other_process):
             process.drain()
-        refused = await self.submit(key_text=self.spare)
+        refused = await self.submit(key_text=self.spare_key)
         self.assert_problem(refused, 'shutting_down', 'not_run', True)
         wait_until_idle = asyncio.create_task(self.process.wait_until_idle())
         await asyncio.sleep(0)
         self.assertFalse(wait_until_idle.done())
-        self.runner.gate.set()
+        self.runner.start_gate.set()
         await asyncio.gather(wait_until_idle, first)
-        self.assertEqual(200, (await self.submit(process=self.other))[0])
+        self.assertEqual(
+            200, (await self.submit(process=self.other_process))[0]
+        )
 
     async def test_disconnected_caller_does_not_cancel(self) -> None:
-        self.runner.gate.clear()
+        self.runner.start_gate.clear()
         for process, key in (
             (self.process, self.key),
-            (self.other, self.spare),
+            (self.other_process, self.spare_key),
         ):
             submission = self.submit(process=process, key_text=key)
             caller = asyncio.create_task(submission)
@@ -358,15 +373,17 @@
         state = json.dumps(self.process.state(now=1002))
         self.assertIn('"age_s": 2', state)
         self.assertNotIn('reprint', state)
-        self.runner.gate.set()
-        await self.other.wait_until_idle()
+        self.runner.start_gate.set()
+        await self.other_process.wait_until_idle()
         await self.process.wait_until_idle()
         self.assertEqual(
-            {(self.key, 0): 1, (self.spare, 0): 1}, self.runner.starts
+            {(self.key, 0): 1, (self.spare_key, 0): 1}, self.runner.starts
         )
 
     async def test_overload_is_refused(self) -> None:
         for bounds in ({'max_records': 0}, {'max_running_bytes': 10}):
-            self.process = make_submissions(self.runner, self.mesh, **bounds)
+            self.process = make_submissions(
+                self.runner, self.forwarder, **bounds
+            )
             answer = await self.submit(key_text=self.issue_key())
             self.assert_problem(answer, 'overloaded', 'not_run', True)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -80,7 +80,7 @@
     for record in _records(around):
         job = record.task.partition('.')[0]
         started.setdefault(job, set()).add(record.task)
-        if record.how is workers.Ending.DONE:
+        if record.how is workers.RunResult.DONE:
             done.setdefault(job, set()).add(record.task)
     for job, attempts in around.trace.attempts.items():
         statuses = {attempt.status for attempt in attempts}
@@ -99,7 +99,7 @@
     """Accepted jobs are known, and end as their tasks did."""
     done: dict[str, set[str]] = {}
     for record in _records(around):
-        if record.how is workers.Ending.DONE:
+        if record.how is workers.RunResult.DONE:
             job = record.task.partition('.')[0]
             done.setdefault(job, set()).add(record.task)
     for name, sent in around.trace.jobs.items():
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -15,7 +15,7 @@
 from tests.soak import fleet, vm, worker
 
 _Mode = relay_modes.Mode
-_Trouble = store_server.Trouble
+_Fault = store_server.Fault
 
 #: Grace between SIGTERM and SIGKILL, in seconds.
 GRACE_S = 6.0
@@ -168,13 +168,13 @@
     # The store.
 
     async def _store_fails(self, for_s: float) -> None:
-        self._fleet.store.trouble = self._rng.choice(
-            [each for each in _Trouble if each is not _Trouble.NONE]
+        self._fleet.store.fault = self._rng.choice(
+            [each for each in _Fault if each is not _Fault.NONE]
         )
         self._fleet.store.share = self._rng.choice((0.3, 1))
-        kind = f'store {self._fleet.store.trouble.value}'
+        kind = f'store {self._fleet.store.fault.value}'
         await self._hurt('store', kind, for_s)
-        self._fleet.store.trouble = _Trouble.NONE
+        self._fleet.store.fault = _Fault.NONE
 
     async def _store_slow(self, for_s: float) -> None:
         self._fleet.store.delay_s = self._rng.uniform(0.1, 0.5)
@@ -263,9 +263,9 @@
 
     async def _worker_late(self, for_s: float) -> None:
         of = self._any_worker()
-        of.server.late_s = self._rng.uniform(0.3, 4)
+        of.server.order_delay_s = self._rng.uniform(0.3, 4)
         await self._hurt(of.name, 'late', for_s)
-        of.server.late_s = 0
+        of.server.order_delay_s = 0
 
     async def _worker_sick(self, for_s: float) -> None:
         of = self._any_worker()
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -43,7 +43,7 @@
         self.state = workers.WorkerState.READY
         self.model = worker_model.WorkerModel(
             worker=samples.make_worker(
-                name, zone=ids.ZoneId(zone), service=SERVICE, born_ms=1000
+                name, zone=ids.ZoneId(zone), service=SERVICE, started_ms=1000
             ),
             work_of=self._work_of,
             speed=rng.choice((0.6, 1.0, 1.4)),
@@ -82,7 +82,7 @@
     def write_entry(self) -> None:
         """Write the entry as the worker is now."""
         self.model.set_state(self.state)
-        self._rows.put(f'servers/{self.name}', self.server.entry())
+        self._rows.put(f'servers/{self.name}', self.server.worker_entry())
 
     async def _beat(self) -> None:
         while True:
@@ -91,11 +91,11 @@
             await asyncio.sleep(BEAT_S)
 
     def _work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
-        how: workers.Ending | None = workers.Ending.DONE
+        how: workers.RunResult | None = workers.RunResult.DONE
         if self.hangs:
             how = None
         elif self.fails:
-            how = workers.Ending.FAILED
+            how = workers.RunResult.FAILED
         return worker_model.Work(
             resources=jobs.Resources(
                 millicores=samples.TASK_MILLICORES, memory_mb=64, gpus=0
--- a/tests/standin/test_platform.py
+++ b/tests/standin/test_platform.py
@@ -75,7 +75,7 @@
         self.assertThat(read.is_ok(), matchers.Is(True))
         self.assertThat(counts['refused_writes'], matchers.Equals(3))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_loses_only_answers_of_writes_that_took_effect(self, client):
         self.platform.control('lose-answers', {'writes': 2})
         never = store.Condition(key='a', revision=9)
@@ -92,7 +92,7 @@
         )
         self.assertThat(rows[0].revision, matchers.Equals(3))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_refuses_requests_over_its_bounds(self, client):
         large = bytes(platform_store.MAX_ROW_BYTES + 1)
         for writes in (
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -30,14 +30,14 @@
         self.server = self
         self.payloads: dict[str, str] = {}
         self.model = worker_model.WorkerModel(
-            worker=samples.make_worker(), work_of=samples.usual_work
+            worker=samples.make_worker(), work_of=samples.typical_work
         )
 
     def ran(
         self,
         task: str = TASK,
         begin: float = 10,
-        how: workers.Ending = workers.Ending.DONE,
+        how: workers.RunResult = workers.RunResult.DONE,
     ) -> None:
         self.model.records.append(
             worker_model.Record(
@@ -129,7 +129,7 @@
 
     def test_completed_job_without_all_tasks_is_found(self) -> None:
         around = _Fleet()
-        around.worker.ran(how=workers.Ending.STOPPED)
+        around.worker.ran(how=workers.RunResult.STOPPED)
         around.answer()
         self.assertThat(around.complaints()[0], matchers.Contains('completed'))
 
--- a/tests/version/samples.py
+++ b/tests/version/samples.py
@@ -30,23 +30,25 @@
 
 def documents(**weights):
     """Return the canonical texts of contracts with these weights."""
-    return versions.documents_of(
+    return versions.encode_contracts(
         contracts.Contract(**contract_fields(name, weight=weight))
         for name, weight in weights.items()
     )
 
 
-def chain(*contents):
+def make_chain(*contents):
     """Return the snapshots and the changes that lead through ``contents``."""
     snapshots, changes = [versions.EMPTY], []
     for number, wanted in enumerate(contents, start=1):
         head = versions.Head(
             number=number,
-            digest=versions.digest_of(wanted),
+            digest=versions.compute_digest(wanted),
             operator='ann',
             apply_id='0f',
         )
-        changed, removed = versions.difference(snapshots[-1].documents, wanted)
+        changed, removed = versions.diff_documents(
+            snapshots[-1].documents, wanted
+        )
         change = versions.Change(head=head, documents=changed, removed=removed)
         changes.append(change)
         snapshots.append(versions.apply(snapshots[-1], change).unwrap())
@@ -76,7 +78,7 @@
     return asyncio.run(run())
 
 
-def on_platform(test):
+def with_platform(test):
     """Run a test with a stand-in platform and a client of it."""
 
     def run(self):
--- a/tests/version/test_follower.py
+++ b/tests/version/test_follower.py
@@ -34,7 +34,7 @@
 class FollowerTest(testtools.TestCase):
     """Each test drives a follower against a stand-in platform."""
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_applies_changes_and_never_reverts_on_stale_reads(
         self, client
     ):
@@ -51,7 +51,7 @@
         seen.append(await poll(target))
         self.assertThat(seen, matchers.Equals([0, 2, 2, 2, 3]))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_learns_from_a_peer_while_the_platform_is_down(self, client):
         peer = samples.make_follower(client)
         for base in range(3):
@@ -64,17 +64,18 @@
         self.assertThat(found[1], matchers.Contains('503'))
         target.offer(peer.changes_since(target.number()))
         self.assertThat(
-            target.in_force.value, matchers.Equals(peer.in_force.value)
+            target.active_version.value,
+            matchers.Equals(peer.active_version.value),
         )
         self.assertThat(target.number(), matchers.Equals(3))
         self.assertThat(peer.changes_since(3), matchers.Is(None))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_passes_over_versions_that_cannot_be_parsed(self, client):
         target = samples.make_follower(client)
-        snapshots, changes = samples.chain(
+        snapshots, changes = samples.make_chain(
             samples.documents(acme=1),
-            {'acme': versions.canonical({'customer': 'acme', 'new': 1})},
+            {'acme': versions.canonical_json({'customer': 'acme', 'new': 1})},
             samples.documents(acme=3),
         )
         for base, change in enumerate(changes):
@@ -90,7 +91,7 @@
                     matchers.Equals(EXPECTED_FAULTS[base]),
                 )
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_passes_over_a_broken_row_with_the_next_snapshot(
         self, client
     ):
@@ -108,7 +109,8 @@
         late = samples.make_follower(client)
         await late.poll_once()
         self.assertThat(
-            late.in_force.value, matchers.Equals(target.in_force.value)
+            late.active_version.value,
+            matchers.Equals(target.active_version.value),
         )
         # Its kept changes start at 65, so older peers get a snapshot.
         payloads = [
@@ -118,12 +120,12 @@
         self.assertThat(payloads[0].snapshot.number, matchers.Equals(66))
         self.assertThat(payloads[1].changes, matchers.HasLength(2))
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_reports_another_digest_of_the_same_number(self, client):
         target = samples.make_follower(client)
         await samples.apply(client, 0, acme=1)
         await target.poll_once()
-        snapshots, changes = samples.chain(samples.documents(acme=9))
+        snapshots, changes = samples.make_chain(samples.documents(acme=9))
         await overwrite(
             client, fetching.HEAD_KEY, codec.encode_head(changes[0].head)
         )
@@ -131,19 +133,21 @@
         await target.poll_once()
         self.expect_conflict(target)
         target = samples.make_follower(client)
-        mine, _ = samples.chain(samples.documents(acme=1))
+        mine, _ = samples.make_chain(samples.documents(acme=1))
         first = codec.Payload(snapshot=mine[1], changes=())
         target.offer(codec.encode_payload(first))
         target.offer(codec.encode_payload(other))
         self.expect_conflict(target)
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_runs_until_cancelled_through_an_outage(self, client):
         target = samples.make_follower(
             client, poll_s=0.01, first_backoff_s=0.01
         )
         reached = asyncio.Event()
-        target.in_force.subscribe(lambda version: version and reached.set())
+        target.active_version.subscribe(
+            lambda version: version and reached.set()
+        )
         self.platform.control('down', {'down': True})
         running = asyncio.create_task(target.run())
         await target.poll_once()
@@ -153,9 +157,9 @@
         running.cancel()
         await asyncio.wait([running])
 
-    @samples.on_platform
+    @samples.with_platform
     async def test_a_silent_connection_costs_one_poll(self, client):
-        target = samples.make_follower(client, limit_s=0.2)
+        target = samples.make_follower(client, timeout_s=0.2)
         await samples.apply(client, 0, acme=1)
         self.platform.control('slow', {'ms': 60_000})
         await target.poll_once()
@@ -170,10 +174,10 @@
         target = samples.make_follower()
         for payload in (b'', b'\x00' * 99, b'{"changes": 1, "snapshot": null}'):
             target.offer(payload)
-        self.assertThat(target.in_force.value, matchers.Is(None))
+        self.assertThat(target.active_version.value, matchers.Is(None))
 
     def expect_conflict(self, target):
-        contract = target.in_force.value.contracts['acme']
+        contract = target.active_version.value.contracts['acme']
         self.assertThat(contract.weight, matchers.Equals(1))
         self.assertThat(
             target.state(now=0)['faults']['conflict'],
--- a/tests/version/test_versions.py
+++ b/tests/version/test_versions.py
@@ -40,13 +40,13 @@
             credential_sha256=[second, first], weight=1.0
         )
         texts = [
-            versions.document_of(contracts.Contract(**member))
+            versions.encode_contract(contracts.Contract(**member))
             for member in (fields, other)
         ]
         self.assertThat(texts[0], matchers.Equals(texts[1]))
 
     def test_refuses_a_change_that_does_not_follow_or_match(self):
-        snapshots, changes = samples.chain(
+        snapshots, changes = samples.make_chain(
             samples.documents(acme=1), samples.documents(acme=2)
         )
         head = dataclasses.replace(changes[0].head, digest='0' * 64)
@@ -60,13 +60,13 @@
 
     def test_parse_refuses_what_callers_could_not_be_told_apart_by(self):
         clash = samples.contract_fields()['credential_sha256']
-        documents = versions.documents_of(
+        documents = versions.encode_contracts(
             contracts.Contract(
                 **samples.contract_fields(name, credential_sha256=clash)
             )
             for name in ('acme', 'beta')
         )
-        snapshots, _ = samples.chain(documents)
+        snapshots, _ = samples.make_chain(documents)
         self.assertThat(
             versions.parse(snapshots[1]).unwrap_err(),
             matchers.Contains('which acme has too'),
@@ -77,12 +77,12 @@
     def test_any_delivery_moves_forward_to_true_versions(
         self, contents, deliveries
     ):
-        snapshots, changes = samples.chain(
+        snapshots, changes = samples.make_chain(
             *(samples.documents(**weights) for weights in contents)
         )
         target = samples.make_follower()
         numbers = []
-        target.in_force.subscribe(
+        target.active_version.subscribe(
             lambda version: numbers.append(version and version.number)
         )
         last = len(contents)
@@ -106,7 +106,7 @@
     """What a row or a peer gives is checked before it is used."""
 
     def test_changes_and_snapshots_come_back_equal(self):
-        snapshots, changes = samples.chain(
+        snapshots, changes = samples.make_chain(
             samples.documents(acme=1, beta=1.5), samples.documents(beta=2)
         )
         payload = codec.Payload(snapshot=snapshots[1], changes=(changes[1],))
@@ -120,7 +120,7 @@
         )
 
     def test_refuses_damaged_payloads(self):
-        snapshots, _ = samples.chain(samples.documents(acme=1))
+        snapshots, _ = samples.make_chain(samples.documents(acme=1))
         whole = codec.encode_payload(
             codec.Payload(snapshot=snapshots[1], changes=())
         )
