--- a/sardineproxy/connection/messages.py
+++ b/sardineproxy/connection/messages.py
@@ -162,19 +162,19 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class DirectoryRequest:
-    """Asks for the directory of VMs and claims."""
+class RegistryRequest:
+    """Asks for the rows of the registry."""
 
 
-#: Key, revision and body of a row of the directory.
-DirectoryRow = tuple[str, int, bytes]
+#: Key, revision and body of a row of the registry.
+RegistryRow = tuple[str, int, bytes]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class DirectoryResponse:
-    """The directory of VMs and claims."""
+class RegistryResponse:
+    """The rows of the registry: VMs and claims."""
 
-    rows: tuple[DirectoryRow, ...] = codec.checked_field(
+    rows: tuple[RegistryRow, ...] = codec.checked_field(
         codec.rows(codec.text, codec.count, codec.blob)
     )
 
@@ -258,8 +258,8 @@
     | Declined
     | ShardReleased
     | TakeOver
-    | DirectoryRequest
-    | DirectoryResponse
+    | RegistryRequest
+    | RegistryResponse
     | VersionRequest
     | VersionResponse
     | JobStarted
@@ -279,8 +279,8 @@
     Declined,
     ShardReleased,
     TakeOver,
-    DirectoryRequest,
-    DirectoryResponse,
+    RegistryRequest,
+    RegistryResponse,
     VersionRequest,
     VersionResponse,
     JobStarted,
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -54,13 +54,13 @@
         self,
         *,
         store: store.Store,
-        directory: registry.Registry,
+        registry: registry.Registry,
         member: registry.Member,
         on_token: Callable[[ids.ShardId, fencing.FencingToken], None],
     ) -> None:
         """Create a claimer that passes acquired tokens to ``on_token``."""
         self._store = store
-        self._directory = directory
+        self._registry = registry
         self._member = member
         self._on_token = on_token
         self._absent_since: dict[ids.ShardId, float] = {}
@@ -85,7 +85,7 @@
             self._absent_since.pop(shard, None)
             self._reachable_since.pop(shard, None)
             return False
-        claim = self._directory.claims.get(shard)
+        claim = self._registry.claims.get(shard)
         revision = claim.revision if claim else 0
         if self._seen_revision.setdefault(shard, revision) != revision:
             # The leader has written its row: alive, although not linked.
@@ -122,7 +122,7 @@
         """
         self.postpone(shard, now)
         self._written_at[shard] = now
-        previous = self._directory.claims.get(shard)
+        previous = self._registry.claims.get(shard)
         claim = registry.Claim(
             cell=shard,
             epoch=previous.epoch + 1 if previous else 1,
@@ -138,7 +138,7 @@
             writes=(write,),
         )
         if isinstance(answer, result.Ok):
-            self._directory.apply(
+            self._registry.apply(
                 (
                     store.Row(
                         key=write.key,
@@ -172,7 +172,7 @@
 
     def successors_of_claim(self, shard: ids.ShardId) -> list[ids.VmId]:
         """Return the VMs that are successors under a shard's current claim."""
-        claim = self._directory.claims.get(shard)
+        claim = self._registry.claims.get(shard)
         return [] if claim is None else [vm for vm, _ in claim.heirs]
 
     def is_candidate(self) -> bool:
@@ -184,7 +184,7 @@
 
     def needs_link(self, vm: ids.VmId, other_vm: ids.VmId) -> bool:
         """Return whether two VMs should be linked (symmetric)."""
-        if len(self._directory.members) <= FULL_MESH_MAX_VMS:
+        if len(self._registry.members) <= FULL_MESH_MAX_VMS:
             return True
         return self._may_lead_for(vm, other_vm) or self._may_lead_for(
             other_vm, vm
@@ -204,7 +204,7 @@
         successors, and, as a heartbeat to other zones, while no other VM is
         connected.
         """
-        claim = self._directory.claims.get(shard)
+        claim = self._registry.claims.get(shard)
         if now < self._retry_at.get(shard, 0):
             return False
         if isolated:
@@ -222,10 +222,10 @@
         zone.
         """
         if any(
-            claim.owner[0] == vm for claim in self._directory.claims.values()
+            claim.owner[0] == vm for claim in self._registry.claims.values()
         ):
             return True
-        member = self._directory.members.get(other_vm)
+        member = self._registry.members.get(other_vm)
         if member is None:
             return False
         first = self._candidates(ids.ShardId(member.zone))[:LINKED_CANDIDATES]
@@ -248,7 +248,7 @@
         """Return the VMs of the shard's zone, those with most cores first."""
         members = [
             member
-            for member in self._directory.members.values()
+            for member in self._registry.members.values()
             if member.zone == shard
         ]
         return sorted(members, key=lambda member: (-member.cores, member.vm))
@@ -262,7 +262,7 @@
         claim in order of name, and only if the zone has no connected VM.
         """
         base_delay_s = FIRST_CLAIM_DELAY_S
-        if shard in self._had_leader or shard in self._directory.claims:
+        if shard in self._had_leader or shard in self._registry.claims:
             base_delay_s = CLAIM_DELAY_S
         reachable = [
             member.vm
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -19,7 +19,7 @@
 CONFIG_POLL_WAIT_SHARE = 0.5
 
 #: Long-poll timeout for members and claims, in seconds.
-DIRECTORY_POLL_WAIT_S = 5.0
+REGISTRY_POLL_WAIT_S = 5.0
 
 #: The list of workers changes with every worker heartbeat, so it is read at
 #: intervals; a leaving worker must not receive orders after 2 s.
@@ -42,7 +42,7 @@
     def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Apply changed rows of the operator's table."""
 
-    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
+    def registry_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Apply changed members and claims."""
 
     def worker_rows_changed(self, rows: tuple[store.Row, ...]) -> None:
@@ -83,8 +83,8 @@
             ),
             (
                 registry.TABLE,
-                handler.directory_changed,
-                _fixed_timing(DIRECTORY_POLL_WAIT_S),
+                handler.registry_changed,
+                _fixed_timing(REGISTRY_POLL_WAIT_S),
             ),
             (
                 worker_table,
@@ -105,7 +105,7 @@
             for table, on_rows, timing in tables
         ]
         self.configuration = followers[0]
-        self.directory = followers[1]
+        self.registry = followers[1]
         self.worker_list = followers[2]
 
     def coroutines(
@@ -114,7 +114,7 @@
         """Return the coroutines to run: the followers and the registration."""
         return [
             self.configuration.run(),
-            self.directory.run(),
+            self.registry.run(),
             self.worker_list.run(),
             self._register(member),
         ]
@@ -137,12 +137,12 @@
             follower.answered_at or 0
             for follower in (
                 self.configuration,
-                self.directory,
+                self.registry,
                 self.worker_list,
             )
         )
 
-    def is_list_available(self) -> bool:
+    def is_worker_list_available(self) -> bool:
         """Return whether the store can currently read the list of workers."""
         return self.worker_list.healthy_since is not None
 
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -79,11 +79,11 @@
             decode=dependencies.formats.decode_configuration
         )
         self.active_jobs = active_jobs.ActiveJobs()
-        self.directory = registry.Registry()
+        self.registry = registry.Registry()
         self._peer_sync = peer_sync.PeerSync(
             versions=self.versions,
-            directory=self.directory,
-            on_directory=self._update_links,
+            registry=self.registry,
+            on_registry_change=self._update_links,
         )
         self.leaders = leaders.Leaders(own_vm=cfg.vm)
         self.workers = worker_list.WorkerList(
@@ -113,7 +113,7 @@
         )
         self._claimer = claiming.ShardClaimer(
             store=dependencies.store,
-            directory=self.directory,
+            registry=self.registry,
             member=self.member,
             on_token=self._lead,
         )
@@ -216,7 +216,7 @@
             default=None,
         )
 
-    def leader(self, shard: ids.ShardId) -> link.Link | None:
+    def leader_link(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a shard's leader, None if it is unreachable."""
         vm = self.leader_of(shard)
         if vm is None:
@@ -228,7 +228,7 @@
     def opened(self, opened: link.Link) -> None:
         """Send a heartbeat and request the peer's registry rows."""
         opened.send(self._heartbeat(self._clock.now()))
-        opened.send(messages.DirectoryRequest())
+        opened.send(messages.RegistryRequest())
 
     def closed(self, closed: link.Link) -> None:
         """Remove state that depends on a closed link."""
@@ -292,7 +292,7 @@
 
     def manager_link(self, job: ids.JobId) -> link.Link | None:
         """Return the link to the leader of a stored job's home shard."""
-        return self.leader(self.job_service.home_shard(job))
+        return self.leader_link(self.job_service.home_shard(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
         """Return a route of the version in force, None if it was removed."""
@@ -319,7 +319,7 @@
         """Return the local time of the last read of the worker list."""
         return self._feeds.workers_listed_at()
 
-    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
+    def leadership_confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return the local time at which leadership was last confirmed.
 
         This is ``now`` if all successors are connected, as they would report
@@ -330,13 +330,13 @@
             return now
         return self._feeds.last_response_at()
 
-    def is_list_available(self) -> bool:
+    def is_worker_list_available(self) -> bool:
         """Return whether the store can currently read the list of workers."""
-        return self._feeds.is_list_available()
+        return self._feeds.is_worker_list_available()
 
     def is_isolated(self) -> bool:
         """Return whether other VMs exist but none is connected."""
-        return not self.links.open_links and len(self.directory.members) > 1
+        return not self.links.open_links and len(self.registry.members) > 1
 
     def shard_gained(self, shard: ids.ShardId) -> None:
         """Announce that this process leads a shard."""
@@ -363,7 +363,7 @@
             if row.key == self._formats.configuration_row and row.body:
                 self.versions.offer(row.body, 'store')
 
-    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
+    def registry_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Apply changed members and claims."""
         self._peer_sync.apply_rows(rows)
 
@@ -497,7 +497,7 @@
         """Set link targets: members, or the seeds while none is known."""
         peering.update_link_targets(
             self.links,
-            members=self.directory.members.values(),
+            members=self.registry.members.values(),
             claimer=self._claimer,
             cfg=self.cfg,
         )
--- a/sardineproxy/process/node/peer_sync.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -28,16 +28,16 @@
         self,
         *,
         versions: active_config.ActiveConfig,
-        directory: registry.Registry,
-        on_directory: Callable[[], None],
+        registry: registry.Registry,
+        on_registry_change: Callable[[], None],
     ) -> None:
         """Create an instance.
 
-        ``on_directory`` is called when members or claims have changed.
+        ``on_registry_change`` is called when members or claims have changed.
         """
         self._versions = versions
-        self._directory = directory
-        self._on_directory = on_directory
+        self._registry = registry
+        self._on_registry_change = on_registry_change
         self._fetch_policy = fetch_policy.FetchPolicy()
 
     def version_reported(
@@ -62,16 +62,16 @@
 
     def apply_rows(self, rows: tuple[store.Row, ...]) -> None:
         """Apply members and claims that are newer than the current ones."""
-        if self._directory.apply(rows):
-            self._on_directory()
+        if self._registry.apply(rows):
+            self._on_registry_change()
 
     def received(self, source: link.Link, message: messages.Message) -> None:
         """Handle a request or a response."""
         match message:
-            case messages.DirectoryRequest():
-                source.send(pack_directory(self._directory))
-            case messages.DirectoryResponse():
-                self.apply_rows(unpack_directory(message))
+            case messages.RegistryRequest():
+                source.send(pack_registry(self._registry))
+            case messages.RegistryResponse():
+                self.apply_rows(unpack_registry(message))
             case messages.VersionRequest():
                 source.send(pack_version(self._versions))
             case messages.VersionResponse():
@@ -113,17 +113,17 @@
     return result.Ok(body)
 
 
-def pack_directory(directory: registry.Registry) -> messages.DirectoryResponse:
+def pack_registry(registry: registry.Registry) -> messages.RegistryResponse:
     """Encode the rows of members and claims."""
-    return messages.DirectoryResponse(
+    return messages.RegistryResponse(
         rows=tuple(
-            (row.key, row.revision, row.body or b'') for row in directory.rows()
+            (row.key, row.revision, row.body or b'') for row in registry.rows()
         )
     )
 
 
-def unpack_directory(
-    message: messages.DirectoryResponse,
+def unpack_registry(
+    message: messages.RegistryResponse,
 ) -> tuple[store.Row, ...]:
     """Return the rows of members and claims that a peer sent."""
     return tuple(
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -24,10 +24,10 @@
             vm: len(vm_links)
             for vm, vm_links in described.links.open_links.items()
         },
-        'members': sorted(described.directory.members),
+        'members': sorted(described.registry.members),
         'claims': {
             shard: dataclasses.asdict(claim)
-            for shard, claim in described.directory.claims.items()
+            for shard, claim in described.registry.claims.items()
         },
         'jobs': described.active_jobs.state(),
         'kept': [
--- a/sardineproxy/process/shards/scheduler.py
+++ b/sardineproxy/process/shards/scheduler.py
@@ -31,7 +31,7 @@
     def workers_listed_at(self) -> float:
         """Return the local time of the newest worker list, in seconds."""
 
-    def is_list_available(self) -> bool:
+    def is_worker_list_available(self) -> bool:
         """Return whether the worker list can be read from the store."""
 
 
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -35,7 +35,7 @@
 ):
     """State of the rest of the process that a shard leader depends on."""
 
-    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
+    def leadership_confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return when leadership of a shard was last confirmed.
 
         Local time, in seconds. Leadership is confirmed when the store
@@ -296,7 +296,7 @@
         if self._context.workers_listed_at() >= self._opened_at:
             return True
         waited = now >= self._opened_at + self._cfg.list_wait_s
-        return waited or not self._context.is_list_available()
+        return waited or not self._context.is_worker_list_available()
 
     def _check_confirmed(self, now: float) -> None:
         """Let leases of stored jobs' runs expire if leadership is uncertain.
@@ -304,7 +304,9 @@
         Another leader may exist then, and it starts the runs elsewhere even
         if their worker does not respond.
         """
-        unconfirmed_s = now - self._context.confirmed_at(self.shard, now)
+        unconfirmed_s = now - self._context.leadership_confirmed_at(
+            self.shard, now
+        )
         is_confirmed = unconfirmed_s < self._cfg.unconfirmed_s
         if is_confirmed is not self._is_confirmed:
             self._is_confirmed = is_confirmed
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -380,7 +380,7 @@
 
     def _acknowledge(self, completions: list[_Completion]) -> None:
         for completion in completions:
-            leader = self._router.leader(completion.shard)
+            leader = self._router.leader_link(completion.shard)
             if leader is not None:
                 leader.send(
                     messages.ResultsStored(
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -38,7 +38,7 @@
     def all_shards(self) -> Iterable[ids.ShardId]:
         """Return all shards of the deployment."""
 
-    def leader(self, shard: ids.ShardId) -> link.Link | None:
+    def leader_link(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to the leader of a shard, None if unknown."""
 
 
@@ -199,7 +199,7 @@
     async def _attempt(
         self, shard: ids.ShardId, make_request: _RequestFactory
     ) -> job_manager.JobReply:
-        leader = self._directory.leader(shard)
+        leader = self._directory.leader_link(shard)
         if leader is None:
             return _Reply.UNAVAILABLE
         request_id = next(self._request_ids)
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -199,7 +199,7 @@
             task.was_moved for task in tasks
         ):
             suggested = ids.ShardId(declined.suggested_shard)
-            if self._router.leader(suggested) is not None:
+            if self._router.leader_link(suggested) is not None:
                 self._open.move(tasks, suggested, job_started=self._job_started)
                 return None
         elif any(task.was_moved for task in tasks):
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -22,7 +22,7 @@
     def default_shard(self) -> ids.ShardId | None:
         """Return the shard that this VM submits jobs to, None without one."""
 
-    def leader(self, shard: ids.ShardId) -> link.Link | None:
+    def leader_link(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to the leader of a shard, None without one."""
 
 
@@ -147,7 +147,7 @@
         now = self._clock.now()
         first = tasks[0]
         step = self.job.steps[first.step]
-        leader = self._router.leader(first.shard)
+        leader = self._router.leader_link(first.shard)
         for unassigned in tasks:
             unassigned.leader = None
         if leader is None:
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -32,11 +32,11 @@
         self, member: registry.Member, shared: samples.MemoryStore | None = None
     ) -> None:
         self.store = shared or samples.MemoryStore()
-        self.directory = registry.Registry()
+        self.registry = registry.Registry()
         self.tokens: list[fencing.FencingToken] = []
         self.claimer = claiming.ShardClaimer(
             store=self.store,
-            directory=self.directory,
+            registry=self.registry,
             member=member,
             on_token=lambda _, token: self.tokens.append(token),
         )
@@ -49,7 +49,7 @@
         self.read()
 
     def read(self) -> None:
-        self.directory.apply(self.store.rows.read(registry.TABLE).rows)
+        self.registry.apply(self.store.rows.read(registry.TABLE).rows)
 
     def should_claim(self, now: float, **changes: Any) -> bool:
         return self.claimer.should_claim(
--- a/tests/process/node/test_peer_sync.py
+++ b/tests/process/node/test_peer_sync.py
@@ -43,12 +43,12 @@
 class TestDirectory(testtools.TestCase):
     def test_rows_keep_their_revisions(self) -> None:
         """Guards against outdated claims that replace newer ones."""
-        directory = registry.Registry()
+        tested = registry.Registry()
         row = store.Row(
             key='sardineproxy/cell/z',
             revision=9,
             body=b'{"epoch": 3, "owner": ["a", "1"], "heirs": []}',
         )
-        directory.apply((row,))
-        message = peer_sync.pack_directory(directory)
-        self.assertEqual((row,), peer_sync.unpack_directory(message))
+        tested.apply((row,))
+        message = peer_sync.pack_registry(tested)
+        self.assertEqual((row,), peer_sync.unpack_registry(message))
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -169,10 +169,10 @@
     def workers_listed_at(self) -> float:
         return self.clock.now() if self.list_is_new else 0
 
-    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
+    def leadership_confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now if self.is_confirmed else 0
 
-    def is_list_available(self) -> bool:
+    def is_worker_list_available(self) -> bool:
         return True
 
     def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -80,7 +80,7 @@
     def default_shard(self) -> ids.ShardId | None:
         return samples.SHARD if self.world.leader in self.ends else None
 
-    def leader(self, shard: ids.ShardId) -> Any:
+    def leader_link(self, shard: ids.ShardId) -> Any:
         return self.ends.get(self.world.leader)
 
     def connect(self, leader: shards.ShardLeader) -> None:
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -192,19 +192,19 @@
     def manager_link(self, job: ids.JobId) -> Any:
         return self.link
 
-    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
+    def leadership_confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now
 
     def workers_listed_at(self) -> float:
         return self.cluster.rig.clock.now()
 
-    def is_list_available(self) -> bool:
+    def is_worker_list_available(self) -> bool:
         return True
 
     def default_shard(self) -> ids.ShardId | None:
         return samples.SHARD
 
-    def leader(self, shard: ids.ShardId) -> Any:
+    def leader_link(self, shard: ids.ShardId) -> Any:
         return self.link
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -44,7 +44,7 @@
     def default_shard(self) -> ids.ShardId | None:
         return HOME if HOME in self.links else None
 
-    def leader(self, shard: ids.ShardId) -> Any:
+    def leader_link(self, shard: ids.ShardId) -> Any:
         return self.links.get(shard)
 
     def submitted(self, shard: ids.ShardId = HOME) -> list[messages.Submit]:
