--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -1,4 +1,4 @@
-"""Tracks which entry VM leads each shard, from the heartbeats of the VMs."""
+"""Tracks which entry VM leads each shard, based on heartbeats."""
 
 import dataclasses
 from typing import Mapping
@@ -15,18 +15,19 @@
 class LeadershipChange:
     """Differences between two successive choices of leaders."""
 
-    #: Shards of this VM for which another VM holds a higher fencing token.
-    lost: dict[ids.ShardId, ids.VmId]
+    #: Shards led by this VM for which another VM holds a higher fencing token,
+    #: with that VM.
+    lost_shards: dict[ids.ShardId, ids.VmId]
 
-    #: Shards whose leader has changed.
-    with_new_leader: list[ids.ShardId]
+    #: Shards with a leader other than before.
+    shards_with_new_leader: list[ids.ShardId]
 
 
 class Leaders:
     """Fencing tokens reported by connected VMs, and the leaders they imply."""
 
     def __init__(self, *, own_vm: ids.VmId) -> None:
-        """Create an instance without leaders."""
+        """Create an instance in which no shard has a leader."""
         self._own_vm = own_vm
         #: Latest fencing tokens that each VM has reported.
         self._tokens: dict[
@@ -83,34 +84,37 @@
         )
 
     def choose(
-        self, own: Mapping[ids.ShardId, fencing.FencingToken]
+        self, own_tokens: Mapping[ids.ShardId, fencing.FencingToken]
     ) -> LeadershipChange:
         """Set the holder of the highest fencing token as leader of each shard.
 
-        ``own`` are the tokens that this VM holds.
+        ``own_tokens`` are the tokens that this VM holds.
         """
         highest = self._highest_tokens()
-        lost: dict[ids.ShardId, ids.VmId] = {}
-        for shard, token in own.items():
+        lost_shards: dict[ids.ShardId, ids.VmId] = {}
+        for shard, token in own_tokens.items():
             remote = highest.get(shard)
             if remote is not None and remote[0] > token:
-                lost[shard] = remote[1]
+                lost_shards[shard] = remote[1]
             else:
                 highest[shard] = (token, self._own_vm)
-        former = self.by_shard
+        former_leaders = self.by_shard
         self.by_shard = {
             led_shard: holder[1] for led_shard, holder in highest.items()
         }
-        for removed_shard in set(former).difference(highest):
+        for removed_shard in set(former_leaders).difference(highest):
             self.capacities.remove(removed_shard)
-        with_new_leader = [
+        shards_with_new_leader = [
             led_shard
             for led_shard, leader in self.by_shard.items()
-            if former.get(led_shard) != leader
+            if former_leaders.get(led_shard) != leader
         ]
-        for changed_shard in with_new_leader:
+        for changed_shard in shards_with_new_leader:
             _log_leader(changed_shard, *highest[changed_shard])
-        return LeadershipChange(lost=lost, with_new_leader=with_new_leader)
+        return LeadershipChange(
+            lost_shards=lost_shards,
+            shards_with_new_leader=shards_with_new_leader,
+        )
 
     def _highest_tokens(
         self,
--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -27,8 +27,8 @@
 
 
 #: Between a VM and the leader of its home shard. A client retries a job no
-#: sooner than 1.3 s after a failure, and the runs of an unresponsive VM must
-#: have ended by then.
+#: sooner than 1.3 s after a failure, and the runs that an unresponsive VM has
+#: submitted must have ended by then.
 HOME_LEADER_HEARTBEAT = HeartbeatTiming(interval_s=0.1, timeout_s=0.4)
 
 #: Between a VM and the leaders of other shards. A longer timeout loses more
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Target:
-    """Dial state of a peer address."""
+    """State of the connection attempts to a peer address."""
 
     retry_at: float = 0
     failures: int = 0
@@ -101,7 +101,7 @@
         self._server: asyncio.Server | None = None
         self._targets: dict[deployment.Address, _Target] = {}
         self._tasks = background.Tasks()
-        self._needed: Collection[ids.VmId] | None = None
+        self._needed_vms: Collection[ids.VmId] | None = None
 
         #: Heartbeat timing of each open link, and the time it was set.
         self._timings: dict[link.Link, tuple[HeartbeatTiming, float]] = {}
@@ -134,7 +134,7 @@
         }
 
     def get(self, vm: ids.VmId) -> link.Link | None:
-        """Return an open link to a VM, or None."""
+        """Return an open link to a VM, None if there is none."""
         for open_link in self.open_links.get(vm, ()):
             if not open_link.is_closing():
                 return open_link
@@ -181,9 +181,12 @@
             open_link.abort()
             self._remove(open_link)
 
-    def set_needed(self, vms: Collection[ids.VmId]) -> None:
-        """Set the VMs to keep links to; other links expire by age."""
-        self._needed = vms
+    def set_needed_vms(self, vms: Collection[ids.VmId]) -> None:
+        """Set the VMs that need a link.
+
+        Links to other VMs are closed at the age ``UNUSED_LINK_AGE_S``.
+        """
+        self._needed_vms = vms
 
     def set_peer_vm(self, address: deployment.Address, vm: ids.VmId) -> None:
         """Record which VM listens at an address."""
@@ -217,8 +220,8 @@
 
     def _is_unneeded(self, open_link: link.Link, now: float) -> bool:
         return (
-            self._needed is not None
-            and open_link.peer.vm not in self._needed
+            self._needed_vms is not None
+            and open_link.peer.vm not in self._needed_vms
             and now - open_link.opened_at >= UNUSED_LINK_AGE_S
         )
 
@@ -248,7 +251,7 @@
         except (OSError, TimeoutError) as exc:
             if not target.failures:
                 _LOG.info(
-                    'Connecting to a peer failed.',
+                    'Connecting to a peer failed; retrying.',
                     extra={'address': str(address), 'cause': repr(exc)},
                 )
             self._back_off(target)
@@ -312,7 +315,7 @@
             if isinstance(received, result.Err):
                 if not link.is_clean_close(received.err_value):
                     _LOG.info(
-                        'Link failed.',
+                        'Link closed: receiving failed.',
                         extra={
                             'vm': opened.peer.vm,
                             'cause': received.err_value,
--- a/sardineproxy/process/membership/loaded_shards.py
+++ b/sardineproxy/process/membership/loaded_shards.py
@@ -10,9 +10,10 @@
 class LoadedShard:
     """A shard whose leader has loaded all stored jobs.
 
-    The leader has also requested the tasks of these jobs.
+    The leader has also submitted the tasks of these jobs to shards.
     """
 
+    #: VM of the leader.
     vm: ids.VmId
 
     #: Local time at which the VM first reported it, in seconds.
--- a/sardineproxy/process/membership/registry.py
+++ b/sardineproxy/process/membership/registry.py
@@ -10,8 +10,8 @@
 #: Table of this project in the platform's store.
 TABLE = 'sardineproxy'
 
-_MEMBER = f'{TABLE}/member/'
-_SHARD = f'{TABLE}/cell/'
+_MEMBER_PREFIX = f'{TABLE}/member/'
+_SHARD_PREFIX = f'{TABLE}/cell/'
 
 _LOG = logs.get_logger('registry')
 
@@ -31,13 +31,13 @@
     cores: float
 
 
-#: Identifies one process of an entry VM.
+#: VM and incarnation, which together identify a process.
 ProcessId = tuple[ids.VmId, ids.Incarnation]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Claim:
-    """Leadership claim on a shard."""
+    """Claim of a process to lead a shard."""
 
     cell: ids.ShardId
 
@@ -76,14 +76,14 @@
         return changed
 
     def rows(self) -> tuple[store.Row, ...]:
-        """Return all rows that were not deleted, to send them to a peer."""
+        """Return all rows that are not deleted, for a response to a peer."""
         return tuple(row for row in self._rows.values() if row.body is not None)
 
     def _decode(self, row: store.Row) -> None:
         try:
-            if row.key.startswith(_MEMBER):
+            if row.key.startswith(_MEMBER_PREFIX):
                 self._decode_member(row)
-            elif row.key.startswith(_SHARD):
+            elif row.key.startswith(_SHARD_PREFIX):
                 self._decode_claim(row)
         except (ValueError, KeyError, TypeError) as exc:
             _LOG.error(
@@ -92,7 +92,7 @@
             )
 
     def _decode_member(self, row: store.Row) -> None:
-        vm = ids.VmId(row.key.removeprefix(_MEMBER))
+        vm = ids.VmId(row.key.removeprefix(_MEMBER_PREFIX))
         if row.body is None:
             self.members.pop(vm, None)
             return
@@ -108,7 +108,7 @@
         )
 
     def _decode_claim(self, row: store.Row) -> None:
-        shard = ids.ShardId(row.key.removeprefix(_SHARD))
+        shard = ids.ShardId(row.key.removeprefix(_SHARD_PREFIX))
         if row.body is None:
             self.claims.pop(shard, None)
             return
@@ -137,13 +137,13 @@
         'cores': member.cores,
     }
     return store.Write(
-        key=f'{_MEMBER}{member.vm}', body=json.dumps(document).encode()
+        key=f'{_MEMBER_PREFIX}{member.vm}', body=json.dumps(document).encode()
     )
 
 
 def shard_key(shard: ids.ShardId) -> str:
     """Return the key of a shard's claim row."""
-    return f'{_SHARD}{shard}'
+    return f'{_SHARD_PREFIX}{shard}'
 
 
 def claim_write(claim: Claim) -> store.Write:
--- a/sardineproxy/process/membership/table_follower.py
+++ b/sardineproxy/process/membership/table_follower.py
@@ -1,4 +1,4 @@
-"""Mirrors a table of the store by polling its change feed."""
+"""Maintains a copy of a table of the store by polling its change feed."""
 
 import asyncio
 import dataclasses
@@ -30,7 +30,7 @@
 
 
 class TableFollower:
-    """Maintains an up-to-date copy of a table."""
+    """Keeps a copy of a table up to date."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self._outage_since: float | None = None
 
         #: Time of the last successful call, None before the first.
-        self.answered_at: float | None = None
+        self.last_success_at: float | None = None
 
         #: Start of the current period without failed calls, None before the
         #: first successful call and during an outage.
@@ -71,11 +71,11 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Return whether the table was read at least once."""
+        """Return whether the table has been read at least once."""
         return self._revision is not None
 
     def poll_now(self) -> None:
-        """Cut the current pause short."""
+        """End the current pause, or the next one if no pause is in progress."""
         self._poll_requested.set()
 
     async def run(self) -> None:
@@ -103,7 +103,7 @@
         if isinstance(answer, result.Err):
             if answer.err_value.kind is store.ErrorKind.HISTORY_LOST:
                 _LOG.info(
-                    'Change history lost, reading the whole table.',
+                    'Change history is not available; reading the whole table.',
                     extra={'table': self._table},
                 )
                 return await self._fetch_all()
@@ -140,11 +140,11 @@
     def _record_outcome(
         self, answer: result.Result[store.Rows, store.StoreError]
     ) -> None:
-        """Update the health state; log start and end of an outage."""
+        """Update the health state; log the start and the end of an outage."""
         now = self._clock.now()
         if isinstance(answer, result.Ok):
             self._failures = 0
-            self.answered_at = now
+            self.last_success_at = now
             if self.healthy_since is None:
                 self.healthy_since = now
             if self._outage_since is not None:
@@ -180,7 +180,8 @@
             pause_s = max_pause_s * self._rng.uniform(0.5, 1)
         if not pause_s:
             return
-        # A request made during the preceding call ends this pause as well.
+        # A call of ``poll_now`` during the preceding store call ends this
+        # pause as well.
         try:
             async with asyncio.timeout(pause_s):
                 await self._poll_requested.wait()
--- a/sardineproxy/process/membership/worker_list.py
+++ b/sardineproxy/process/membership/worker_list.py
@@ -73,15 +73,18 @@
     ) -> None:
         """Treat a worker with a malformed entry as removed."""
         if worker_id in self._workers:
-            _LOG.error('Malformed worker entry.', extra={'cause': cause})
+            _LOG.error(
+                'Malformed worker entry; treated as removed.',
+                extra={'cause': cause},
+            )
         self._removed_at.setdefault(worker_id, now)
 
 
 def is_complete(source: table_follower.TableFollower, now: float) -> bool:
     """Return whether the list is certain to contain every worker."""
-    if source.answered_at is None or source.healthy_since is None:
+    if source.last_success_at is None or source.healthy_since is None:
         return False
     return (
-        now - source.answered_at < REMOVAL_DELAY_S
+        now - source.last_success_at < REMOVAL_DELAY_S
         and now - source.healthy_since >= REMOVAL_DELAY_S
     )
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -10,8 +10,8 @@
 from sardineproxy.process.membership import registry
 
 #: Time without a leader after which the first candidate claims a new shard,
-#: in seconds. The first read of the registry and the first links take about
-#: 0.3 s.
+#: in seconds. After a start, reading the registry and opening the first links
+#: take about 0.3 s.
 FIRST_CLAIM_DELAY_S = 0.5
 
 #: The same delay for a shard that has had a leader before, in seconds.
@@ -29,9 +29,9 @@
 #: rewrites it, in seconds.
 REFRESH_DELAY_S = 1.0
 
-#: Interval at which an isolated leader rewrites its claim row, in seconds. The
-#: writes show VMs of other zones that it is alive, and they must see one
-#: within ``FOREIGN_CLAIM_DELAY_S``.
+#: Interval at which a leader without links to other VMs rewrites its claim row,
+#: in seconds. The writes show VMs of other zones that it is alive, and they
+#: must see one within ``FOREIGN_CLAIM_DELAY_S``.
 ISOLATED_REFRESH_S = 0.5
 
 #: Largest number of VMs that are linked in a full mesh.
@@ -63,13 +63,13 @@
         self._registry = registry
         self._member = member
         self._on_token = on_token
-        self._absent_since: dict[ids.ShardId, float] = {}
+        self._leaderless_since: dict[ids.ShardId, float] = {}
         self._retry_at: dict[ids.ShardId, float] = {}
         self._outdated_since: dict[ids.ShardId, float] = {}
-        self._written_at: dict[ids.ShardId, float] = {}
+        self._claim_written_at: dict[ids.ShardId, float] = {}
         self._had_leader: set[ids.ShardId] = set()
         self._seen_revision: dict[ids.ShardId, int] = {}
-        self._reachable_since: dict[ids.ShardId, float] = {}
+        self._workers_reachable_since: dict[ids.ShardId, float] = {}
 
     def should_claim(
         self,
@@ -82,17 +82,18 @@
         """Return whether this process should claim a shard now."""
         if leader is not None:
             self._had_leader.add(shard)
-            self._absent_since.pop(shard, None)
-            self._reachable_since.pop(shard, None)
+            self._leaderless_since.pop(shard, None)
+            self._workers_reachable_since.pop(shard, None)
             return False
         claim = self._registry.claims.get(shard)
         revision = claim.revision if claim else 0
         if self._seen_revision.setdefault(shard, revision) != revision:
-            # The leader has written its row: alive, although not linked.
+            # The leader has rewritten its row: it is alive, although no link
+            # to it is open.
             self._seen_revision[shard] = revision
-            self._absent_since.pop(shard, None)
-            self._reachable_since.pop(shard, None)
-        since = self._absent_since.setdefault(shard, now)
+            self._leaderless_since.pop(shard, None)
+            self._workers_reachable_since.pop(shard, None)
+        since = self._leaderless_since.setdefault(shard, now)
         if now < self._retry_at.get(shard, 0):
             return False
         return now - since >= self._claim_delay_s(shard, connected_vms)
@@ -109,9 +110,9 @@
         Returns whether they have been reachable long enough to claim it.
         """
         if not reached:
-            self._reachable_since.pop(shard, None)
+            self._workers_reachable_since.pop(shard, None)
             return False
-        since = self._reachable_since.setdefault(shard, now)
+        since = self._workers_reachable_since.setdefault(shard, now)
         return now - since >= FOREIGN_CLAIM_DELAY_S
 
     async def claim(self, shard: ids.ShardId, now: float) -> None:
@@ -121,7 +122,7 @@
         under the previous claim.
         """
         self.postpone(shard, now)
-        self._written_at[shard] = now
+        self._claim_written_at[shard] = now
         previous = self._registry.claims.get(shard)
         claim = registry.Claim(
             cell=shard,
@@ -177,10 +178,12 @@
 
     def is_candidate(self) -> bool:
         """Return whether this VM is among the first candidates of its zone."""
-        first = self._candidates(ids.ShardId(self._member.zone))[
+        first_candidates = self._candidates(ids.ShardId(self._member.zone))[
             :LINKED_CANDIDATES
         ]
-        return any(candidate.vm == self._member.vm for candidate in first)
+        return any(
+            candidate.vm == self._member.vm for candidate in first_candidates
+        )
 
     def needs_link(self, vm: ids.VmId, other_vm: ids.VmId) -> bool:
         """Return whether two VMs should be linked (symmetric)."""
@@ -208,7 +211,9 @@
         if now < self._retry_at.get(shard, 0):
             return False
         if isolated:
-            return now - self._written_at.get(shard, 0) >= ISOLATED_REFRESH_S
+            return (
+                now - self._claim_written_at.get(shard, 0) >= ISOLATED_REFRESH_S
+            )
         if claim is not None and self._is_current(claim, token):
             self._outdated_since.pop(shard, None)
             return False
@@ -216,10 +221,10 @@
         return now - since >= REFRESH_DELAY_S
 
     def _may_lead_for(self, vm: ids.VmId, other_vm: ids.VmId) -> bool:
-        """Return whether a VM leads, or may soon lead, a shard for another VM.
+        """Return whether a VM leads any shard, or may soon lead the other VM's.
 
-        It may soon do so if it is among the first candidates of that VM's
-        zone.
+        It may soon do so if it is among the first candidates of the other
+        VM's zone.
         """
         if any(
             claim.owner[0] == vm for claim in self._registry.claims.values()
@@ -228,8 +233,10 @@
         member = self._registry.members.get(other_vm)
         if member is None:
             return False
-        first = self._candidates(ids.ShardId(member.zone))[:LINKED_CANDIDATES]
-        return any(candidate.vm == vm for candidate in first)
+        first_candidates = self._candidates(ids.ShardId(member.zone))[
+            :LINKED_CANDIDATES
+        ]
+        return any(candidate.vm == vm for candidate in first_candidates)
 
     def _is_current(
         self, claim: registry.Claim, token: fencing.FencingToken
@@ -258,8 +265,9 @@
     ) -> float:
         """Return the time without a leader after which to claim a shard.
 
-        VMs of the shard's zone claim in order of size. VMs of other zones
-        claim in order of name, and only if the zone has no connected VM.
+        VMs of the shard's zone claim in order of their cores, the largest
+        first. VMs of other zones claim in order of name, and only if the
+        zone has no connected VM.
         """
         base_delay_s = FIRST_CLAIM_DELAY_S
         if shard in self._had_leader or shard in self._registry.claims:
@@ -299,10 +307,15 @@
         )
 
     def _log(
-        self, text: str, shard: ids.ShardId, epoch: int, rank: int, cause: str
+        self,
+        message: str,
+        shard: ids.ShardId,
+        epoch: int,
+        rank: int,
+        cause: str,
     ) -> None:
         _LOG.info(
-            text,
+            message,
             extra={
                 'cell': shard,
                 'epoch': epoch,
--- a/sardineproxy/process/node/core.py
+++ b/sardineproxy/process/node/core.py
@@ -21,8 +21,8 @@
 from sardineproxy.platform import settings
 from sardineproxy.process.node import cli, policy, service
 
-#: Garbage collection thresholds of the three generations. The default of 700
-#: allocations costs more time than it frees memory, as requests create few
+#: Garbage collection thresholds of the three generations. With the default of
+#: 700 allocations, collections cost more than they free: requests create few
 #: reference cycles.
 GC_THRESHOLDS = (10_000, 20, 20)
 
@@ -128,7 +128,7 @@
         """
         is_fatal = bool(context.get(background.FATAL))
         _LOG.error(
-            'Unhandled error.',
+            'Unhandled error in the event loop.',
             extra={'what': context.get('message'), 'ends': is_fatal},
             exc_info=context.get('exception'),
         )
@@ -139,10 +139,10 @@
     async def _watch_settings(
         self, node_service: service.Service, reload_requested: asyncio.Event
     ) -> None:
-        """Reload the settings on SIGHUP and every ``SETTINGS_PERIOD_S``."""
+        """Reload the settings on SIGHUP and at regular intervals."""
         while True:
             try:
-                async with asyncio.timeout(SETTINGS_PERIOD_S):
+                async with asyncio.timeout(SETTINGS_RELOAD_INTERVAL_S):
                     await reload_requested.wait()
                 _LOG.info('Reloading settings on SIGHUP.')
             except TimeoutError:
@@ -151,16 +151,16 @@
             loaded = settings.load(self._path)
             if isinstance(loaded, result.Err):
                 _LOG.error(
-                    'Invalid settings, keeping the current ones.',
+                    'Settings file is invalid; keeping the current settings.',
                     extra={'cause': loaded.err_value},
                 )
             else:
                 node_service.update_settings(loaded.ok_value)
 
 
-#: Interval at which the settings are reloaded without a signal, in seconds.
-#: The file may change without a SIGHUP.
-SETTINGS_PERIOD_S = 5.0
+#: Interval at which the settings are reloaded without a signal, in seconds,
+#: as the file may change without a SIGHUP.
+SETTINGS_RELOAD_INTERVAL_S = 5.0
 
 
 def _configure_gc() -> None:
@@ -171,7 +171,7 @@
 
 
 def _fail(
-    sentence: str, status: exit_status.ExitStatus
+    message: str, status: exit_status.ExitStatus
 ) -> exit_status.ExitStatus:
-    sys.stderr.write(f'sardineproxy-node: {sentence}\n')
+    sys.stderr.write(f'sardineproxy-node: {message}\n')
     return status
--- a/sardineproxy/process/node/dependencies.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -1,4 +1,4 @@
-"""External dependencies of a node, and objects built from them."""
+"""External dependencies of a node, and the job managers built from them."""
 
 import dataclasses
 import random
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Dependencies:
-    """Interfaces to the environment, replaced in tests."""
+    """Interfaces to the environment, which tests replace."""
 
     clock: clock.Clock
     rng: random.Random
@@ -47,9 +47,13 @@
     shard: ids.ShardId,
     writer: fenced_rows.Writer,
     router: execution.Router,
-    states_s: float,
+    retention_s: float,
 ) -> job_manager.JobManager:
-    """Return a stored-job manager for a shard that this process leads."""
+    """Return the manager of stored jobs for a shard that this process leads.
+
+    ``retention_s`` is the time for which the state of a finished job is
+    available, in seconds.
+    """
     return job_manager.JobManager(
         table=job_table.JobTable(
             shard=shard,
@@ -62,5 +66,5 @@
         router=router,
         clock=dependencies.clock,
         metrics=dependencies.metrics,
-        retention_s=states_s,
+        retention_s=retention_s,
     )
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -15,18 +15,21 @@
 )
 
 #: Long-poll timeout for the configuration, as a fraction of the time within
-#: which it must be in force. At one half, one response may be lost.
+#: which a new version must be in force. With one half, a version is in time
+#: even if one response is lost.
 CONFIG_POLL_WAIT_SHARE = 0.5
 
 #: Long-poll timeout for members and claims, in seconds.
 REGISTRY_POLL_WAIT_S = 5.0
 
-#: The list of workers changes with every worker heartbeat, so it is read at
-#: intervals; a leaving worker must not receive orders after 2 s.
+#: Polling intervals of shard leaders and of the first candidates for a shard.
+#: The list of workers changes with every worker heartbeat, so that a long poll
+#: would return at once. The pauses are below 2 s, after which a worker that is
+#: leaving must receive no more orders.
 LEADER_POLL_TIMING = table_follower.PollTiming(wait_s=0, pause_s=0.8)
 CANDIDATE_POLL_TIMING = table_follower.PollTiming(wait_s=0, pause_s=1.5)
 
-#: Intervals of VMs that are not among the first candidates for a shard.
+#: Polling intervals of all other VMs.
 FOLLOWER_POLL_TIMING = table_follower.PollTiming(wait_s=0, pause_s=15)
 
 #: Minimum and maximum delay before the registration is retried, in seconds.
@@ -53,7 +56,7 @@
 
 
 class Feeds:
-    """Followers of the store's tables, and the writer of the member row."""
+    """Followers of the store's tables, and the registration of the process."""
 
     def __init__(
         self,
@@ -120,7 +123,7 @@
         ]
 
     def is_configuration_available(self) -> bool:
-        """Return whether the store can currently read the configuration."""
+        """Return whether the store currently serves the configuration."""
         return self.configuration.healthy_since is not None
 
     def is_worker_list_complete(self) -> bool:
@@ -129,12 +132,12 @@
 
     def workers_listed_at(self) -> float:
         """Return the local time of the last read of the worker list."""
-        return self.worker_list.answered_at or 0
+        return self.worker_list.last_success_at or 0
 
     def last_response_at(self) -> float:
         """Return the local time of the store's last response, in seconds."""
         return max(
-            follower.answered_at or 0
+            follower.last_success_at or 0
             for follower in (
                 self.configuration,
                 self.registry,
@@ -143,7 +146,7 @@
         )
 
     def is_worker_list_available(self) -> bool:
-        """Return whether the store can currently read the list of workers."""
+        """Return whether the store currently serves the list of workers."""
         return self.worker_list.healthy_since is not None
 
     async def _register(self, member: registry.Member) -> None:
@@ -156,7 +159,8 @@
                 _LOG.info('Registered.', extra={'vm': member.vm})
                 return
             _LOG.warning(
-                'Registration failed.', extra={'cause': answer.err_value.detail}
+                'Registration failed; retrying.',
+                extra={'cause': answer.err_value.detail},
             )
             await asyncio.sleep(
                 self._rng.uniform(REGISTER_RETRY_MIN_S, REGISTER_RETRY_MAX_S)
--- a/sardineproxy/process/node/job_intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -6,8 +6,8 @@
 from sardineproxy.request import active_jobs, coordinator, jobs, open_tasks
 from sardineproxy.version import active_config, routes
 
-#: Retry delay in a refusal by a process that is shutting down, in seconds. It
-#: is short, as other VMs can accept the job immediately.
+#: Retry delay that a process names in a refusal while it shuts down, in
+#: seconds. It is short, as other VMs can accept the job immediately.
 DRAINING_RETRY_S = 1.0
 
 _LOG = logs.get_logger('node')
@@ -79,7 +79,7 @@
             ),
             wait_s,
         )
-        self._record_query('Job handed in.', job.job_id, answer, now)
+        self._record_event('Job handed in.', job.job_id, answer, now)
         return answer
 
     async def query(
@@ -91,22 +91,26 @@
         """
         now = self._clock.now()
         answer = await self._job_service.query(job, wait_s, cancel=cancel)
-        query = 'Job cancelled.' if cancel else 'State asked.'
-        self._record_query(query, job, answer, now)
+        event = 'Job cancelled.' if cancel else 'State asked.'
+        self._record_event(event, job, answer, now)
         return answer
 
-    def _record_query(
+    def _record_event(
         self,
-        query: str,
+        event: str,
         job: ids.JobId,
         answer: job_manager.JobReply,
         started_at: float,
     ) -> None:
+        """Log a client's call about a stored job, and count it.
+
+        ``event`` is the log message and also a label of the metric.
+        """
         self._metrics.count(
-            'stored_job_questions_total', question=query, answer=answer.value
+            'stored_job_questions_total', question=event, answer=answer.value
         )
         _LOG.info(
-            query,
+            event,
             extra={
                 'job': job,
                 'answer': answer.value,
@@ -119,7 +123,7 @@
     def _refuse(
         self, job: jobs.Job, route: routes.Route, now: float
     ) -> jobs.Outcome | None:
-        """Return a refusal if the job would outlast the process, else None."""
+        """Return a refusal if the process may end before the job, else None."""
         if self.shutdown_at is None:
             return None
         if now + route.time_limit_s(job.total_estimate_s) <= self.shutdown_at:
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -19,7 +19,7 @@
 from sardineproxy.process.node import claiming
 
 #: Age of the link to a VM of another zone after which the shard of that zone
-#: is returned to it, in seconds. Also the interval between two requests.
+#: is returned to it, in seconds. Also the interval between two such returns.
 RETURN_AFTER_S = 1.0
 
 #: Number of workers probed before another zone's shard is claimed, and the
@@ -31,7 +31,7 @@
 
 
 class LedShardsContext(shards.ShardContext, Protocol):
-    """Process-wide state that led shards read, and callbacks for changes."""
+    """Process-wide state that led shards depend on, and change callbacks."""
 
     @property
     def home_shard(self) -> ids.ShardId:
@@ -160,7 +160,7 @@
             leader.link_lost(lost, now)
 
     def mark_all_unconfirmed(self, cause: str) -> None:
-        """Send no orders to a worker until its next report."""
+        """Mark all workers unconfirmed: no orders until their next report."""
         for leader in self.shards.values():
             leader.mark_all_unconfirmed(cause)
 
@@ -200,7 +200,7 @@
         self._update_workers(leader)
         self._context.shard_gained(shard)
 
-    def give_up(self, shard: ids.ShardId, cause: str) -> None:
+    def step_down(self, shard: ids.ShardId, cause: str) -> None:
         """Stop leading a shard immediately."""
         lost = self.shards.pop(shard)
         _LOG.warning(
@@ -217,9 +217,11 @@
         self._context.shard_lost(shard)
 
     def superseded(self, lost: shards.ShardLeader) -> None:
-        """Give up a shard that another process has taken over."""
+        """Stop leading a shard that another process has taken over."""
         if self.shards.get(lost.shard) is lost:
-            self.give_up(lost.shard, 'a worker has seen a newer leader')
+            self.step_down(
+                lost.shard, 'a worker refused the fencing token as outdated'
+            )
 
     def hand_over(self) -> None:
         """Request that other VMs take over all led shards."""
@@ -233,7 +235,7 @@
         )
 
     def _claim_and_return(self, now: float) -> None:
-        self._refresh(now)
+        self._refresh_claims(now)
         if now >= self._return_at:
             self._return_shards(now)
         connected_vms = frozenset(self._links.open_links)
@@ -244,7 +246,7 @@
             ):
                 self.start_claim(shard)
 
-    def _refresh(self, now: float) -> None:
+    def _refresh_claims(self, now: float) -> None:
         """Rewrite outdated claim rows of led shards."""
         isolated = self._context.is_isolated()
         for shard, leader in self.shards.items():
@@ -266,9 +268,9 @@
     def _stable_successor(
         self, shard: ids.ShardId, now: float
     ) -> link.Link | None:
-        """Return the link to a successor that has been connected for a while.
+        """Return the link to a successor that has a stable connection.
 
-        Connected means for more than ``RETURN_AFTER_S``.
+        It is stable once it has been open for more than ``RETURN_AFTER_S``.
         """
         for vm, _ in self._claimer.successors(shard):
             successor = self._links.get(vm)
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -37,7 +37,7 @@
 from sardineproxy.version import active_config, routes
 
 #: Interval of the periodic work, in seconds: half of the shortest heartbeat
-#: interval, and less for shard leaders, whose queues advance with time.
+#: interval, and less for shard leaders, as their queues change with time.
 TICK_S = 0.05
 LEADER_TICK_S = 0.025
 
@@ -45,8 +45,8 @@
 #: Peers close a link after 0.4 s without a heartbeat.
 STALL_S = 0.3
 
-#: Time after a stall in which requests are refused, in seconds. Such requests
-#: may come from connections that the clients have abandoned during the stall.
+#: Time after a stall in which requests are refused, in seconds: their clients
+#: may have abandoned the connections during the stall.
 STALL_REFUSAL_S = 0.05
 
 INCARNATION_BYTES = 6
@@ -149,14 +149,14 @@
             clock=self._clock,
             metrics=self.metrics,
         )
-        self._ticked_at = self._clock.now()
+        self._last_tick_at = self._clock.now()
         self._refusing_until: float = 0
 
     async def start(self) -> None:
         """Open the listener for links and start the background tasks."""
         await self.links.start(self.cfg.peers)
         self._update_links()
-        self._ticked_at = self._clock.now()
+        self._last_tick_at = self._clock.now()
         for coroutine in self._feeds.coroutines(self.member):
             self._tasks.spawn(coroutine)
         self._tasks.spawn(self._run_ticks())
@@ -186,8 +186,6 @@
         """Return whether the process is shutting down."""
         return self.job_intake.shutdown_at is not None
 
-    # Jobs.
-
     def is_ready(self) -> bool:
         """Return whether the load balancer may send new connections."""
         return (
@@ -205,7 +203,8 @@
     def default_shard(self) -> ids.ShardId | None:
         """Return the shard for this VM's jobs, None if no shard has a leader.
 
-        The home shard if it has a leader, else the one with most free capacity.
+        This is the home shard if it has a leader, else the shard with the
+        most free capacity.
         """
         if self.home_shard in self.leaders.by_shard:
             return self.home_shard
@@ -223,8 +222,6 @@
             return None
         return self._local_link if vm == self.cfg.vm else self.links.get(vm)
 
-    # Links.
-
     def opened(self, opened: link.Link) -> None:
         """Send a heartbeat and request the peer's registry rows."""
         opened.send(self._heartbeat(self._clock.now()))
@@ -264,8 +261,6 @@
             case _:
                 self._peer_sync.received(source, message)
 
-    # State that led shards and stored jobs read.
-
     @property
     def home_shard(self) -> ids.ShardId:
         """Return the shard of this VM's zone."""
@@ -286,7 +281,7 @@
         return self.leaders.by_shard.get(shard)
 
     def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
-        """Return the loaded home shard of a stored job, None if unknown."""
+        """Return the home shard of a stored job, None if it is not loaded."""
         home = self.job_service.home_shard(job)
         return self.leaders.loaded_shards.get(home, self.leader_of(home))
 
@@ -355,8 +350,6 @@
         """Return the state of the process for the state dump."""
         return state_dump.build_state_dump(self, self._clock.now())
 
-    # Rows of the store.
-
     def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Apply changed rows of the operator's table."""
         for row in rows:
@@ -382,8 +375,6 @@
             return feeds.CANDIDATE_POLL_TIMING
         return feeds.FOLLOWER_POLL_TIMING
 
-    # Internals.
-
     async def _run_ticks(self) -> None:
         while True:
             self._tick(self._clock.now())
@@ -393,7 +384,7 @@
 
     def _tick(self, now: float) -> None:
         self._check_stall(now)
-        self._ticked_at = now
+        self._last_tick_at = now
         self.leaders.loaded_shards.update(
             self.cfg.vm, self.job_service.loaded_shards(), now
         )
@@ -401,10 +392,10 @@
         self.led_shards.tick(now, may_claim=not self.draining)
 
     def _check_stall(self, now: float) -> None:
-        gap_s = now - self._ticked_at
+        gap_s = now - self._last_tick_at
         if gap_s < STALL_S:
             return
-        self._ticked_at = now
+        self._last_tick_at = now
         _LOG.warning('Process stalled.', extra={'gap_s': round(gap_s, 3)})
         self.metrics.count('stalls_total')
         self._refusing_until = now + STALL_REFUSAL_S
@@ -460,14 +451,14 @@
 
     def _choose_leaders(self) -> None:
         change = self.leaders.choose(self.led_shards.tokens())
-        for shard, vm in change.lost.items():
-            # ``give_up`` calls this method again, so that the nested call may
-            # have given up the remaining shards already.
+        for shard, vm in change.lost_shards.items():
+            # ``step_down`` calls this method again; the nested call may have
+            # stepped down from the remaining shards already.
             if shard in self.led_shards.shards:
-                self.led_shards.give_up(
+                self.led_shards.step_down(
                     shard, f'{vm} has a higher fencing token'
                 )
-        for shard in change.with_new_leader:
+        for shard in change.shards_with_new_leader:
             self.active_jobs.notify_leader_found(shard)
             self.job_service.broadcast(open_tasks.LeaderFound(shard=shard))
 
@@ -482,7 +473,7 @@
     def _new_job_manager(
         self, shard: ids.ShardId, token: fencing.FencingToken
     ) -> job_manager.JobManager:
-        """Return a stored-job manager for a newly led shard."""
+        """Return the manager of stored jobs for a newly led shard."""
         return dependencies.new_job_manager(
             self._dependencies,
             shard=shard,
@@ -490,11 +481,11 @@
                 token=token, incarnation=self.identity.incarnation
             ),
             router=self,
-            states_s=self.cfg.bounds.states_s,
+            retention_s=self.cfg.bounds.states_s,
         )
 
     def _update_links(self) -> None:
-        """Set link targets: members, or the seeds while none is known."""
+        """Set the link targets from the current members and settings."""
         peering.update_link_targets(
             self.links,
             members=self.registry.members.values(),
--- a/sardineproxy/process/node/peer_sync.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -14,8 +14,8 @@
 from sardineproxy.process.membership import registry
 from sardineproxy.version import fetch_policy, active_config
 
-#: Largest version that is accepted from a peer, in bytes: ten times the size
-#: of the version in the users' largest test.
+#: Largest configuration version that is accepted from a peer, in bytes, when
+#: decompressed: ten times the largest version in the users' tests.
 MAX_VERSION_BYTES = 8_388_608
 
 _LOG = logs.get_logger('config')
@@ -93,7 +93,7 @@
 def pack_version(
     versions: active_config.ActiveConfig,
 ) -> messages.VersionResponse:
-    """Encode the version in force; similar routes make it compress well."""
+    """Compress the version in force; similar routes compress well."""
     return messages.VersionResponse(
         number=versions.number, packed=zlib.compress(versions.body)
     )
@@ -125,7 +125,7 @@
 def unpack_registry(
     message: messages.RegistryResponse,
 ) -> tuple[store.Row, ...]:
-    """Return the rows of members and claims that a peer sent."""
+    """Decode the rows of members and claims that a peer sent."""
     return tuple(
         store.Row(key=key, revision=revision, body=body)
         for key, revision, body in message.rows
--- a/sardineproxy/process/node/peering.py
+++ b/sardineproxy/process/node/peering.py
@@ -18,7 +18,7 @@
     claimer: claiming.ShardClaimer,
     cfg: deployment.Deployment,
 ) -> None:
-    """Set the link targets to the members that need a link.
+    """Set the link targets: the members that need a link to this VM.
 
     Without such members, the seeds are the targets.
     """
@@ -38,6 +38,6 @@
             for member in linked_members
         }
     )
-    peer_links.set_needed({member.vm for member in linked_members})
+    peer_links.set_needed_vms({member.vm for member in linked_members})
     for linked in linked_members:
         peer_links.set_peer_vm(linked.address, linked.vm)
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -1,4 +1,4 @@
-"""Policy settings of the node: JSON with comments, fully validated."""
+"""Policy file of the node: JSON with comments, fully validated."""
 
 import dataclasses
 import pathlib
@@ -10,13 +10,13 @@
 from sardineproxy import deployment, json_text
 from sardineproxy.process.shards import times
 
-#: Largest settings file, in bytes.
-MAX_SETTINGS_BYTES = 65_536
+#: Largest policy file, in bytes.
+MAX_POLICY_BYTES = 65_536
 
 #: Largest value of a setting, in seconds.
 MAX_SETTING_S = 3600
 
-#: Upper bound of a poll's wait, as a fraction of the lease: two polls must fit
+#: Upper bound of a poll's wait, as a fraction of the lease. Two polls must fit
 #: into a lease, so that it is extended even if one response is lost.
 POLL_WAIT_SHARE = 0.3
 
@@ -56,30 +56,32 @@
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
-        return result.Err(f'cannot read settings {path}: {exc}')
+        return result.Err(f'cannot read policy {path}: {exc}')
     return parse(text)
 
 
 def parse(text: str) -> result.Result[Policy, str]:
     """Return the policy from the text of a file, or an error sentence."""
-    parsed = json_text.parse_object(text, max_bytes=MAX_SETTINGS_BYTES)
+    parsed = json_text.parse_object(text, max_bytes=MAX_POLICY_BYTES)
     if isinstance(parsed, result.Err):
         return parsed
     document = parsed.ok_value
     unknown = set(document).difference(_SECTIONS)
     if unknown:
         return result.Err(f'{min(unknown)}: unknown section')
-    workers = _section(times.CallTiming, document.get('workers', {}), 'workers')
+    workers = _parse_section(
+        times.CallTiming, document.get('workers', {}), 'workers'
+    )
     if isinstance(workers, result.Err):
         return workers
-    shard = _section(times.ShardTiming, document.get('cell', {}), 'cell')
+    shard = _parse_section(times.ShardTiming, document.get('cell', {}), 'cell')
     if isinstance(shard, result.Err):
         return shard
     shard_timing = dataclasses.replace(shard.ok_value, calls=workers.ok_value)
     return result.Ok(Policy(shard=shard_timing))
 
 
-#: Fields that are set from the platform's bounds, not from a settings file.
+#: Fields that are set from the platform's bounds, not from a policy file.
 _PLATFORM_FIELDS = frozenset(('distance_factor',))
 
 _SECTIONS = types.MappingProxyType(
@@ -87,33 +89,35 @@
 )
 
 
-def _section(
-    kind: type[Any], document: Any, name: str
+def _parse_section(
+    section_type: type[Any], document: Any, name: str
 ) -> result.Result[Any, str]:
-    """Return a data class of numbers built from a section, or an error."""
+    """Return the data class of a section, or an error sentence."""
     if not isinstance(document, dict):
         return result.Err(f'{name}: expected an object')
     setting_names = {
         field.name
-        for field in dataclasses.fields(kind)
+        for field in dataclasses.fields(section_type)
         if field.type in {float, 'float'} and field.name not in _PLATFORM_FIELDS
     }
     for key, setting in document.items():
-        error = _check(f'{name}.{key}', setting, is_known=key in setting_names)
+        error = _validate(
+            f'{name}.{key}', setting, is_known=key in setting_names
+        )
         if error is not None:
             return result.Err(error)
-    return result.Ok(kind(**_to_floats(document)))
+    return result.Ok(section_type(**_to_floats(document)))
 
 
-def _check(place: str, setting: object, *, is_known: bool) -> str | None:
+def _validate(key_path: str, setting: object, *, is_known: bool) -> str | None:
     if not is_known:
-        return f'{place}: unknown setting'
+        return f'{key_path}: unknown setting'
     is_number = isinstance(setting, (int, float)) and not isinstance(
         setting, bool
     )
     if not is_number or not 0 < float(setting) <= MAX_SETTING_S:  # type: ignore[arg-type]
         return (
-            f'{place}: expected a number over 0 and up to {MAX_SETTING_S}, '
+            f'{key_path}: expected a number over 0 and at most {MAX_SETTING_S}, '
             f'found {setting!r:.60}'
         )
     return None
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -24,17 +24,17 @@
 from sardineproxy.version import routes
 
 #: Minimum time from SIGTERM until the listeners close, in seconds. The load
-#: balancer checks every second and needs two failed checks.
+#: balancer checks every second, and stops sending after two failed checks.
 MIN_DRAIN_S = 2.6
 
 #: Part of the grace period that is reserved for closing, in seconds.
 CLOSE_RESERVE_S = 0.5
 
-#: Interval of the check for unanswered requests while draining, in seconds.
+#: Interval of the check for requests in progress while draining, in seconds.
 DRAIN_POLL_S = 0.05
 
 #: Settings that only take effect at the start of the process.
-_FIXED = frozenset(('vm', 'zone', 'front', 'ready', 'peers'))
+_FIXED_SETTINGS = frozenset(('vm', 'zone', 'front', 'ready', 'peers'))
 
 _LOG = logs.get_logger('node')
 
@@ -70,10 +70,10 @@
                 metrics=metrics.Metrics(),
             ),
         )
-        self._front = client_http.ClientServer(
+        self._client_server = client_http.ClientServer(
             request_handler=_RequestHandler(served=self._node)
         )
-        self._admin: web.AppRunner | None = None
+        self._admin_server: web.AppRunner | None = None
 
     async def start(self) -> result.Result[None, str]:
         """Open all listeners; return an error sentence on failure."""
@@ -102,13 +102,13 @@
         ]
         if not changed:
             return
-        fixed = _FIXED.intersection(changed)
+        fixed = _FIXED_SETTINGS.intersection(changed)
         _LOG.info(
             'Settings changed.',
             extra={'fields': changed, 'only_at_start': sorted(fixed)},
         )
         self._cfg = dataclasses.replace(
-            cfg, **{name: getattr(self._cfg, name) for name in _FIXED}
+            cfg, **{name: getattr(self._cfg, name) for name in _FIXED_SETTINGS}
         )
         self._store.set_address(self._cfg.store)
         self._node.update_settings(self._cfg)
@@ -116,49 +116,51 @@
     async def shut_down(self) -> None:
         """Hand over the shards, finish requests in progress, and close."""
         await self._drain()
-        await self._front.close()
+        await self._client_server.close()
         await self._node.close()
-        if self._admin is not None:
-            await self._admin.cleanup()
+        if self._admin_server is not None:
+            await self._admin_server.cleanup()
         await self._session.close()
         _LOG.info('Stopped.', extra={'vm': self._cfg.vm})
 
     async def _open(self) -> None:
         await self._node.start()
-        await self._front.start(self._cfg.front, self._cfg.ready)
+        await self._client_server.start(self._cfg.front, self._cfg.ready)
         if self._metrics_port is None:
             return
-        self._admin = web.AppRunner(
+        self._admin_server = web.AppRunner(
             admin.build_app(process=self._node, metrics=self._node.metrics),
             access_log=None,
         )
-        await self._admin.setup()
+        await self._admin_server.setup()
         await web.TCPSite(
-            self._admin, self._cfg.ready.host, self._metrics_port
+            self._admin_server, self._cfg.ready.host, self._metrics_port
         ).start()
 
     async def _drain(self) -> None:
-        """Wait for requests in progress, until shortly before the grace ends.
+        """Wait for requests in progress, until near the end of the grace period.
 
         Waits for at least ``MIN_DRAIN_S`` unless the grace period is shorter.
         """
         started_at = self._clock.now()
-        _LOG.info('Stopping.', extra={'requests': self._front.active_requests})
+        _LOG.info(
+            'Stopping.', extra={'requests': self._client_server.active_requests}
+        )
         deadline = started_at + self._cfg.bounds.grace_s - CLOSE_RESERVE_S
         self._node.drain(shutdown_at=deadline)
         while self._clock.now() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
-            has_waited = self._clock.now() - started_at > MIN_DRAIN_S
-            if has_waited and not self._front.active_requests:
+            is_min_drain_over = self._clock.now() - started_at > MIN_DRAIN_S
+            if is_min_drain_over and not self._client_server.active_requests:
                 return
         _LOG.warning(
             'Grace period ended with requests in progress.',
-            extra={'requests': self._front.active_requests},
+            extra={'requests': self._client_server.active_requests},
         )
 
 
 class _RequestHandler:
-    """Adapts the node to the front's interface."""
+    """Adapts the node to the interface of the server for clients."""
 
     def __init__(self, *, served: node.Node) -> None:
         self._node = served
--- a/sardineproxy/process/node/state_dump.py
+++ b/sardineproxy/process/node/state_dump.py
@@ -7,34 +7,34 @@
     from sardineproxy.process.node import node
 
 
-def build_state_dump(described: 'node.Node', now: float) -> dict[str, object]:
+def build_state_dump(process: 'node.Node', now: float) -> dict[str, object]:
     """Return the state of a process as a JSON-serializable document."""
     return {
-        'vm': described.cfg.vm,
-        'incarnation': described.identity.incarnation,
+        'vm': process.cfg.vm,
+        'incarnation': process.identity.incarnation,
         'config': {
-            'number': described.versions.number,
-            'digest': described.versions.digest,
+            'number': process.versions.number,
+            'digest': process.versions.digest,
         },
-        'ready': described.is_ready(),
-        'draining': described.draining,
-        'owners': dict(described.leaders.by_shard),
-        'rooms': described.capacities.state(now),
+        'ready': process.is_ready(),
+        'draining': process.draining,
+        'owners': dict(process.leaders.by_shard),
+        'rooms': process.capacities.state(now),
         'links': {
             vm: len(vm_links)
-            for vm, vm_links in described.links.open_links.items()
+            for vm, vm_links in process.links.open_links.items()
         },
-        'members': sorted(described.registry.members),
+        'members': sorted(process.registry.members),
         'claims': {
             shard: dataclasses.asdict(claim)
-            for shard, claim in described.registry.claims.items()
+            for shard, claim in process.registry.claims.items()
         },
-        'jobs': described.active_jobs.state(),
+        'jobs': process.active_jobs.state(),
         'kept': [
             manager.state(now)
-            for manager in described.job_service.managers.values()
+            for manager in process.job_service.managers.values()
         ],
         'cells': [
-            leader.state(now) for leader in described.led_shards.shards.values()
+            leader.state(now) for leader in process.led_shards.shards.values()
         ],
     }
--- a/tests/process/membership/test_leaders.py
+++ b/tests/process/membership/test_leaders.py
@@ -48,20 +48,20 @@
         change = make_leaders(first=3).choose(
             {SHARD: fencing.FencingToken(epoch=2, rank=0)}
         )
-        self.assertEqual({SHARD: FIRST}, change.lost)
+        self.assertEqual({SHARD: FIRST}, change.lost_shards)
 
     def test_shard_with_a_higher_own_token_stays(self) -> None:
         """Guards against giving up a shard to its former leader."""
         tested = make_leaders(first=3)
         change = tested.choose({SHARD: fencing.FencingToken(epoch=4, rank=0)})
-        self.assertEqual({}, change.lost)
+        self.assertEqual({}, change.lost_shards)
         self.assertEqual({SHARD: OWN_VM}, tested.by_shard)
 
     def test_only_changed_leaders_are_returned(self) -> None:
         """Guards against jobs being resent although no leader changed."""
         tested = make_leaders(first=3)
-        self.assertEqual([SHARD], tested.choose({}).with_new_leader)
-        self.assertEqual([], tested.choose({}).with_new_leader)
+        self.assertEqual([SHARD], tested.choose({}).shards_with_new_leader)
+        self.assertEqual([], tested.choose({}).shards_with_new_leader)
 
     def test_shard_without_a_leader_is_forgotten_with_its_free_capacity(
         self,
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -76,8 +76,8 @@
         source = virtual_time.run(main)
         self.assertFalse(worker_list.is_complete(source, 10))
         source.healthy_since = 10
-        source.answered_at = 11
+        source.last_success_at = 11
         self.assertFalse(worker_list.is_complete(source, 11))
-        source.answered_at = 13
+        source.last_success_at = 13
         self.assertTrue(worker_list.is_complete(source, 13))
         self.assertFalse(worker_list.is_complete(source, 30))
