--- a/tests/process/membership/test_links.py
+++ b/tests/process/membership/test_links.py
@@ -10,7 +10,7 @@
 from sardineproxy.process.membership import links
 from tests import virtual_time
 
-BEAT = messages.Heartbeat(version=1, shards=(), pending=())
+HEARTBEAT = messages.Heartbeat(version=1, shards=(), pending=())
 
 
 class FakeLink:
@@ -67,7 +67,7 @@
 
     def tick(self, at: float) -> bool:
         """Tick at time ``at``; return whether the link is still open."""
-        self.tested.tick(1000 + at, BEAT)
+        self.tested.tick(1000 + at, HEARTBEAT)
         return not self.link.is_aborted
 
 
@@ -93,7 +93,7 @@
         rig.tick(0.2)
         self.assertEqual([], rig.link.sent)
         rig.tick(0.31)
-        self.assertEqual([BEAT], rig.link.sent)
+        self.assertEqual([HEARTBEAT], rig.link.sent)
 
     def test_shorter_timeout_counts_from_the_change_of_timing(self) -> None:
         """Guards against a timeout before the peer shortens its interval.
--- a/tests/process/membership/test_table_follower.py
+++ b/tests/process/membership/test_table_follower.py
@@ -1,4 +1,4 @@
-"""The copy of a table during changes and failures of the store."""
+"""Copy of a table during changes and failures of the store."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self.store = samples.MemoryStore()
-        self.seen: list[store.Row] = []
+        self.received_rows: list[store.Row] = []
         self.follower = table_follower.TableFollower(
             table='t',
             source=self.store,
@@ -26,7 +26,7 @@
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
             metrics=metrics.Metrics(),
-            on_rows=self.seen.extend,
+            on_rows=self.received_rows.extend,
         )
         self.task = asyncio.create_task(self.follower.run())
 
@@ -52,7 +52,7 @@
             rig.store.rows.put('t/b', b'2')
             await asyncio.sleep(1)
             self.assertEqual(['t/b'], rig.keys())
-            self.assertIsNone(rig.seen[-2].body)
+            self.assertIsNone(rig.received_rows[-2].body)
 
         with_rig(scenario)
 
@@ -71,7 +71,9 @@
             rig.store.rows.put('t/b', b'2')
             await asyncio.sleep(2)
             self.assertEqual(['t/b'], rig.keys())
-            self.assertIn('t/a', [row.key for row in rig.seen if not row.body])
+            self.assertIn(
+                't/a', [row.key for row in rig.received_rows if not row.body]
+            )
 
         with_rig(scenario)
 
@@ -97,7 +99,10 @@
         with_rig(scenario)
 
     def test_poll_now_ends_a_pause(self) -> None:
-        """Guards against a new leader that waits for its list of workers."""
+        """Guards against a new leader that waits for its list of workers.
+
+        A VM that leads no shard pauses for many seconds between two polls.
+        """
 
         async def scenario(rig: Rig) -> None:
             await asyncio.sleep(0.1)
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers while entries expire and return."""
+"""List of workers while entries expire and return."""
 
 import json
 import random
@@ -30,7 +30,10 @@
 
 class TestWorkerList(testtools.TestCase):
     def test_removed_entry_stays_listed_for_the_removal_delay(self) -> None:
-        """Guards against dropping workers whose heartbeat is late."""
+        """Guards against dropping workers whose heartbeat is late.
+
+        Their entries expire, and return with the next heartbeat.
+        """
         tested = make_list()
         tested.update((row(samples.worker_entry()),), 10)
         tested.update((row(None),), 20)
@@ -40,7 +43,10 @@
         self.assertEqual([], tested.of_shard(SHARD))
 
     def test_entry_that_expired_in_an_outage_may_return(self) -> None:
-        """Guards against dropping workers as soon as an outage ends."""
+        """Guards against dropping workers as soon as an outage ends.
+
+        Entries that expired during the outage return shortly after its end.
+        """
         tested = make_list()
         tested.update((row(samples.worker_entry()),), 10)
         tested.update((row(None),), 20)
@@ -52,7 +58,10 @@
         self.assertEqual(1, len(tested.of_shard(SHARD)))
 
     def test_malformed_entry_counts_as_removed(self) -> None:
-        """Guards against orders based on an entry that is malformed now."""
+        """Guards against orders based on an entry that is malformed now.
+
+        Otherwise the last valid entry of the worker would stay in use.
+        """
         tested = make_list()
         tested.update((row(samples.worker_entry()),), 10)
         tested.update((row({'state': 'ready'}),), 20)
@@ -60,7 +69,10 @@
         self.assertEqual([], tested.of_shard(SHARD))
 
     def test_list_is_complete_once_the_store_has_been_healthy(self) -> None:
-        """Guards against a new leader that misses a worker with runs."""
+        """Guards against a new leader that misses a worker with runs.
+
+        Shortly after an outage, the worker's entry may still be missing.
+        """
 
         async def main() -> table_follower.TableFollower:
             return table_follower.TableFollower(
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -83,7 +83,7 @@
     return settings.decode(documents.SETTINGS.encode()).unwrap()
 
 
-def make_node(shared: MemoryStore, api: Any) -> node.Node:
+def make_node(memory_store: MemoryStore, api: Any) -> node.Node:
     """Return a node that has not been started."""
     return node.Node(
         cfg=make_deployment(),
@@ -91,7 +91,7 @@
         dependencies=dependencies.Dependencies(
             clock=virtual_time.LoopClock(),
             rng=random.Random(1),
-            store=shared,
+            store=memory_store,
             workers=api,
             formats=service.platform_formats(),
             metrics=metrics.Metrics(),
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -1,4 +1,4 @@
-"""Which VM claims a shard, and when."""
+"""Conditions under which a VM claims a shard or rewrites its claim."""
 
 from typing import Any, Callable, Coroutine
 
@@ -26,12 +26,17 @@
 
 
 class Rig:
-    """The shard claimer of one VM, and the store shared with other VMs."""
+    """The shard claimer of one VM, and the store shared with other VMs.
+
+    Times are in seconds after a start at 1000 s.
+    """
 
     def __init__(
-        self, member: registry.Member, shared: samples.MemoryStore | None = None
+        self,
+        member: registry.Member,
+        shared_store: samples.MemoryStore | None = None,
     ) -> None:
-        self.store = shared or samples.MemoryStore()
+        self.store = shared_store or samples.MemoryStore()
         self.registry = registry.Registry()
         self.tokens: list[fencing.FencingToken] = []
         self.claimer = claiming.ShardClaimer(
@@ -40,15 +45,15 @@
             member=member,
             on_token=lambda _, token: self.tokens.append(token),
         )
-        self.join(member)
+        self.register(member)
 
-    def join(self, *members: registry.Member) -> None:
+    def register(self, *members: registry.Member) -> None:
         for member in members:
             write = registry.member_write(member)
             self.store.rows.put(write.key, write.body)
-        self.read()
+        self.refresh_registry()
 
-    def read(self) -> None:
+    def refresh_registry(self) -> None:
         self.registry.apply(self.store.rows.read(registry.TABLE).rows)
 
     def should_claim(self, now: float, **changes: Any) -> bool:
@@ -74,32 +79,47 @@
 
 class TestShouldClaim(testtools.TestCase):
     def test_largest_vm_of_the_zone_claims_first(self) -> None:
-        """Guards against all VMs of a zone claiming simultaneously."""
+        """Guards against all VMs of a zone claiming simultaneously.
+
+        All of them detect the loss of the leader at about the same time.
+        """
         small = Rig(make_member('small'))
-        small.join(make_member('large', cores=2))
+        small.register(make_member('large', cores=2))
         connected = frozenset((ids.VmId('large'),))
         self.assertFalse(small.should_claim(0, connected_vms=connected))
         self.assertFalse(small.should_claim(0.6, connected_vms=connected))
         self.assertTrue(small.should_claim(0.8, connected_vms=connected))
 
     def test_shard_with_a_leader_is_not_claimed(self) -> None:
-        """Guards against a change of leader without a failure."""
+        """Guards against a change of leader without a failure.
+
+        The shard has been without a leader before: the delay must count from
+        the last loss of its leader.
+        """
         rig = Rig(make_member('a'))
         self.assertFalse(rig.should_claim(0))
         self.assertFalse(rig.should_claim(60, leader=ids.VmId('b')))
         self.assertFalse(rig.should_claim(60.01))
 
     def test_other_zone_waits_while_the_zone_has_vms(self) -> None:
-        """Guards against a claim by another zone before the zone's own VMs."""
+        """Guards against a claim by another zone before the zone's own VMs.
+
+        VMs of other zones detect the loss of the leader at the same time as
+        the zone's own VMs.
+        """
         rig = Rig(make_member('a', zone='other'))
-        rig.join(make_member('b'))
+        rig.register(make_member('b'))
         connected = frozenset((ids.VmId('b'),))
         self.assertFalse(rig.should_claim(0, connected_vms=connected))
         self.assertFalse(rig.should_claim(60, connected_vms=connected))
         self.assertTrue(rig.should_claim(61))
 
     def test_rewritten_claim_row_restarts_the_delay(self) -> None:
-        """Guards against replacing a leader that is alive but not linked."""
+        """Guards against replacing a leader that is alive but not linked.
+
+        Without a link, no heartbeat shows that the leader is alive, only the
+        new revision of its claim row.
+        """
 
         async def scenario() -> None:
             leader = Rig(make_member('b'))
@@ -107,13 +127,17 @@
             rig = Rig(make_member('a', zone='other'), leader.store)
             self.assertFalse(rig.should_claim(0))
             await leader.claim(5)
-            rig.read()
+            rig.refresh_registry()
             self.assertFalse(rig.should_claim(5))
 
         run(scenario)
 
     def test_workers_must_be_reachable_for_the_whole_delay(self) -> None:
-        """Guards against claims by the isolated side of a partition."""
+        """Guards against claims by the isolated side of a partition.
+
+        When the partition ends, the workers are reachable before the links
+        are open again, so that a single successful probe is not enough.
+        """
         claimer = Rig(make_member('a')).claimer
         self.assertFalse(claimer.record_probe(SHARD, reached=True, now=0))
         self.assertFalse(claimer.record_probe(SHARD, reached=False, now=0.5))
@@ -123,7 +147,10 @@
 
 class TestClaim(testtools.TestCase):
     def test_each_claim_has_a_higher_epoch(self) -> None:
-        """Guards against fencing tokens that do not increase."""
+        """Guards against fencing tokens that do not increase.
+
+        Workers would then accept orders of a former leader.
+        """
 
         async def scenario() -> None:
             first = Rig(make_member('a'))
@@ -135,7 +162,10 @@
         run(scenario)
 
     def test_claim_based_on_an_outdated_row_fails(self) -> None:
-        """Guards against two leaders with the same epoch."""
+        """Guards against two leaders with the same epoch.
+
+        Both VMs have read the same row when they write their claims.
+        """
 
         async def scenario() -> None:
             first = Rig(make_member('a'))
@@ -147,11 +177,15 @@
         run(scenario)
 
     def test_successor_takes_over_while_the_store_is_unavailable(self) -> None:
-        """Guards against an idle zone when its leader fails in an outage."""
+        """Guards against an idle zone when its leader fails in a store outage.
+
+        No VM can write a claim then, so that a successor must lead the shard
+        with the rank that the previous claim assigns.
+        """
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
-            rig.join(make_member('b'))
+            rig.register(make_member('b'))
             await rig.claim()
             successor = Rig(make_member('b'), rig.store)
             successor.store.is_down = True
@@ -163,11 +197,14 @@
         run(scenario)
 
     def test_restarted_successor_does_not_take_over(self) -> None:
-        """Guards against two processes of one VM that use the same rank."""
+        """Guards against two processes of one VM that use the same rank.
+
+        Only a process that the claim names as successor may use its rank.
+        """
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
-            rig.join(make_member('b'))
+            rig.register(make_member('b'))
             await rig.claim()
             successor = Rig(make_member('c'), rig.store)
             successor.store.is_down = True
@@ -179,20 +216,26 @@
 
 class TestRefresh(testtools.TestCase):
     def test_row_is_rewritten_when_the_successors_change(self) -> None:
-        """Guards against a claim whose successors have all left."""
+        """Guards against a claim whose successors have all left.
+
+        VMs join and leave after the claim was written.
+        """
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
             await rig.claim()
             self.assertFalse(rig.needs_refresh(5))
-            rig.join(make_member('b'))
+            rig.register(make_member('b'))
             self.assertFalse(rig.needs_refresh(5))
             self.assertTrue(rig.needs_refresh(6.1))
 
         run(scenario)
 
     def test_isolated_leader_shows_that_it_is_alive(self) -> None:
-        """Guards against a claim by another zone while the leader is alive."""
+        """Guards against a claim by another zone while the leader is alive.
+
+        Without links, VMs of other zones see only the writes of its claim row.
+        """
 
         async def scenario() -> None:
             rig = Rig(make_member('a'))
--- a/tests/process/node/test_node.py
+++ b/tests/process/node/test_node.py
@@ -1,4 +1,4 @@
-"""Jobs at a node that is shutting down."""
+"""Job intake and readiness of a node that is shutting down."""
 
 from typing import Any, Callable, Coroutine
 
@@ -21,7 +21,10 @@
 
 class TestDraining(testtools.TestCase):
     def test_job_that_would_outlast_the_process_is_not_run(self) -> None:
-        """Guards against jobs that are cut off by the end of the process."""
+        """Guards against jobs that are cut off by the end of the process.
+
+        The refusal lets the client send the job to another VM at once.
+        """
 
         async def scenario(tested: node.Node) -> None:
             now = virtual_time.LoopClock().now()
--- a/tests/process/node/test_peer_sync.py
+++ b/tests/process/node/test_peer_sync.py
@@ -17,7 +17,10 @@
 
 class TestVersions(testtools.TestCase):
     def test_large_version_is_compressed_losslessly(self) -> None:
-        """Guards against one version saturating the network links."""
+        """Guards against a version that saturates the links between VMs.
+
+        A version with many routes is large, but the routes are similar.
+        """
         body = samples.configuration(
             7,
             *(
@@ -32,7 +35,11 @@
         self.assertEqual(body, peer_sync.unpack_version(packed).ok_value)
 
     def test_corrupt_and_oversized_versions_are_rejected(self) -> None:
-        """Guards against memory exhaustion by a peer's message."""
+        """Guards against memory exhaustion and incomplete versions.
+
+        A small message can decompress to any size, and a message may be
+        corrupt or truncated.
+        """
         oversized = zlib.compress(bytes(peer_sync.MAX_VERSION_BYTES + 1))
         for packed in (b'no zlib', oversized, zlib.compress(b'{}')[:-1]):
             message = messages.VersionResponse(number=1, packed=packed)
@@ -40,9 +47,12 @@
             self.assertIsInstance(unpacked, result.Err)
 
 
-class TestDirectory(testtools.TestCase):
+class TestRegistryRows(testtools.TestCase):
     def test_rows_keep_their_revisions(self) -> None:
-        """Guards against outdated claims that replace newer ones."""
+        """Guards against outdated claims that replace newer ones.
+
+        The receiver compares rows by revision.
+        """
         tested = registry.Registry()
         row = store.Row(
             key='sardineproxy/cell/z',
--- a/tests/process/node/test_policy.py
+++ b/tests/process/node/test_policy.py
@@ -1,4 +1,4 @@
-"""Policy settings of the node."""
+"""Policy file of the node."""
 
 import dataclasses
 import pathlib
@@ -12,7 +12,7 @@
 
 
 class TestParse(testtools.TestCase):
-    def test_settings_of_the_repository_are_valid(self) -> None:
+    def test_policy_file_of_the_repository_is_valid(self) -> None:
         """Guards against a deployment that fails to start.
 
         An invalid policy file in the repository would cause this.
@@ -27,9 +27,9 @@
         self.assertEqual(4, node_policy.shard.recall_s)
         self.assertEqual(0.5, node_policy.shard.calls.lease_s)
 
-    def test_errors_name_the_place(self) -> None:
+    def test_errors_name_the_setting(self) -> None:
         """Guards against silently ignoring a misspelt setting."""
-        for text, place in (
+        for text, key_path in (
             ('{"cells": {}}', 'cells'),
             ('{"workers": {"lease": 1}}', 'workers.lease'),
             ('{"cell": {"recall_s": 0}}', 'cell.recall_s'),
@@ -39,11 +39,11 @@
             ('{"cell": {"distance_factor": 3}}', 'cell.distance_factor'),
         ):
             error = policy.parse(text).err_value
-            self.assertThat(error, matchers.StartsWith(f'{place}: '))
+            self.assertThat(error, matchers.StartsWith(f'{key_path}: '))
 
 
 class TestFit(testtools.TestCase):
-    def test_short_leases_are_extended_in_time(self) -> None:
+    def test_poll_wait_fits_into_a_short_lease(self) -> None:
         """Guards against leases that expire between two polls.
 
         A platform with a shorter lease also needs a shorter poll wait.
@@ -55,7 +55,7 @@
         self.assertEqual(0.4, calls.lease_s)
         self.assertThat(2 * calls.look_wait_s, matchers.LessThan(0.4))
 
-    def test_slow_stops_are_not_retried_early(self) -> None:
+    def test_stop_is_not_retried_within_the_bound(self) -> None:
         """Guards against sending a stop again while the first is pending."""
         bounds = dataclasses.replace(
             samples.make_deployment().bounds, stop_s=0.5
@@ -63,7 +63,7 @@
         calls = policy.Policy().fit(bounds).shard.calls
         self.assertThat(calls.stop_retry_s, matchers.GreaterThan(0.5))
 
-    def test_usual_bounds_change_nothing(self) -> None:
+    def test_default_policy_fits_the_sample_bounds(self) -> None:
         """Guards against bounds that override a valid policy."""
         bounds = samples.make_deployment().bounds
         self.assertEqual(policy.Policy(), policy.Policy().fit(bounds))
