--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -44,7 +44,9 @@
         self.loaded_shards = loaded_shards.LoadedShards()
 
         #: Counts of stored jobs that have not started, by reporting leader.
-        self._pending: dict[ids.VmId, tuple[messages.PendingJobs, ...]] = {}
+        self._pending_jobs: dict[
+            ids.VmId, tuple[messages.PendingJobs, ...]
+        ] = {}
 
     def update(
         self, vm: ids.VmId, heartbeat: messages.Heartbeat, now: float
@@ -60,7 +62,7 @@
         self.loaded_shards.update(
             vm, (status[0] for status in heartbeat.shards if status[-1]), now
         )
-        self._pending[vm] = heartbeat.pending
+        self._pending_jobs[vm] = heartbeat.pending
         changed = self._tokens.get(vm) != tokens
         self._tokens[vm] = tokens
         return changed
@@ -69,7 +71,7 @@
         """Remove a VM as leader of one shard, or of all its shards if None."""
         if shard is None:
             self._tokens.pop(vm, None)
-            self._pending.pop(vm, None)
+            self._pending_jobs.pop(vm, None)
             self.loaded_shards.update(vm, (), 0)
         else:
             self._tokens.get(vm, {}).pop(shard, None)
@@ -78,7 +80,7 @@
         """Return how many stored jobs of a route are pending at other VMs."""
         return sum(
             count
-            for vm_counts in self._pending.values()
+            for vm_counts in self._pending_jobs.values()
             for pending_route, count in vm_counts
             if pending_route == route
         )
--- a/sardineproxy/process/membership/registry.py
+++ b/sardineproxy/process/membership/registry.py
@@ -37,13 +37,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Claim:
-    """Claim of a process to lead a shard."""
+    """Claim of a process to lead a shard.
 
+    The names of the fields are part of the state dump.
+    """
+
+    #: The claimed shard.
     cell: ids.ShardId
 
     #: Increases with every change of the row, and so do the fencing tokens
     #: that are derived from it.
     epoch: int
+
+    #: The process that leads the shard.
     owner: ProcessId
 
     #: Successors, in order: the processes that may take over the shard while
--- a/sardineproxy/process/node/cli.py
+++ b/sardineproxy/process/node/cli.py
@@ -34,7 +34,7 @@
 
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Return the parsed command line or help, or an error sentence."""
-    values = _define()
+    values = _define_flags()
     parsed = command_line.read(values, argv, USAGE)
     if isinstance(parsed, result.Err):
         return parsed
@@ -49,7 +49,7 @@
     )
 
 
-def _define() -> flags.FlagValues:
+def _define_flags() -> flags.FlagValues:
     values = command_line.new_flags()
     flags.DEFINE_string(
         'policy',
--- a/sardineproxy/process/node/core.py
+++ b/sardineproxy/process/node/core.py
@@ -85,19 +85,19 @@
         self._path = path
         self._args = args
         self._node_policy = node_policy
-        self._stop: asyncio.Event | None = None
+        self._stop_requested: asyncio.Event | None = None
         self._has_failed = False
 
     async def serve(self, cfg: deployment.Deployment) -> exit_status.ExitStatus:
         """Serve until SIGTERM, SIGINT or a fatal error."""
         loop = asyncio.get_running_loop()
-        handler = logs.configure_bounded(fd=sys.stdout.fileno(), loop=loop)
-        stop = asyncio.Event()
+        log_handler = logs.configure_bounded(fd=sys.stdout.fileno(), loop=loop)
+        stop_requested = asyncio.Event()
         loop.set_exception_handler(self._handle_loop_error)
-        self._stop = stop
+        self._stop_requested = stop_requested
         reload_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(signal_number, stop.set)
+            loop.add_signal_handler(signal_number, stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
         node_service = service.Service(
             cfg=cfg,
@@ -112,10 +112,10 @@
         watcher = asyncio.create_task(
             self._watch_settings(node_service, reload_requested)
         )
-        await stop.wait()
+        await stop_requested.wait()
         watcher.cancel()
         await node_service.shut_down()
-        handler.close()
+        log_handler.close()
         return _STATUS.ERROR if self._has_failed else _STATUS.SUCCESS
 
     def _handle_loop_error(
@@ -132,9 +132,9 @@
             extra={'what': context.get('message'), 'ends': is_fatal},
             exc_info=context.get('exception'),
         )
-        if is_fatal and self._stop is not None:
+        if is_fatal and self._stop_requested is not None:
             self._has_failed = True
-            self._stop.set()
+            self._stop_requested.set()
 
     async def _watch_settings(
         self, node_service: service.Service, reload_requested: asyncio.Event
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -98,7 +98,7 @@
         self._context = context
         self._tasks = tasks
         self._claims_in_progress: set[ids.ShardId] = set()
-        self._return_at: float = 0
+        self._next_return_at: float = 0
         self.shards: dict[ids.ShardId, shards.ShardLeader] = {}
 
     async def close(self) -> None:
@@ -236,7 +236,7 @@
 
     def _claim_and_return(self, now: float) -> None:
         self._refresh_claims(now)
-        if now >= self._return_at:
+        if now >= self._next_return_at:
             self._return_shards(now)
         connected_vms = frozenset(self._links.open_links)
         for shard in self._context.all_shards:
@@ -262,7 +262,7 @@
                 continue
             successor = self._stable_successor(shard, now)
             if successor is not None:
-                self._return_at = now + RETURN_AFTER_S
+                self._next_return_at = now + RETURN_AFTER_S
                 successor.send(messages.TakeOver(shard=shard))
 
     def _stable_successor(
