--- a/sardineproxy/process/node/core.py
+++ b/sardineproxy/process/node/core.py
@@ -21,8 +21,8 @@
 from sardineproxy.platform import settings
 from sardineproxy.process.node import cli, policy, service
 
-#: Garbage collection thresholds of the three generations. The default of 700
-#: allocations costs more time than it frees memory, as requests create few
+#: Garbage collection thresholds of the three generations. With the default of
+#: 700 allocations, collections cost more than they free: requests create few
 #: reference cycles.
 GC_THRESHOLDS = (10_000, 20, 20)
 
@@ -85,19 +85,19 @@
         self._path = path
         self._args = args
         self._node_policy = node_policy
-        self._stop: asyncio.Event | None = None
+        self._stop_requested: asyncio.Event | None = None
         self._has_failed = False
 
     async def serve(self, cfg: deployment.Deployment) -> exit_status.ExitStatus:
         """Serve until SIGTERM, SIGINT or a fatal error."""
         loop = asyncio.get_running_loop()
-        handler = logs.configure_bounded(fd=sys.stdout.fileno(), loop=loop)
-        stop = asyncio.Event()
+        log_handler = logs.configure_bounded(fd=sys.stdout.fileno(), loop=loop)
+        stop_requested = asyncio.Event()
         loop.set_exception_handler(self._handle_loop_error)
-        self._stop = stop
+        self._stop_requested = stop_requested
         reload_requested = asyncio.Event()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(signal_number, stop.set)
+            loop.add_signal_handler(signal_number, stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
         node_service = service.Service(
             cfg=cfg,
@@ -112,10 +112,10 @@
         watcher = asyncio.create_task(
             self._watch_settings(node_service, reload_requested)
         )
-        await stop.wait()
+        await stop_requested.wait()
         watcher.cancel()
         await node_service.shut_down()
-        handler.close()
+        log_handler.close()
         return _STATUS.ERROR if self._has_failed else _STATUS.SUCCESS
 
     def _handle_loop_error(
@@ -128,21 +128,21 @@
         """
         is_fatal = bool(context.get(background.FATAL))
         _LOG.error(
-            'Unhandled error.',
+            'Unhandled error in the event loop.',
             extra={'what': context.get('message'), 'ends': is_fatal},
             exc_info=context.get('exception'),
         )
-        if is_fatal and self._stop is not None:
+        if is_fatal and self._stop_requested is not None:
             self._has_failed = True
-            self._stop.set()
+            self._stop_requested.set()
 
     async def _watch_settings(
         self, node_service: service.Service, reload_requested: asyncio.Event
     ) -> None:
-        """Reload the settings on SIGHUP and every ``SETTINGS_PERIOD_S``."""
+        """Reload the settings on SIGHUP and at regular intervals."""
         while True:
             try:
-                async with asyncio.timeout(SETTINGS_PERIOD_S):
+                async with asyncio.timeout(SETTINGS_RELOAD_INTERVAL_S):
                     await reload_requested.wait()
                 _LOG.info('Reloading settings on SIGHUP.')
             except TimeoutError:
@@ -151,16 +151,16 @@
             loaded = settings.load(self._path)
             if isinstance(loaded, result.Err):
                 _LOG.error(
-                    'Invalid settings, keeping the current ones.',
+                    'Settings file is invalid; keeping the current settings.',
                     extra={'cause': loaded.err_value},
                 )
             else:
                 node_service.update_settings(loaded.ok_value)
 
 
-#: Interval at which the settings are reloaded without a signal, in seconds.
-#: The file may change without a SIGHUP.
-SETTINGS_PERIOD_S = 5.0
+#: Interval at which the settings are reloaded without a signal, in seconds,
+#: as the file may change without a SIGHUP.
+SETTINGS_RELOAD_INTERVAL_S = 5.0
 
 
 def _configure_gc() -> None:
@@ -171,7 +171,7 @@
 
 
 def _fail(
-    sentence: str, status: exit_status.ExitStatus
+    message: str, status: exit_status.ExitStatus
 ) -> exit_status.ExitStatus:
-    sys.stderr.write(f'sardineproxy-node: {sentence}\n')
+    sys.stderr.write(f'sardineproxy-node: {message}\n')
     return status
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -37,7 +37,7 @@
 from sardineproxy.version import active_config, routes
 
 #: Interval of the periodic work, in seconds: half of the shortest heartbeat
-#: interval, and less for shard leaders, whose queues advance with time.
+#: interval, and less for shard leaders, as their queues change with time.
 TICK_S = 0.05
 LEADER_TICK_S = 0.025
 
@@ -45,8 +45,8 @@
 #: Peers close a link after 0.4 s without a heartbeat.
 STALL_S = 0.3
 
-#: Time after a stall in which requests are refused, in seconds. Such requests
-#: may come from connections that the clients have abandoned during the stall.
+#: Time after a stall in which requests are refused, in seconds: their clients
+#: may have abandoned the connections during the stall.
 STALL_REFUSAL_S = 0.05
 
 INCARNATION_BYTES = 6
@@ -79,11 +79,11 @@
             decode=dependencies.formats.decode_configuration
         )
         self.active_jobs = active_jobs.ActiveJobs()
-        self.directory = registry.Registry()
+        self.registry = registry.Registry()
         self._peer_sync = peer_sync.PeerSync(
             versions=self.versions,
-            directory=self.directory,
-            on_directory=self._update_links,
+            registry=self.registry,
+            on_registry_change=self._update_links,
         )
         self.leaders = leaders.Leaders(own_vm=cfg.vm)
         self.workers = worker_list.WorkerList(
@@ -113,7 +113,7 @@
         )
         self._claimer = claiming.ShardClaimer(
             store=dependencies.store,
-            directory=self.directory,
+            registry=self.registry,
             member=self.member,
             on_token=self._lead,
         )
@@ -149,14 +149,14 @@
             clock=self._clock,
             metrics=self.metrics,
         )
-        self._ticked_at = self._clock.now()
+        self._last_tick_at = self._clock.now()
         self._refusing_until: float = 0
 
     async def start(self) -> None:
         """Open the listener for links and start the background tasks."""
         await self.links.start(self.cfg.peers)
         self._update_links()
-        self._ticked_at = self._clock.now()
+        self._last_tick_at = self._clock.now()
         for coroutine in self._feeds.coroutines(self.member):
             self._tasks.spawn(coroutine)
         self._tasks.spawn(self._run_ticks())
@@ -186,8 +186,6 @@
         """Return whether the process is shutting down."""
         return self.job_intake.shutdown_at is not None
 
-    # Jobs.
-
     def is_ready(self) -> bool:
         """Return whether the load balancer may send new connections."""
         return (
@@ -205,7 +203,8 @@
     def default_shard(self) -> ids.ShardId | None:
         """Return the shard for this VM's jobs, None if no shard has a leader.
 
-        The home shard if it has a leader, else the one with most free capacity.
+        This is the home shard if it has a leader, else the shard with the
+        most free capacity.
         """
         if self.home_shard in self.leaders.by_shard:
             return self.home_shard
@@ -216,19 +215,17 @@
             default=None,
         )
 
-    def leader(self, shard: ids.ShardId) -> link.Link | None:
+    def leader_link(self, shard: ids.ShardId) -> link.Link | None:
         """Return the link to a shard's leader, None if it is unreachable."""
         vm = self.leader_of(shard)
         if vm is None:
             return None
         return self._local_link if vm == self.cfg.vm else self.links.get(vm)
 
-    # Links.
-
     def opened(self, opened: link.Link) -> None:
         """Send a heartbeat and request the peer's registry rows."""
         opened.send(self._heartbeat(self._clock.now()))
-        opened.send(messages.DirectoryRequest())
+        opened.send(messages.RegistryRequest())
 
     def closed(self, closed: link.Link) -> None:
         """Remove state that depends on a closed link."""
@@ -264,8 +261,6 @@
             case _:
                 self._peer_sync.received(source, message)
 
-    # State that led shards and stored jobs read.
-
     @property
     def home_shard(self) -> ids.ShardId:
         """Return the shard of this VM's zone."""
@@ -286,13 +281,13 @@
         return self.leaders.by_shard.get(shard)
 
     def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
-        """Return the loaded home shard of a stored job, None if unknown."""
+        """Return the home shard of a stored job, None if it is not loaded."""
         home = self.job_service.home_shard(job)
         return self.leaders.loaded_shards.get(home, self.leader_of(home))
 
     def manager_link(self, job: ids.JobId) -> link.Link | None:
         """Return the link to the leader of a stored job's home shard."""
-        return self.leader(self.job_service.home_shard(job))
+        return self.leader_link(self.job_service.home_shard(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
         """Return a route of the version in force, None if it was removed."""
@@ -319,7 +314,7 @@
         """Return the local time of the last read of the worker list."""
         return self._feeds.workers_listed_at()
 
-    def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
+    def leadership_confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         """Return the local time at which leadership was last confirmed.
 
         This is ``now`` if all successors are connected, as they would report
@@ -330,13 +325,13 @@
             return now
         return self._feeds.last_response_at()
 
-    def is_list_available(self) -> bool:
+    def is_worker_list_available(self) -> bool:
         """Return whether the store can currently read the list of workers."""
-        return self._feeds.is_list_available()
+        return self._feeds.is_worker_list_available()
 
     def is_isolated(self) -> bool:
         """Return whether other VMs exist but none is connected."""
-        return not self.links.open_links and len(self.directory.members) > 1
+        return not self.links.open_links and len(self.registry.members) > 1
 
     def shard_gained(self, shard: ids.ShardId) -> None:
         """Announce that this process leads a shard."""
@@ -355,15 +350,13 @@
         """Return the state of the process for the state dump."""
         return state_dump.build_state_dump(self, self._clock.now())
 
-    # Rows of the store.
-
     def configuration_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Apply changed rows of the operator's table."""
         for row in rows:
             if row.key == self._formats.configuration_row and row.body:
                 self.versions.offer(row.body, 'store')
 
-    def directory_changed(self, rows: tuple[store.Row, ...]) -> None:
+    def registry_changed(self, rows: tuple[store.Row, ...]) -> None:
         """Apply changed members and claims."""
         self._peer_sync.apply_rows(rows)
 
@@ -382,8 +375,6 @@
             return feeds.CANDIDATE_POLL_TIMING
         return feeds.FOLLOWER_POLL_TIMING
 
-    # Internals.
-
     async def _run_ticks(self) -> None:
         while True:
             self._tick(self._clock.now())
@@ -393,7 +384,7 @@
 
     def _tick(self, now: float) -> None:
         self._check_stall(now)
-        self._ticked_at = now
+        self._last_tick_at = now
         self.leaders.loaded_shards.update(
             self.cfg.vm, self.job_service.loaded_shards(), now
         )
@@ -401,10 +392,10 @@
         self.led_shards.tick(now, may_claim=not self.draining)
 
     def _check_stall(self, now: float) -> None:
-        gap_s = now - self._ticked_at
+        gap_s = now - self._last_tick_at
         if gap_s < STALL_S:
             return
-        self._ticked_at = now
+        self._last_tick_at = now
         _LOG.warning('Process stalled.', extra={'gap_s': round(gap_s, 3)})
         self.metrics.count('stalls_total')
         self._refusing_until = now + STALL_REFUSAL_S
@@ -460,14 +451,14 @@
 
     def _choose_leaders(self) -> None:
         change = self.leaders.choose(self.led_shards.tokens())
-        for shard, vm in change.lost.items():
-            # ``give_up`` calls this method again, so that the nested call may
-            # have given up the remaining shards already.
+        for shard, vm in change.lost_shards.items():
+            # ``step_down`` calls this method again; the nested call may have
+            # stepped down from the remaining shards already.
             if shard in self.led_shards.shards:
-                self.led_shards.give_up(
+                self.led_shards.step_down(
                     shard, f'{vm} has a higher fencing token'
                 )
-        for shard in change.with_new_leader:
+        for shard in change.shards_with_new_leader:
             self.active_jobs.notify_leader_found(shard)
             self.job_service.broadcast(open_tasks.LeaderFound(shard=shard))
 
@@ -482,7 +473,7 @@
     def _new_job_manager(
         self, shard: ids.ShardId, token: fencing.FencingToken
     ) -> job_manager.JobManager:
-        """Return a stored-job manager for a newly led shard."""
+        """Return the manager of stored jobs for a newly led shard."""
         return dependencies.new_job_manager(
             self._dependencies,
             shard=shard,
@@ -490,14 +481,14 @@
                 token=token, incarnation=self.identity.incarnation
             ),
             router=self,
-            states_s=self.cfg.bounds.states_s,
+            retention_s=self.cfg.bounds.states_s,
         )
 
     def _update_links(self) -> None:
-        """Set link targets: members, or the seeds while none is known."""
+        """Set the link targets from the current members and settings."""
         peering.update_link_targets(
             self.links,
-            members=self.directory.members.values(),
+            members=self.registry.members.values(),
             claimer=self._claimer,
             cfg=self.cfg,
         )
