--- a/sardineproxy/connection/frames.py
+++ b/sardineproxy/connection/frames.py
@@ -63,10 +63,10 @@
 
 
 #: Customer, contract weight, and slots wanted.
-Want = tuple[ids.CustomerId, float, int]
+SlotDemand = tuple[ids.CustomerId, float, int]
 
 #: Customer, endpoint, and number of slots.
-Lot = tuple[ids.CustomerId, ids.EndpointId, int]
+SlotAllocation = tuple[ids.CustomerId, ids.EndpointId, int]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -74,7 +74,7 @@
     """Asks for loans, or for lent slots."""
 
     number: int = codec.checked_field(codec.count)
-    wants: tuple[Want, ...] = codec.checked_field(
+    demands: tuple[SlotDemand, ...] = codec.checked_field(
         codec.rows(codec.text, codec.weight, codec.count)
     )
 
@@ -90,7 +90,7 @@
     """Lends slots in answer to the request ``number``, at once or later."""
 
     number: int = codec.checked_field(codec.count)
-    lots: tuple[Lot, ...] = codec.checked_field(
+    allocations: tuple[SlotAllocation, ...] = codec.checked_field(
         codec.rows(codec.text, codec.text, codec.count)
     )
 
@@ -99,7 +99,7 @@
 class SlotReturn:
     """Gives borrowed slots back."""
 
-    lots: tuple[Lot, ...] = codec.checked_field(
+    allocations: tuple[SlotAllocation, ...] = codec.checked_field(
         codec.rows(codec.text, codec.text, codec.count)
     )
 
--- a/sardineproxy/connection/messages.py
+++ b/sardineproxy/connection/messages.py
@@ -191,7 +191,7 @@
     number: int = codec.checked_field(codec.count)
 
     #: Its body, compressed by zlib.
-    packed: bytes = codec.checked_field(codec.blob)
+    compressed_body: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -246,7 +246,7 @@
     request_id: int = codec.checked_field(codec.count)
 
     #: A ``KeeperAnswer`` value.
-    answer: str = codec.checked_field(codec.text)
+    reply: str = codec.checked_field(codec.text)
 
 
 Message = (
--- a/sardineproxy/connection/peer.py
+++ b/sardineproxy/connection/peer.py
@@ -124,7 +124,7 @@
         if not isinstance(frame, frames.Heartbeat):
             self.last_used_at = self.last_sent_at
         if isinstance(frame, frames.SlotReturn):
-            self.free_slots += sum(count for _, _, count in frame.lots)
+            self.free_slots += sum(count for _, _, count in frame.allocations)
         return True
 
     async def flush(self) -> None:
--- a/sardineproxy/operator/applying.py
+++ b/sardineproxy/operator/applying.py
@@ -132,7 +132,7 @@
         return result.Ok(None)
     if snapshot.number < head.number:
         return _invalid(
-            f'version {head.number} cannot be read: {fetched.ok_value.fault}'
+            f'version {head.number} cannot be read: {fetched.ok_value.error}'
         )
     return _agree(head, revision, snapshot)
 
--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -44,7 +44,11 @@
         self._leases: dict[ids.VmId, float] = {}
 
     def add(
-        self, *, lender: ids.VmId, lots: Iterable[frames.Lot], now: float
+        self,
+        *,
+        lender: ids.VmId,
+        lots: Iterable[frames.SlotAllocation],
+        now: float,
     ) -> None:
         """Add slots that the lender granted."""
         for customer, endpoint, count in lots:
@@ -110,7 +114,7 @@
 
     def pop_idle(
         self, now: float, idle_s: float, *, lender: ids.VmId | None = None
-    ) -> dict[ids.VmId, tuple[frames.Lot, ...]]:
+    ) -> dict[ids.VmId, tuple[frames.SlotAllocation, ...]]:
         """Remove slots to be returned, and return them by lender.
 
         A lender's idle slots are returned together once one of its loans was
@@ -126,7 +130,7 @@
             and lender in {None, loan.lender}
             and now - loan.idle_at >= min_idle_s[loan.recalled]
         }
-        lots: dict[ids.VmId, tuple[frames.Lot, ...]] = {}
+        lots: dict[ids.VmId, tuple[frames.SlotAllocation, ...]] = {}
         for loan in self._all():
             idle = loan.count - loan.used
             returnable = loan.recalled or now - loan.idle_at >= idle_s / 2
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -203,10 +203,10 @@
         request = self._sent_requests.get(vm)
         if request:
             request.answered = True
-        for customer, _, _ in grant.lots:
+        for customer, _, _ in grant.allocations:
             self._last_lenders[customer] = vm
-        if grant.lots:
-            self._borrowed.add(lender=vm, lots=grant.lots, now=now)
+        if grant.allocations:
+            self._borrowed.add(lender=vm, lots=grant.allocations, now=now)
             self._table.changed.on_next(None)
 
     def handle_disconnect(self, vm: ids.VmId) -> None:
@@ -233,10 +233,12 @@
             return []
         return self.return_all_idle(vm, now)
 
-    def _request(self, wants: tuple[frames.Want, ...]) -> frames.SlotRequest:
+    def _request(
+        self, wants: tuple[frames.SlotDemand, ...]
+    ) -> frames.SlotRequest:
         self._last_number += 1
         return frames.SlotRequest(
-            number=self._last_number, wants=wants, recall=(), reclaim=False
+            number=self._last_number, demands=wants, recall=(), reclaim=False
         )
 
     def _needs(self, now: float) -> dict[ids.CustomerId, tuple[float, int]]:
@@ -330,17 +332,17 @@
 
 
 def _to_frames(
-    lots_by_lender: Mapping[ids.VmId, tuple[frames.Lot, ...]],
+    lots_by_lender: Mapping[ids.VmId, tuple[frames.SlotAllocation, ...]],
 ) -> OutgoingFrames:
     return [
-        (vm, frames.SlotReturn(lots=lots))
+        (vm, frames.SlotReturn(allocations=lots))
         for vm, lots in lots_by_lender.items()
     ]
 
 
 def _divide_wants(
     needs: Mapping[ids.CustomerId, tuple[float, int]], max_slots: int
-) -> tuple[frames.Want, ...]:
+) -> tuple[frames.SlotDemand, ...]:
     """Divide up to ``max_slots`` among the customers by contract weight."""
     shares = water_fill(
         max_slots, {('', customer): need for customer, need in needs.items()}
--- a/sardineproxy/process/lending.py
+++ b/sardineproxy/process/lending.py
@@ -72,21 +72,23 @@
         Slots that cannot be granted now stay pending.
         """
         account = self._accounts.setdefault(vm, _BorrowerAccount())
-        if not request.wants:
+        if not request.demands:
             return None
         account.request_number = request.number
         account.weights.update(
-            {customer: weight for customer, weight, _ in request.wants}
+            {customer: weight for customer, weight, _ in request.demands}
         )
         account.pending = {
-            customer: count for customer, _, count in request.wants
+            customer: count for customer, _, count in request.demands
         }
         account.pending_until = now + self._cfg.max_pending_s
         return frames.SlotGrant(
-            number=request.number, lots=self._grant(vm, account, now)
+            number=request.number, allocations=self._grant(vm, account, now)
         )
 
-    def handle_return(self, vm: ids.VmId, lots: Iterable[frames.Lot]) -> None:
+    def handle_return(
+        self, vm: ids.VmId, lots: Iterable[frames.SlotAllocation]
+    ) -> None:
         """End the returned loans; excess slots in ``lots`` are ignored."""
         account = self._accounts.get(vm)
         if account is None:
@@ -121,7 +123,7 @@
             lots = self._grant_pending(vm, account, now)
             if lots:
                 grant = frames.SlotGrant(
-                    number=account.request_number, lots=lots
+                    number=account.request_number, allocations=lots
                 )
                 frames_out.append((vm, grant))
             recall = self._build_recall(vm, account, now)
@@ -142,9 +144,9 @@
 
     def _grant(
         self, vm: ids.VmId, account: _BorrowerAccount, now: float
-    ) -> tuple[frames.Lot, ...]:
+    ) -> tuple[frames.SlotAllocation, ...]:
         """Lend slots for the pending request as far as possible."""
-        lots: list[frames.Lot] = []
+        lots: list[frames.SlotAllocation] = []
         for customer, wanted in list(account.pending.items()):
             limit = min(wanted, self._grant_limit(vm, account, customer, now))
             for endpoint, count in self._table.lend(customer, limit).items():
@@ -161,7 +163,7 @@
 
     def _grant_pending(
         self, vm: ids.VmId, account: _BorrowerAccount, now: float
-    ) -> tuple[frames.Lot, ...]:
+    ) -> tuple[frames.SlotAllocation, ...]:
         """Grant a pending request once enough slots are free or it expires.
 
         Slots of the request that cannot be granted then are dropped.
@@ -256,7 +258,7 @@
         if reclaim:
             account.last_exchange_at = now
         return frames.SlotRequest(
-            number=0, wants=(), recall=recall, reclaim=reclaim
+            number=0, demands=(), recall=recall, reclaim=reclaim
         )
 
     def _needs_slots(self, borrower: ids.VmId, now: float) -> bool:
--- a/sardineproxy/process/loans.py
+++ b/sardineproxy/process/loans.py
@@ -65,7 +65,7 @@
             case frames.SlotGrant():
                 self._borrowing.handle_grant(vm, frame, now)
             case frames.SlotReturn():
-                self._lending.handle_return(vm, frame.lots)
+                self._lending.handle_return(vm, frame.allocations)
                 return self._lending.tick(now)
         return []
 
@@ -97,7 +97,7 @@
         replies: borrowing.OutgoingFrames = []
         if request.reclaim or request.recall:
             replies.extend(self._borrowing.return_all_idle(vm, now))
-        elif request.wants:
+        elif request.demands:
             replies.extend(self._borrowing.return_many_idle(vm, now))
         grant = self._lending.handle_request(vm, request, now)
         if grant:
--- a/sardineproxy/process/node/peer_sync.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -95,7 +95,7 @@
 ) -> messages.VersionResponse:
     """Encode the version in force; similar routes make it compress well."""
     return messages.VersionResponse(
-        number=versions.number, packed=zlib.compress(versions.body)
+        number=versions.number, compressed_body=zlib.compress(versions.body)
     )
 
 
@@ -105,7 +105,9 @@
     """Return the decompressed body of a version, or an error sentence."""
     decompressor = zlib.decompressobj()
     try:
-        body = decompressor.decompress(message.packed, MAX_VERSION_BYTES)
+        body = decompressor.decompress(
+            message.compressed_body, MAX_VERSION_BYTES
+        )
     except zlib.error as exc:
         return result.Err(f'version {message.number} is corrupt: {exc}')
     if not decompressor.eof:
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -133,7 +133,7 @@
         match message:
             case messages.StoreJob() | messages.QueryJob():
                 self._tasks.spawn(self._serve(source, message))
-            case messages.JobResponse(request_id=request_id, answer=answer):
+            case messages.JobResponse(request_id=request_id, reply=answer):
                 reply_fut = self._pending_replies.get(request_id)
                 if reply_fut is not None and not reply_fut.done():
                     reply_fut.set_result(_Reply(answer))
@@ -225,7 +225,7 @@
         answer = await self._handle_request(request)
         source.send(
             messages.JobResponse(
-                request_id=request.request_id, answer=answer.value
+                request_id=request.request_id, reply=answer.value
             )
         )
 
--- a/sardineproxy/version/fetching.py
+++ b/sardineproxy/version/fetching.py
@@ -40,7 +40,7 @@
     changes: tuple[versions.Change, ...]
 
     #: Why the change after the newest could not be applied, else None.
-    fault: str | None = None
+    error: str | None = None
 
     @property
     def newest(self) -> versions.Snapshot:
@@ -136,17 +136,17 @@
     """Apply the changes in the rows in order, up to the first fault."""
     snapshots = collections.deque([base], maxlen=MAX_SNAPSHOTS)
     changes: list[versions.Change] = []
-    fault = None
+    error = None
     for row in rows:
         step = _apply_row(snapshots[-1], row)
         if isinstance(step, result.Err):
-            fault = f'row {row.key}: {step.err_value}'
+            error = f'row {row.key}: {step.err_value}'
             break
         change, snapshot = step.ok_value
         changes.append(change)
         snapshots.append(snapshot)
     return FetchedVersions(
-        snapshots=tuple(snapshots), changes=tuple(changes), fault=fault
+        snapshots=tuple(snapshots), changes=tuple(changes), error=error
     )
 
 
--- a/sardineproxy/version/follower.py
+++ b/sardineproxy/version/follower.py
@@ -174,8 +174,8 @@
             for snapshot in fetched.snapshots:
                 self._advance(snapshot)
             self._put_in_force()
-        if fetched.fault is not None:
-            self._report('change', fetched.fault)
+        if fetched.error is not None:
+            self._report('change', fetched.error)
 
     def _advance(self, snapshot: versions.Snapshot) -> None:
         """Make the snapshot the newest unless it is older."""
--- a/tests/connection/test_frames.py
+++ b/tests/connection/test_frames.py
@@ -16,8 +16,12 @@
 _count = strategies.integers(min_value=0, max_value=codec.MAX_NUMBER)
 _blob = strategies.binary(max_size=50)
 _weight = strategies.floats(min_value=0.01, max_value=100)
-_lots = strategies.lists(strategies.tuples(_text, _text, _count)).map(tuple)
-_wants = strategies.lists(strategies.tuples(_text, _weight, _count)).map(tuple)
+_allocations = strategies.lists(strategies.tuples(_text, _text, _count)).map(
+    tuple
+)
+_demands = strategies.lists(strategies.tuples(_text, _weight, _count)).map(
+    tuple
+)
 _texts = strategies.lists(_text).map(tuple)
 _members = strategies.lists(strategies.tuples(_text, _text)).map(tuple)
 
@@ -27,8 +31,8 @@
     **dict.fromkeys(('settled', 'reclaim'), strategies.booleans()),
     **dict.fromkeys(('changes', 'listing'), strategies.none() | _blob),
     'payload': _blob,
-    'wants': _wants,
-    'lots': _lots,
+    'demands': _demands,
+    'allocations': _allocations,
     'members': _members,
     'recall': _texts,
 }
--- a/tests/process/node/test_peer_sync.py
+++ b/tests/process/node/test_peer_sync.py
@@ -28,14 +28,16 @@
         versions = active_config.ActiveConfig(decode=configuration.decode)
         versions.offer(body, 'test')
         packed = peer_sync.pack_version(versions)
-        self.assertThat(len(packed.packed), matchers.LessThan(len(body) // 8))
+        self.assertThat(
+            len(packed.compressed_body), matchers.LessThan(len(body) // 8)
+        )
         self.assertEqual(body, peer_sync.unpack_version(packed).ok_value)
 
     def test_corrupt_and_oversized_versions_are_rejected(self) -> None:
         """Guards against memory exhaustion by a peer's message."""
         oversized = zlib.compress(bytes(peer_sync.MAX_VERSION_BYTES + 1))
         for packed in (b'no zlib', oversized, zlib.compress(b'{}')[:-1]):
-            message = messages.VersionResponse(number=1, packed=packed)
+            message = messages.VersionResponse(number=1, compressed_body=packed)
             unpacked = peer_sync.unpack_version(message)
             self.assertIsInstance(unpacked, result.Err)
 
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -344,7 +344,7 @@
         vms.deliver_all()
         self.assertEqual(2, vms.held_slots(X))
         lots = ((X, 'b0', 50), (Y, 'b1', 1))
-        vms.links['a', 'b'].append(frames.SlotReturn(lots=lots))
+        vms.links['a', 'b'].append(frames.SlotReturn(allocations=lots))
         vms.deliver_all()
         self.assertEqual(0, vms.held_slots(X))
         self.assertEqual(SLOTS * ENDPOINTS, vms.tables['b'].free_slots)
