--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -297,7 +297,7 @@
         entry.unreached_attempts += 1
         if entry.unreached_attempts % self._cfg.refusals_before_pause:
             entry.unreachable |= {endpoint}
-            self._queue.enqueue(entry, first=True)
+            self._queue.enqueue(entry, at_front=True)
             return
         # Several endpoints in a row are unreachable. Back off, because trying
         # all the others at once would cause a storm of connection attempts.
@@ -312,7 +312,7 @@
 
     def _resume(self, entry: flows.QueueEntry) -> None:
         if entry.state is flows.EntryState.WAITING:
-            self._queue.enqueue(entry, first=True)
+            self._queue.enqueue(entry, at_front=True)
             self.wake()
 
     def _refuse(
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -152,14 +152,16 @@
             request[entry.number] = entry
         return entry
 
-    def enqueue(self, entry: flows.QueueEntry, *, first: bool = False) -> None:
-        """Append a task to its lane, or prepend it if ``first``."""
+    def enqueue(
+        self, entry: flows.QueueEntry, *, at_front: bool = False
+    ) -> None:
+        """Append a task to its lane, or insert it ``at_front``."""
         flow = entry.flow
         was_backlogged = flow.is_backlogged
         self._leave_lane(entry)
         lane = _lane_of(entry)
         lane[entry.number] = entry
-        if first:
+        if at_front:
             lane.move_to_end(entry.number, last=False)
         entry.lane = lane
         self._mark_waiting(entry)
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -77,7 +77,7 @@
 
     def wake(self, pick: int) -> None:
         for entry in self.paused.values():
-            self.queue.enqueue(entry, first=True)
+            self.queue.enqueue(entry, at_front=True)
         self.waiting.update(self.paused)
         self.paused.clear()
 
