--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -64,7 +64,10 @@
     """Print what it takes to bring peers to the next version."""
     built, payload = _build_ahead()
     passing = config_exchange.ConfigExchange(
-        gossip=gossip.Gossip(versions=built.versions, vm_list=built.vm_list),
+        gossip=gossip.Gossip(
+            version_follower=built.version_follower,
+            list_follower=built.list_follower,
+        ),
         rng=random.Random(1),
     )
     fetch = frames.ConfigFetch(version=1, revision=0)
@@ -77,7 +80,7 @@
             PEERS,
         )
     )
-    sent: list[frames.Frame] = [announce, fetch, passing.answer(fetch)]
+    sent: list[frames.Frame] = [announce, fetch, passing.handle_fetch(fetch)]
     out.add_figure(
         'change.pass_on.bytes',
         math.fsum(len(frames.encode(one).unwrap()) for one in sent),
@@ -95,7 +98,7 @@
     def pass_on() -> None:  # noqa: WPS430
         for _ in range(peers):
             frames.encode(announce).unwrap()
-            frames.encode(passing.answer(fetch)).unwrap()
+            frames.encode(passing.handle_fetch(fetch)).unwrap()
 
     return slopes_fit.cpu_us(pass_on, times=20)
 
@@ -112,7 +115,7 @@
     built = _build_parts()
 
     def take() -> components.Components:  # noqa: WPS430
-        built.versions.offer(payload)
+        built.version_follower.offer(payload)
         return built
 
     return slopes_fit.heap_bytes(take)
@@ -126,18 +129,20 @@
     """
     built = _build_parts()
     first = _snapshot(count)
-    built.versions.offer(
+    built.version_follower.offer(
         codec.encode_payload(codec.Payload(snapshot=first, changes=()))
     )
     payload = codec.encode_payload(_change(first, 1))
 
     def take() -> None:  # noqa: WPS430
-        built.versions.offer(payload)
+        built.version_follower.offer(payload)
         for customer in first.documents:
             built.slots.limit_share(customer)
 
     took_us = slopes_fit.cpu_us(take)
-    assert built.versions.number() == first.number + 1, 'the change is taken'
+    assert built.version_follower.number() == first.number + 1, (
+        'the change is taken'
+    )
     return took_us
 
 
@@ -163,7 +168,7 @@
         newest = versions.apply(newest, payload.changes[0]).unwrap()
         payloads.append(codec.encode_payload(payload))
     built = _build_parts()
-    built.versions.offer(
+    built.version_follower.offer(
         codec.encode_payload(
             codec.Payload(snapshot=_snapshot(TARGET), changes=())
         )
@@ -171,7 +176,7 @@
 
     def take() -> components.Components:  # noqa: WPS430
         for payload in payloads:
-            built.versions.offer(payload)
+            built.version_follower.offer(payload)
         return built
 
     return slopes_fit.heap_bytes(take)
@@ -181,11 +186,11 @@
     """Return parts at version 2, and the change that leads there."""
     built = _build_parts()
     first = _snapshot(TARGET)
-    built.versions.offer(
+    built.version_follower.offer(
         codec.encode_payload(codec.Payload(snapshot=first, changes=()))
     )
     payload = codec.encode_payload(_change(first, 1))
-    built.versions.offer(payload)
+    built.version_follower.offer(payload)
     return built, payload
 
 
--- a/sardineproxy/bench/slopes_view.py
+++ b/sardineproxy/bench/slopes_view.py
@@ -154,14 +154,14 @@
             slot_table=slots.SlotTable(),
             handler=_NoHandler(),
             gossip=gossip.Gossip(
-                versions=follower.Follower(
+                version_follower=follower.Follower(
                     platform=store,
                     clock=self.clock,
                     rng=rng,
                     metrics=registry,
                     cfg=follower.Config(),
                 ),
-                vm_list=_Revision(self.directory),  # type: ignore[arg-type]
+                list_follower=_Revision(self.directory),  # type: ignore[arg-type]
             ),
             metrics=registry,
             cfg=peers.Config(
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -57,8 +57,8 @@
     incarnation: ids.Incarnation
     metrics: metrics.Metrics
     directory: directory.VmDirectory
-    vm_list: listing.ListFollower
-    versions: follower.Follower
+    list_follower: listing.ListFollower
+    version_follower: follower.Follower
     slots: slots.SlotTable
     client: endpoint.EndpointClient
     dispatcher: dispatcher.Dispatcher
@@ -111,7 +111,7 @@
     incarnation = ids.Incarnation(secrets.token_hex(INCARNATION_BYTES))
     registry = dependencies.registry
     vm_directory = directory.VmDirectory(seeds=_seeds(cfg))
-    vm_list = listing.ListFollower(
+    list_follower = listing.ListFollower(
         platform=dependencies.platform,
         directory=vm_directory,
         clock=dependencies.clock,
@@ -168,7 +168,9 @@
         directory=vm_directory,
         slot_table=slot_table,
         handler=accepted,
-        gossip=gossip.Gossip(versions=version_follower, vm_list=vm_list),
+        gossip=gossip.Gossip(
+            version_follower=version_follower, list_follower=list_follower
+        ),
         metrics=registry,
         cfg=_peers_config(cfg.peering),
         connect=dependencies.connect,
@@ -179,8 +181,8 @@
         incarnation=incarnation,
         metrics=registry,
         directory=vm_directory,
-        vm_list=vm_list,
-        versions=version_follower,
+        list_follower=list_follower,
+        version_follower=version_follower,
         slots=slot_table,
         client=client,
         dispatcher=task_dispatcher,
@@ -227,7 +229,7 @@
 
 def _subscribe(components: Components) -> None:
     """Connect the events of components to their subscribers."""
-    components.versions.active_version.subscribe(
+    components.version_follower.active_version.subscribe(
         lambda version: _apply_version(components, version)
     )
     components.peers.live_vms.subscribe(components.submissions.set_live_vms)
--- a/sardineproxy/process/config_exchange.py
+++ b/sardineproxy/process/config_exchange.py
@@ -73,7 +73,7 @@
                 frames.ConfigFetch(version=version, revision=revision)
             )
 
-    def answer(self, fetch: frames.ConfigFetch) -> frames.ConfigChanges:
+    def handle_fetch(self, fetch: frames.ConfigFetch) -> frames.ConfigChanges:
         """Return the data that is newer than the peer's."""
         version, revision = self.local_versions()
         changes = None
@@ -86,7 +86,7 @@
             else None,
         )
 
-    def apply(self, changes: frames.ConfigChanges) -> None:
+    def handle_changes(self, changes: frames.ConfigChanges) -> None:
         """Apply the configuration changes and the VM list that a peer sent."""
         if changes.changes is not None:
             self._gossip.offer_changes(changes.changes)
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -55,8 +55,8 @@
         except OSError as exc:
             return result.Err(f'cannot open a listener: {exc}.')
         self._tasks = [
-            asyncio.create_task(self._components.versions.run()),
-            asyncio.create_task(self._components.vm_list.run()),
+            asyncio.create_task(self._components.version_follower.run()),
+            asyncio.create_task(self._components.list_follower.run()),
         ]
         _LOG.info('Started.', extra={'vm': self._cfg.vm, 'ports': ports})
         return result.Ok(ports)
@@ -65,7 +65,7 @@
         """Return whether the load balancer may send new callers."""
         if self._is_draining or self._components is None:
             return False
-        return self._components.versions.number() > 0
+        return self._components.version_follower.number() > 0
 
     def state(self) -> dict[str, object]:
         """Return the state dump of all components."""
@@ -84,8 +84,8 @@
         return {
             **process_state,
             'incarnation': self._components.incarnation,
-            'config': self._components.versions.state(now=now),
-            'list_revision': self._components.vm_list.revision(),
+            'config': self._components.version_follower.state(now=now),
+            'list_revision': self._components.list_follower.revision(),
             'submissions': self._components.submissions.state(now=now),
             'dispatcher': self._components.dispatcher.state(now=now),
             'slots': self._components.slots.state(now=now),
@@ -125,7 +125,7 @@
         components.submissions.drain()
         await components.submissions.wait_until_idle()
         self._has_drained = True
-        await components.peers.goodbye()
+        await components.peers.leave()
 
     def _connect_dependencies(self) -> components.Dependencies:
         if self._dependencies is not None:
--- a/sardineproxy/process/gossip.py
+++ b/sardineproxy/process/gossip.py
@@ -10,33 +10,33 @@
     def __init__(
         self,
         *,
-        versions: follower.Follower,
-        vm_list: listing.ListFollower,
+        version_follower: follower.Follower,
+        list_follower: listing.ListFollower,
     ) -> None:
         """Create the adapter of both followers."""
-        self._versions = versions
-        self._vm_list = vm_list
+        self._version_follower = version_follower
+        self._list_follower = list_follower
 
     def version_number(self) -> int:
         """Return the number of the version in force, 0 if there is none."""
-        return self._versions.number()
+        return self._version_follower.number()
 
     def changes_since(self, number: int) -> bytes | None:
         """Return the changes after version ``number``, None if not kept."""
-        return self._versions.changes_since(number)
+        return self._version_follower.changes_since(number)
 
     def offer_changes(self, payload: bytes) -> None:
         """Apply configuration changes that another entry process sent."""
-        self._versions.offer(payload)
+        self._version_follower.offer(payload)
 
     def listing_revision(self) -> int:
         """Return the revision of the newest VM list."""
-        return self._vm_list.revision()
+        return self._list_follower.revision()
 
     def listing(self) -> bytes:
         """Return the newest VM list, encoded."""
-        return self._vm_list.encode()
+        return self._list_follower.encode()
 
     def offer_listing(self, payload: bytes) -> None:
         """Apply a VM list that another entry process sent, if newer."""
-        self._vm_list.offer(payload)
+        self._list_follower.offer(payload)
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -51,7 +51,7 @@
         self,
         zones: Mapping[ids.EndpointId, ids.ZoneId],
         *,
-        own: ids.ZoneId,
+        own_zone: ids.ZoneId,
     ) -> None:
         """Replace the listed endpoints and drop the estimates of others.
 
@@ -75,7 +75,7 @@
         self._zone_sizes = collections.Counter(zones.values())
         self.ranks.clear()
         for endpoint, estimate in self._estimates.items():
-            if estimate.zone != own:
+            if estimate.zone != own_zone:
                 estimate.base_rank = health_estimates.OTHER_ZONE_RANK
             if not estimate.is_ejected:
                 self.ranks[endpoint] = estimate.rank(self._cfg)
@@ -236,7 +236,7 @@
         endpoint: ids.EndpointId,
         *,
         count: int,
-        since: float,
+        newest_start: float,
         now: float,
     ) -> None:
         """Eject an endpoint that sent no response since stragglers started.
@@ -247,7 +247,7 @@
         estimate = self._estimates.get(endpoint)
         if estimate is None or estimate.is_ejected:
             return
-        unresponsive = estimate.last_success < since
+        unresponsive = estimate.last_success < newest_start
         if unresponsive and count >= self._cfg.stragglers_to_eject:
             self._count_failure(endpoint, estimate, now=now)
             self._eject(endpoint, estimate, now=now)
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -135,7 +135,7 @@
                 starts.append(placement.started)
         for endpoint, starts in starts_by_endpoint.items():
             self._health.record_stragglers(
-                endpoint, count=len(starts), since=max(starts), now=now
+                endpoint, count=len(starts), newest_start=max(starts), now=now
             )
 
     def _match_one(self, now: float) -> flows.Flow | None:
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -77,9 +77,9 @@
             case frames.ForwardReply():
                 self._forwards.handle_reply(stream, frame)
             case frames.ConfigFetch():
-                stream.send(self._exchange.answer(frame))
+                stream.send(self._exchange.handle_fetch(frame))
             case frames.ConfigChanges():
-                self._exchange.apply(frame)
+                self._exchange.handle_changes(frame)
             case _:
                 self._send_all(
                     self._loans.handle_frame(
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -138,7 +138,7 @@
         )
         self._ticker = asyncio.create_task(self._run_ticks())
 
-    async def goodbye(self) -> None:
+    async def leave(self) -> None:
         """Release all slots and send Goodbye to the peers.
 
         Waits until no task runs on the slots, here or at borrowers, but at
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -42,7 +42,7 @@
         }
         self._health.set_endpoints(
             {endpoint: vm.zone for endpoint, vm in self._vms.items()},
-            own=self._zone,
+            own_zone=self._zone,
         )
 
     def listed_vm(self, endpoint: ids.EndpointId) -> platform.Vm:
--- a/tests/process/test_health.py
+++ b/tests/process/test_health.py
@@ -19,7 +19,7 @@
     def __init__(self, count: int) -> None:
         super().__init__(rng=random.Random(1), cfg=health.Config(jitter=0))
         zone = ids.ZoneId('z')
-        self.set_endpoints(dict.fromkeys(NAMES[:count], zone), own=zone)
+        self.set_endpoints(dict.fromkeys(NAMES[:count], zone), own_zone=zone)
 
     def fail(
         self, endpoint: Any, request: str | None = None, now: float = 0
@@ -165,7 +165,9 @@
         estimates.succeed(SECOND, now=5)
         self.assertGreater(estimates.straggler_after_s(CUSTOMER), 1)
         for endpoint in (FIRST, SECOND):
-            estimates.record_stragglers(endpoint, count=2, since=2, now=6)
+            estimates.record_stragglers(
+                endpoint, count=2, newest_start=2, now=6
+            )
         self.assertEqual([SECOND], list(estimates.ranks))
 
     def test_estimates_of_unused_endpoints_decay(self) -> None:
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -197,7 +197,7 @@
             await eventually(share_all(one, two, three))
             for process in (one, two):
                 process.peers._views._grace_s = NEVER_S
-            await three.peers.goodbye()
+            await three.peers.leave()
             self.assertEqual([], owned(three))
             await eventually(share_all(one, two))
             three.peers._streams.abort_all('streams may fail after Goodbye')
