--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -38,22 +38,22 @@
         default_factory=fair_queue.Config
     )
 
-    #: Delay in seconds before customers that could use none of the free
-    #: slots are tried again.
+    #: Delay in seconds before blocked customers are tried again. These could
+    #: use none of the free slots.
     blocked_retry_s: float = 0.05
 
     #: Shortest interval between items of the backlog stream, in seconds.
     backlog_interval_s: float = 0.001
 
-    #: Interval of the straggler search and of the decay of health
-    #: estimates, in seconds.
+    #: Interval at which stragglers are detected and health estimates decay,
+    #: in seconds.
     housekeeping_s: float = 0.25
 
-    #: Unreachable endpoints that a task tries in a row before it backs off.
-    refusals_before_pause: int = 3
+    #: Endpoints in a row that are unreachable for a task before it backs off.
+    max_unreachable_in_row: int = 3
 
-    #: Mean of this back-off, in seconds.
-    refusal_pause_s: float = 0.2
+    #: Mean length of this back-off, in seconds.
+    unreachable_back_off_s: float = 0.2
 
 
 class Dispatcher:
@@ -72,7 +72,7 @@
         metrics: metrics.Metrics,
         cfg: Config | None = None,
     ) -> None:
-        """Create a dispatcher that follows the VM lists of ``directory``."""
+        """Create a dispatcher for the endpoints listed in ``directory``."""
         self._clock = clock
         self._rng = rng
         self._client = client
@@ -288,26 +288,26 @@
     def _requeue(
         self, entry: flows.QueueEntry, endpoint: ids.EndpointId, now: float
     ) -> None:
-        """Return a task whose endpoint was unreachable to the queue's front.
+        """Requeue a task at the front after its endpoint was unreachable.
 
-        No part of it was sent, so it may be sent elsewhere.
+        No byte of the task was sent, so another endpoint may run it.
         """
         self._metrics.count('dispatch_put_back_total')
         self._prepare_wait(entry, now)
         entry.unreached_attempts += 1
-        if entry.unreached_attempts % self._cfg.refusals_before_pause:
+        if entry.unreached_attempts % self._cfg.max_unreachable_in_row:
             entry.unreachable |= {endpoint}
             self._queue.enqueue(entry, at_front=True)
             return
         # Several endpoints in a row are unreachable. Back off, because trying
-        # all the others at once would cause a storm of connection attempts.
+        # all others at once would cause a burst of connection attempts.
         entry.unreachable = NOTHING_EXCLUDED
         self._queue.pause(entry)
-        refusal_pause_s = self._cfg.refusal_pause_s * self._rng.uniform(
-            0.5, 1.5
+        unreachable_back_off_s = (
+            self._cfg.unreachable_back_off_s * self._rng.uniform(0.5, 1.5)
         )
         asyncio.get_running_loop().call_later(
-            refusal_pause_s, self._resume, entry
+            unreachable_back_off_s, self._resume, entry
         )
 
     def _resume(self, entry: flows.QueueEntry) -> None:
@@ -365,7 +365,7 @@
 def _final_refusal(
     entry: flows.QueueEntry, *, closed: bool
 ) -> problems.Problem:
-    """Return why a task is not retried after an unreachable endpoint."""
+    """Return the problem of a task that is not requeued when unreachable."""
     if entry.cancelled:
         return _cancelled()
     return _shutting_down() if closed else endpoint_conn.deadline_passed()
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -1,9 +1,9 @@
 """Ranking and outlier ejection of endpoints from observed task outcomes.
 
-The expected run time of an endpoint is estimated from successes only, relative
-to the fleet's run time for the same workload, so that an endpoint that fails
-fast does not look fast. Failures raise its score, and consecutive failures
-eject it for a limited time.
+The speed of an endpoint is estimated from the run times of successful tasks,
+relative to those of all endpoints for the same customer. Failed tasks do not
+count, because an endpoint that fails quickly would seem fast. Failures raise
+its score, and consecutive failures eject it for a limited time.
 """
 
 import collections
@@ -33,7 +33,7 @@
         self._rng = rng
         self._cfg = cfg or Config()
         self._estimates: dict[ids.EndpointId, health_estimates.Estimate] = {}
-        self._zone_sizes: collections.Counter[ids.ZoneId] = (
+        self._endpoints_per_zone: collections.Counter[ids.ZoneId] = (
             collections.Counter()
         )
         self._ejected: dict[ids.EndpointId, health_estimates.Estimate] = {}
@@ -41,7 +41,7 @@
 
         #: Geometric means of the customers' run times, in seconds.
         self._geometric_mean_run_s: dict[ids.CustomerId, float] = {}
-        self._requests = health_estimates.RequestFailures()
+        self._request_failures = health_estimates.RequestFailures()
 
         #: Ranks of the endpoints that are in service (listed and not
         #: ejected); lower is better. Read-only for other modules.
@@ -55,7 +55,7 @@
     ) -> None:
         """Replace the listed endpoints and drop the estimates of others.
 
-        Endpoints of the zone ``own`` rank before all others.
+        Endpoints of ``own_zone`` rank before all others.
         """
         retained = {
             endpoint: estimate
@@ -72,7 +72,7 @@
             for endpoint, estimate in retained.items()
             if estimate.is_ejected
         }
-        self._zone_sizes = collections.Counter(zones.values())
+        self._endpoints_per_zone = collections.Counter(zones.values())
         self.ranks.clear()
         for endpoint, estimate in self._estimates.items():
             if estimate.zone != own_zone:
@@ -125,10 +125,10 @@
         return min(probe_times, default=None)
 
     def record_start(self, endpoint: ids.EndpointId, *, now: float) -> None:
-        """Count a task that is about to be sent; it may be a probe."""
+        """Record that a task is about to be sent; it may be a probe."""
         estimate = self._ejected.get(endpoint)
         if estimate is not None and now >= estimate.ejected_until:
-            estimate.probes += 1
+            estimate.running_probes += 1
 
     def record_response(self, endpoint: ids.EndpointId, *, now: float) -> None:
         """Record a complete response that is no failure of the endpoint."""
@@ -138,7 +138,7 @@
         if estimate.is_ejected:
             self._readmit(endpoint, estimate, now=now)
         estimate.failures_in_row = 0
-        estimate.last_success = now
+        estimate.last_response_at = now
 
     def record_success(
         self,
@@ -152,7 +152,9 @@
         self.record_response(endpoint, now=now)
         cfg = self._cfg
         mean_s = self._mean_run_s.get(customer, run_s)
-        self._mean_run_s[customer] = mean_s + cfg.fleet_gain * (run_s - mean_s)
+        self._mean_run_s[customer] = mean_s + cfg.mean_run_time_gain * (
+            run_s - mean_s
+        )
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
@@ -160,13 +162,16 @@
         estimate.update_relative_run_time(
             self._relative_run_time(customer, run_s), cfg
         )
-        estimate.last_update = now
+        estimate.updated_at = now
         if not estimate.is_ejected:
             self.ranks[endpoint] = estimate.rank(cfg)
 
     def record_job_success(self, request_id: ids.RequestId) -> None:
-        """Record that a task of a job succeeded, so that the job can run."""
-        self._requests.record_success(request_id)
+        """Record that a task of a job succeeded.
+
+        Later failures of the job are then attributed to endpoints.
+        """
+        self._request_failures.record_success(request_id)
 
     def record_failure(
         self,
@@ -187,7 +192,7 @@
         if estimate.is_ejected:
             estimate.renew_ejection(cfg=self._cfg, rng=self._rng, now=now)
             return
-        if self._requests.is_request_at_fault(request_id, endpoint):
+        if self._request_failures.is_request_at_fault(request_id, endpoint):
             return
         estimate.failures_in_row += 1
         self._count_failure(endpoint, estimate, now=now)
@@ -212,10 +217,10 @@
         self._eject(endpoint, estimate, now=now)
 
     def record_inconclusive(self, endpoint: ids.EndpointId) -> None:
-        """Record the end of a task that says nothing about the endpoint."""
+        """Record an outcome that is no evidence for or against the endpoint."""
         estimate = self._ejected.get(endpoint)
-        if estimate is not None and estimate.probes:
-            estimate.probes -= 1
+        if estimate is not None and estimate.running_probes:
+            estimate.running_probes -= 1
 
     def mean_run_s(self, customer: ids.CustomerId) -> float:
         """Return the mean run time of the customer's tasks, in seconds.
@@ -239,15 +244,15 @@
         newest_start: float,
         now: float,
     ) -> None:
-        """Eject an endpoint that sent no response since stragglers started.
+        """Eject an endpoint that has not responded since stragglers started.
 
-        ``count`` is the number of stragglers that run there, and ``since``
-        the start of the newest.
+        ``count`` is the number of stragglers at the endpoint, and
+        ``newest_start`` the time at which the newest of them started.
         """
         estimate = self._estimates.get(endpoint)
         if estimate is None or estimate.is_ejected:
             return
-        unresponsive = estimate.last_success < newest_start
+        unresponsive = estimate.last_response_at < newest_start
         if unresponsive and count >= self._cfg.stragglers_to_eject:
             self._count_failure(endpoint, estimate, now=now)
             self._eject(endpoint, estimate, now=now)
@@ -255,19 +260,19 @@
     def decay_unused(self, *, now: float) -> None:
         """Decay estimates without recent observations towards the mean.
 
-        Without this, an endpoint that was slow once would never get the tasks
+        Without decay, an endpoint that was slow once would never get the tasks
         that could show its recovery. An estimate decays at most once a second.
         """
         half_life_s = self._cfg.half_life_s
         for endpoint, estimate in self._estimates.items():
-            idle_s = now - estimate.last_update
+            idle_s = now - estimate.updated_at
             if idle_s >= 1 and self.ranks.get(endpoint):
                 decay = math.pow(2, -min(idle_s, half_life_s) / half_life_s)
                 estimate.relative_run_time = (
                     1 + (estimate.relative_run_time - 1) * decay
                 )
                 estimate.failure_rate *= decay
-                estimate.last_update = now
+                estimate.updated_at = now
                 self.ranks[endpoint] = estimate.rank(self._cfg)
 
     def state(self, *, now: float) -> dict[str, object]:
@@ -290,13 +295,13 @@
     ) -> float:
         """Return a run time relative to the customer's geometric mean.
 
-        The run time is added to this mean.
+        Updates this mean with the run time.
         """
         run_s = max(run_s, MIN_RUN_S)
         typical_s = self._geometric_mean_run_s.get(customer, run_s)
         relative = run_s / typical_s
         self._geometric_mean_run_s[customer] = typical_s * math.pow(
-            relative, self._cfg.fleet_gain
+            relative, self._cfg.mean_run_time_gain
         )
         return relative
 
@@ -310,7 +315,7 @@
         estimate.failure_rate += self._cfg.failure_gain * (
             1 - estimate.failure_rate
         )
-        estimate.last_update = now
+        estimate.updated_at = now
         self.ranks[endpoint] = estimate.rank(self._cfg)
 
     def _eject(
@@ -322,7 +327,9 @@
     ) -> None:
         zone = estimate.zone
         ejected = sum(other.zone == zone for other in self._ejected.values())
-        max_ejected = self._cfg.max_ejected_fraction * self._zone_sizes[zone]
+        max_ejected = (
+            self._cfg.max_ejected_fraction * self._endpoints_per_zone[zone]
+        )
         if ejected + 1 > max_ejected:
             return
         if now - estimate.readmitted_at > self._cfg.ejection_reset_s:
@@ -347,7 +354,7 @@
             return
         estimate.is_ejected = False
         estimate.readmitted_at = now
-        estimate.probes = 0
+        estimate.running_probes = 0
         self._ejected.pop(endpoint, None)
         _log.info(
             'Endpoint returned to service after a successful probe.',
--- a/sardineproxy/process/health_estimates.py
+++ b/sardineproxy/process/health_estimates.py
@@ -1,4 +1,4 @@
-"""Health estimate of an endpoint, and tracking of requests that fail."""
+"""Health estimate of an endpoint, and failure records of requests."""
 
 import collections
 import dataclasses
@@ -7,8 +7,8 @@
 
 from sardineproxy import ids
 
-#: Base rank of endpoints in other zones; puts them after all endpoints of the
-#: own zone.
+#: Base rank of endpoints in other zones, so that they rank after all endpoints
+#: of the own zone.
 OTHER_ZONE_RANK = 10_000
 
 #: Ratio between the scores of adjacent ranks. Scores within it count as equal,
@@ -20,7 +20,7 @@
 
 _RANKS_PER_LOG_UNIT = 1 / math.log(SCORE_STEP)
 
-#: Stored in place of an endpoint once a task of the request succeeded.
+#: Recorded instead of an endpoint once a task of the request has succeeded.
 _SUCCEEDED = ids.EndpointId('')
 
 
@@ -45,8 +45,8 @@
     jitter: float = 0.25
 
     #: Time on probation in seconds after which a task that may not be retried
-    #: may be used as a probe. A failed probe fails such a task for good, so
-    #: an idempotent task is preferred while other endpoints are in service.
+    #: may be used as a probe. Such a task fails if the probe fails, so that
+    #: idempotent tasks are preferred while other endpoints are in service.
     unsafe_probe_after_s: float = 10
 
     #: Time in service after which the length of ejections is reset to the
@@ -57,12 +57,12 @@
     failure_gain: float = 0.1
 
     #: Smallest weight of a new observation in the relative run time. Run
-    #: times of equal tasks spread over a factor of 20, so that at 0.1 the
-    #: noise was as large as the differences between endpoints.
-    speed_gain: float = 0.02
+    #: times of equal tasks spread over a factor of 20, so that with a weight
+    #: of 0.1 the noise is as large as the differences between endpoints.
+    min_run_time_gain: float = 0.02
 
     #: Weight of a new observation in a customer's mean run time.
-    fleet_gain: float = 0.02
+    mean_run_time_gain: float = 0.02
 
     #: Half-life of the estimate of an unused endpoint, in seconds.
     half_life_s: float = 30
@@ -78,7 +78,8 @@
     #: Shortest run time of a straggler, in seconds.
     min_straggler_s: float = 2
 
-    #: Stragglers that eject an endpoint without successes since they started.
+    #: Number of stragglers that eject an endpoint if it has not responded
+    #: since they started.
     stragglers_to_eject: int = 2
 
 
@@ -88,25 +89,29 @@
 
     zone: ids.ZoneId
 
-    #: Geometric mean of the run times relative to the fleet's.
+    #: Geometric mean of the run times relative to those of all endpoints.
     relative_run_time: float = 1
 
-    #: Number of successes in the relative run time.
+    #: Number of run times in this mean.
     observations: int = 0
     failure_rate: float = 0
     failures_in_row: int = 0
 
-    #: Rank of an endpoint of this zone that is as fast as the fleet.
+    #: Rank of an endpoint of this zone with average speed and no failures.
     base_rank: int = 0
 
-    #: Ejection periods since the last reset.
+    #: Number of ejection periods since the last reset.
     ejections: int = 0
+
+    #: True while ejected or on probation.
     is_ejected: bool = False
     ejected_until: float = 0
-    probes: int = 0
+    running_probes: int = 0
     readmitted_at: float = -math.inf
-    last_success: float = -math.inf
-    last_update: float = 0
+
+    #: Time of the last complete response that was no failure.
+    last_response_at: float = -math.inf
+    updated_at: float = 0
 
     def update_relative_run_time(self, relative: float, cfg: Config) -> None:
         """Add a task's relative run time to the mean.
@@ -115,14 +120,14 @@
         one long task does not outweigh many.
         """
         self.observations += 1
-        gain = max(cfg.speed_gain, 1 / (self.observations + 1))
+        gain = max(cfg.min_run_time_gain, 1 / (self.observations + 1))
         self.relative_run_time = math.pow(
             self.relative_run_time, 1 - gain
         ) * math.pow(relative, gain)
 
     def is_on_probation(self, now: float) -> bool:
         """Return whether the ejection has ended and no probe is running."""
-        return not self.probes and now >= self.ejected_until
+        return not self.running_probes and now >= self.ejected_until
 
     def renew_ejection(
         self, *, cfg: Config, rng: random.Random, now: float
@@ -138,7 +143,7 @@
             cfg.first_ejection_s * math.pow(2, min(self.ejections, 30)),
         )
         self.ejections += 1
-        self.probes = 0
+        self.running_probes = 0
         self.ejected_until = now + mean_s * rng.uniform(
             1 - cfg.jitter, 1 + cfg.jitter
         )
@@ -156,11 +161,11 @@
 class RequestFailures:
     """The first endpoint at which each recent request failed, if any.
 
-    Distinguishes requests that fail everywhere from endpoints that fail.
+    Distinguishes requests that fail at all endpoints from faulty endpoints.
     """
 
     def __init__(self) -> None:
-        """Create a record without requests."""
+        """Create an instance without records."""
         self._first_failed: collections.OrderedDict[
             ids.RequestId, ids.EndpointId
         ] = collections.OrderedDict()
@@ -173,7 +178,11 @@
     def is_request_at_fault(
         self, request_id: ids.RequestId, endpoint: ids.EndpointId
     ) -> bool:
-        """Record a failure; return whether it is the request's own fault."""
+        """Record a failure; return whether to attribute it to the request.
+
+        It is attributed to the request if the request failed at another
+        endpoint before and none of its tasks has succeeded.
+        """
         first_endpoint = self._first_failed.setdefault(request_id, endpoint)
         self._drop_oldest()
         return first_endpoint not in {endpoint, _SUCCEEDED}
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -1,7 +1,7 @@
 """Matching of waiting tasks to free slots.
 
-Whenever an event has been processed, no waiting task can use a free slot. After
-the release of one slot it is therefore enough to start a single task.
+Between two events no waiting task can use a free slot. After the release of one
+slot it is therefore enough to start a single task.
 """
 
 import dataclasses
@@ -42,7 +42,7 @@
     ticket: slots.Ticket
     vm: platform.Vm
 
-    #: Monotonic time at which the slot was acquired, in seconds.
+    #: Time at which the slot was acquired, in monotonic seconds.
     started: float
 
 
@@ -69,9 +69,9 @@
         #: Started tasks by number. Read-only for other modules.
         self.running: dict[int, Placement] = {}
 
-        #: Flows that could use no free slot when a later flow could. They
-        #: are not scheduled again until one of their own tasks ends or all
-        #: flows are tried.
+        #: Flows that could use none of the free slots although a flow behind
+        #: them could. They are not scheduled again until one of their own
+        #: tasks ends or all flows are tried.
         self.blocked: dict[ids.CustomerId, flows.Flow] = {}
 
     def place_new(
@@ -79,8 +79,8 @@
     ) -> Placement | None:
         """Start a new task at once if it can use a free slot.
 
-        No waiting task can use one, so the new task overtakes nobody. If its
-        customer has waiting tasks, it has to wait behind them.
+        No waiting task could use this slot, so the fair queue is not bypassed.
+        A task whose customer has waiting tasks is queued behind them.
         """
         flow = entry.flow
         if flow.singles or flow.jobs:
@@ -141,9 +141,9 @@
     def _match_one(self, now: float) -> flows.Flow | None:
         """Start the first task that can use a free slot; return its flow.
 
-        Flows before it can use no free slot because of limits of their own.
-        They are marked as blocked, so that the next release does not try
-        them all again.
+        Flows before it can use no free slot because of their own limits. They
+        are added to ``blocked``, so that the next release does not try all of
+        them again.
         """
         skipped_flows = []
         flow = self._queue.pop_flow()
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -7,11 +7,11 @@
 from sardineproxy.process import health, platform
 from sardineproxy.request import flows, work
 
-#: A task that was cut off by its deadline counts as a failure of the endpoint
-#: only if it ran for this multiple of the customer's mean run time.
+#: A task that was interrupted by its deadline counts as a failure of the
+#: endpoint only if it ran for this multiple of the customer's mean run time.
 DEADLINE_FAILURE_FACTOR = 2
 
-#: Rank of endpoints that are not in service; larger than any real rank.
+#: Rank of endpoints that are not in service; larger than all other ranks.
 _NO_RANK = 1_000_000
 
 _CLIENT_ERROR = 400
@@ -33,7 +33,7 @@
         self._vms: dict[ids.EndpointId, platform.Vm] = {}
 
     def set_listing(self, vm_list: platform.VmList) -> None:
-        """Use the live endpoints of a newer VM list."""
+        """Replace the endpoints by the live ones of a newer VM list."""
         self._vms = {
             ids.EndpointId(vm.name): vm
             for vm in vm_list.vms
@@ -144,7 +144,10 @@
     def _is_deadline_too_short(
         self, task: work.Task, run_s: float, now: float
     ) -> bool:
-        """Return whether a short deadline, not the endpoint, is to blame."""
+        """Return whether the deadline was too short for the task's run time.
+
+        The failure is then not attributed to the endpoint.
+        """
         if now < task.deadline:
             return False
         mean_run_s = self._health.mean_run_s(task.customer)
@@ -165,5 +168,5 @@
 
 
 def _may_probe(task: work.Task) -> bool:
-    """Return whether a failed probe does the task no harm."""
+    """Return whether the task can be retried if its endpoint still fails."""
     return task.idempotent and task.kind is work.TaskKind.SINGLE
