--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -6,8 +6,7 @@
 from sardineproxy import ids
 from sardineproxy.connection import frames
 
-#: Longest time for which recalled slots are collected before they are
-#: returned together, in seconds.
+#: Maximum delay before recalled slots are returned together, in seconds.
 RECALL_BATCH_S = 0.25
 
 
@@ -24,7 +23,7 @@
     #: Time at which a slot was last granted or released.
     idle_at: float = 0
 
-    #: True if the lender wants the slots back.
+    #: True if the lender has recalled the slots.
     recalled: bool = False
 
 
@@ -40,18 +39,18 @@
     def __init__(self) -> None:
         """Create a table without loans."""
         self._loans: dict[ids.CustomerId, dict[_Key, Loan]] = {}
-        self._idle: dict[ids.CustomerId, dict[_Key, Loan]] = {}
+        self._idle_loans: dict[ids.CustomerId, dict[_Key, Loan]] = {}
         self._leases: dict[ids.VmId, float] = {}
 
     def add(
         self,
         *,
         lender: ids.VmId,
-        lots: Iterable[frames.SlotAllocation],
+        allocations: Iterable[frames.SlotAllocation],
         now: float,
     ) -> None:
         """Add slots that the lender granted."""
-        for customer, endpoint, count in lots:
+        for customer, endpoint, count in allocations:
             key = (lender, endpoint)
             loan = self._loans.setdefault(customer, {}).setdefault(
                 key,
@@ -60,7 +59,7 @@
             loan.count += count
             loan.idle_at = now
             loan.recalled = False
-            self._index(loan)
+            self._update_idle_index(loan)
 
     def extend_lease(self, lender: ids.VmId, until: float) -> None:
         """Extend the lease of the lender's slots; it is never shortened."""
@@ -73,7 +72,7 @@
         return tuple(
             {
                 loan.endpoint: True
-                for loan in self._idle.get(customer, {}).values()
+                for loan in self._idle_loans.get(customer, {}).values()
                 if now < self._leases.get(loan.lender, now)
             }
         )
@@ -82,12 +81,12 @@
         self, endpoint: ids.EndpointId, customer: ids.CustomerId, now: float
     ) -> Loan | None:
         """Acquire an idle slot and return its loan, or return None."""
-        for loan in self._idle.get(customer, {}).values():
+        for loan in self._idle_loans.get(customer, {}).values():
             if loan.endpoint != endpoint:
                 continue
             if now < self._leases.get(loan.lender, now):
                 loan.used += 1
-                self._index(loan)
+                self._update_idle_index(loan)
                 return loan
         return None
 
@@ -97,94 +96,94 @@
         loan.idle_at = now
         customer_loans = self._loans.get(loan.customer, {})
         if customer_loans.get((loan.lender, loan.endpoint)) is loan:
-            self._index(loan)
+            self._update_idle_index(loan)
 
     def recall(
         self, lender: ids.VmId, endpoints: Iterable[ids.EndpointId]
     ) -> None:
         """Mark the lender's slots at ``endpoints`` as recalled.
 
-        No more tasks start on recalled slots.
+        No new tasks start on recalled slots.
         """
         recalled = set(endpoints)
-        for loan in self._all():
+        for loan in self._all_loans():
             if loan.lender == lender and loan.endpoint in recalled:
                 loan.recalled = True
-                self._index(loan)
+                self._update_idle_index(loan)
 
     def pop_idle(
         self, now: float, idle_s: float, *, lender: ids.VmId | None = None
     ) -> dict[ids.VmId, tuple[frames.SlotAllocation, ...]]:
-        """Remove slots to be returned, and return them by lender.
+        """Remove idle slots that are due for return, and return them by lender.
 
-        A lender's idle slots are returned together once one of its loans was
-        idle for ``idle_s``, or for ``RECALL_BATCH_S`` if it is recalled. Loans
-        with a slot that was released less than half of ``idle_s`` ago stay,
+        A lender's idle slots are due together once one of its loans was idle
+        for ``idle_s``, or for ``RECALL_BATCH_S`` if it is recalled. Loans with
+        a slot that was released less than half of ``idle_s`` ago are not due,
         unless they are recalled.
         """
-        min_idle_s = (idle_s, min(idle_s, RECALL_BATCH_S))
+        min_idle_by_recalled = (idle_s, min(idle_s, RECALL_BATCH_S))
         due_lenders = {
             loan.lender
-            for loan in self._all()
+            for loan in self._all_loans()
             if loan.count > loan.used
             and lender in {None, loan.lender}
-            and now - loan.idle_at >= min_idle_s[loan.recalled]
+            and now - loan.idle_at >= min_idle_by_recalled[loan.recalled]
         }
-        lots: dict[ids.VmId, tuple[frames.SlotAllocation, ...]] = {}
-        for loan in self._all():
+        allocations: dict[ids.VmId, tuple[frames.SlotAllocation, ...]] = {}
+        for loan in self._all_loans():
             idle = loan.count - loan.used
             returnable = loan.recalled or now - loan.idle_at >= idle_s / 2
             if loan.lender in due_lenders and idle > 0 and returnable:
-                lots[loan.lender] = (
-                    *lots.get(loan.lender, ()),
+                allocations[loan.lender] = (
+                    *allocations.get(loan.lender, ()),
                     (loan.customer, loan.endpoint, idle),
                 )
-                self._shrink(loan, idle)
-        return lots
+                self._remove_slots(loan, idle)
+        return allocations
 
     def drop_lender(self, lender: ids.VmId) -> None:
         """Remove the lender's loans; tasks on them continue to run."""
         self._leases.pop(lender, None)
-        for loan in self._all():
+        for loan in self._all_loans():
             if loan.lender == lender:
-                self._shrink(loan, loan.count)
+                self._remove_slots(loan, loan.count)
 
     def has_loans_from(self, lender: ids.VmId) -> bool:
         """Return whether slots of the lender are borrowed."""
-        return any(loan.lender == lender for loan in self._all())
+        return any(loan.lender == lender for loan in self._all_loans())
 
     def idle_slots(self, lender: ids.VmId) -> int:
         """Return the number of the lender's slots that are not in use."""
         return sum(
             loan.count - loan.used
-            for loan in self._all()
+            for loan in self._all_loans()
             if loan.lender == lender
         )
 
     def state(self) -> list[dict[str, object]]:
         """Return all loans for the state dump."""
-        return [dataclasses.asdict(loan) for loan in self._all()]
+        return [dataclasses.asdict(loan) for loan in self._all_loans()]
 
-    def _all(self) -> list[Loan]:
+    def _all_loans(self) -> list[Loan]:
         return [
             loan for loans in self._loans.values() for loan in loans.values()
         ]
 
-    def _shrink(self, loan: Loan, count: int) -> None:
+    def _remove_slots(self, loan: Loan, count: int) -> None:
         loan.count -= count
         if not loan.count:
             self._loans[loan.customer].pop((loan.lender, loan.endpoint))
             if not self._loans[loan.customer]:
                 self._loans.pop(loan.customer)
-        self._index(loan)
+        self._update_idle_index(loan)
 
-    def _index(self, loan: Loan) -> None:
+    def _update_idle_index(self, loan: Loan) -> None:
         """Add the loan to the index of idle loans, or remove it."""
         key = (loan.lender, loan.endpoint)
-        idle = self._idle.setdefault(loan.customer, {})
+        idle = self._idle_loans.setdefault(loan.customer, {})
         if loan.count > loan.used and not loan.recalled:
             idle[key] = loan
         else:
             idle.pop(key, None)
         if not idle:
-            self._idle.pop(loan.customer)
+            self._idle_loans.pop(loan.customer)
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -10,24 +10,24 @@
 from sardineproxy.process import slots
 
 #: Time for which a reported backlog is valid, in seconds. The dispatcher
-#: reports at least every 0.25 s while tasks wait, and does not report when the
-#: last one stops waiting.
+#: reports at least every 0.25 s while tasks wait. It sends no report when the
+#: last task stops waiting, so a report has to expire.
 REPORT_VALID_S = 0.5
 
-#: Largest age of a report for which slots are requested, in seconds.
+#: Maximum age of a report for which slots are requested, in seconds.
 MAX_REPORT_AGE_S = 0.1
 
 #: Time after which the slots of an unanswered request are requested from other
 #: lenders, in seconds.
 GRANT_TIMEOUT_S = 0.3
 
-#: Most slots to request from a lender that has none free.
+#: Maximum number of slots to request from a lender without free slots.
 MAX_PROBE_REQUEST_SLOTS = 64
 
-#: Frames to send, with their receivers.
+#: Frames to send, each with its receiver.
 OutgoingFrames = list[tuple[ids.VmId, frames.Frame]]
 
-#: Weight and number of claimed slots by VM and customer.
+#: Weight and number of claimed slots, by VM and customer.
 Claims = Mapping[tuple[str, ids.CustomerId], tuple[float, int]]
 
 _NO_DEMAND = demand_module.Demand(customers=())
@@ -35,14 +35,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Times of loans, in seconds, and thresholds for requests."""
+    """Timing of loans, in seconds, and thresholds for requests."""
 
     #: Time after a lender's latest frame for which its slots may be used.
     #: Longer than the heartbeat interval, so that no extra frames are needed
     #: to renew a loan.
     lease_s: float = 10
 
-    #: Longest run time of a task that started before its lease ended.
+    #: Maximum run time of a task that started before its lease ended.
     max_task_s: float = 10
 
     #: Idle time after which the borrower returns slots. It may be long,
@@ -55,13 +55,13 @@
     #: Shortest interval between two requests to the same lender.
     lender_interval_s: float = 1
 
-    #: Smallest number of slots that is worth a message, unless fewer are
-    #: wanted. For requests it is at most half of the own slots. Fewer and
+    #: Minimum number of slots per request, grant or return, unless fewer are
+    #: needed. For requests it is at most half of the own slots. Fewer and
     #: larger loans serve a backlog with fewer messages.
     min_loan_slots: int = 16
 
     #: Time for which a lender reserves released slots for a request that it
-    #: could not meet. The slots are idle meanwhile, so it is short.
+    #: could not grant. It is short, because the slots are idle meanwhile.
     max_pending_s: float = 0.1
 
     #: Shortest interval between requests to a lender without free slots.
@@ -94,7 +94,7 @@
     """The newest request for slots to one lender."""
 
     sent_at: float
-    wants: dict[ids.CustomerId, int]
+    demands: dict[ids.CustomerId, int]
     answered: bool = False
 
 
@@ -116,15 +116,16 @@
         self.reported_at = now
         self._valid_until = now + REPORT_VALID_S
 
-    def exceeds(
-        self, now: float, *, more_than: float, min_backlog_age_s: float
+    def is_large_or_old(
+        self, now: float, *, max_waiting: float, min_backlog_age_s: float
     ) -> bool:
-        """Return whether the backlog is large or has lasted for some time.
+        """Return whether the backlog is large or old.
 
-        It is large with more than ``more_than`` waiting tasks.
+        It is large if more than ``max_waiting`` tasks wait, and old if tasks
+        have waited for ``min_backlog_age_s``.
         """
-        waiting = sum(entry.waiting for entry in self.customers(now))
-        if waiting > more_than:
+        waiting = sum(demand.waiting for demand in self.customers(now))
+        if waiting > max_waiting:
             return True
         return waiting > 0 and now - self._backlog_since >= min_backlog_age_s
 
@@ -161,35 +162,37 @@
     ) -> OutgoingFrames:
         """Return requests to the peers with the most free slots.
 
-        A small backlog is ignored until it has lasted for some time, because
-        the own slots may soon clear it without any messages.
+        A small backlog is ignored for ``min_backlog_age_s``, because the own
+        slots may serve it without any messages.
         """
         if (
             now < self._next_request_at
             or now - self._backlog.reported_at > MAX_REPORT_AGE_S
         ):
             return []
-        if not self._backlog.exceeds(
+        if not self._backlog.is_large_or_old(
             now,
-            more_than=sum(self._table.owned.values())
+            max_waiting=sum(self._table.owned.values())
             * self._cfg.min_backlog_ratio,
             min_backlog_age_s=self._cfg.min_backlog_age_s,
         ):
             return []
         self._next_request_at = now + self._cfg.request_interval_s
-        needs = self._needs(now)
-        total = sum(need for _, need in needs.values())
+        missing = self._missing_slots(now)
+        missing_total = sum(count for _, count in missing.values())
         requests: OutgoingFrames = []
-        for lender, max_slots in self._request_targets(lenders(), total, now):
-            wants = _divide_wants(needs, max_slots)
-            if wants:
+        for lender, max_slots in self._request_targets(
+            lenders(), missing_total, now
+        ):
+            demands = _divide_demands(missing, max_slots)
+            if demands:
                 self._sent_requests[lender.vm] = _SentRequest(
                     sent_at=now,
-                    wants={name: wanted for name, _, wanted in wants},
+                    demands={customer: count for customer, _, count in demands},
                 )
-                requests.append((lender.vm, self._request(wants)))
-            for name, weight, wanted in wants:
-                needs[name] = (weight, needs[name][1] - wanted)
+                requests.append((lender.vm, self._build_request(demands)))
+            for customer, weight, count in demands:
+                missing[customer] = (weight, missing[customer][1] - count)
         return requests
 
     def renew_lease(self, vm: ids.VmId, now: float) -> None:
@@ -206,7 +209,9 @@
         for customer, _, _ in grant.allocations:
             self._last_lenders[customer] = vm
         if grant.allocations:
-            self._borrowed.add(lender=vm, lots=grant.allocations, now=now)
+            self._borrowed.add(
+                lender=vm, allocations=grant.allocations, now=now
+            )
             self._table.changed.on_next(None)
 
     def handle_disconnect(self, vm: ids.VmId) -> None:
@@ -215,7 +220,7 @@
         self._sent_requests.pop(vm, None)
 
     def return_idle(self, now: float) -> OutgoingFrames:
-        """Return slots that were idle for long or are recalled."""
+        """Return slots that were idle for ``idle_return_s`` or are recalled."""
         return _to_frames(self._borrowed.pop_idle(now, self._cfg.idle_return_s))
 
     def return_all_idle(
@@ -227,60 +232,65 @@
     def return_many_idle(self, vm: ids.VmId, now: float) -> OutgoingFrames:
         """Return the idle slots of a lender that has a backlog itself.
 
-        Fewer than ``min_loan_slots`` are not worth a message.
+        Fewer than ``min_loan_slots`` are kept, to save messages.
         """
         if self._borrowed.idle_slots(vm) < self._cfg.min_loan_slots:
             return []
         return self.return_all_idle(vm, now)
 
-    def _request(
-        self, wants: tuple[frames.SlotDemand, ...]
+    def _build_request(
+        self, demands: tuple[frames.SlotDemand, ...]
     ) -> frames.SlotRequest:
         self._last_number += 1
         return frames.SlotRequest(
-            number=self._last_number, demands=wants, recall=(), reclaim=False
+            number=self._last_number, demands=demands, recall=(), reclaim=False
         )
 
-    def _needs(self, now: float) -> dict[ids.CustomerId, tuple[float, int]]:
+    def _missing_slots(
+        self, now: float
+    ) -> dict[ids.CustomerId, tuple[float, int]]:
         """Return the weight and the number of missing slots by customer.
 
-        Slots of requests without an answer are not missing until the requests
-        time out.
+        Slots of an unanswered request are not missing until it times out.
         """
         pending: dict[ids.CustomerId, int] = {}
         for request in self._sent_requests.values():
             if not request.answered and now - request.sent_at < GRANT_TIMEOUT_S:
-                for customer, wanted in request.wants.items():
-                    pending[customer] = pending.get(customer, 0) + wanted
+                for customer, count in request.demands.items():
+                    pending[customer] = pending.get(customer, 0) + count
         return {
-            entry.customer: (
-                entry.weight,
-                max(0, entry.waiting - pending.get(entry.customer, 0)),
+            demand.customer: (
+                demand.weight,
+                max(
+                    0,
+                    demand.waiting - pending.get(demand.customer, 0),
+                ),
             )
-            for entry in self._backlog.customers(now)
+            for demand in self._backlog.customers(now)
         }
 
     def _request_targets(
-        self, lenders: Collection[LenderPeer], total: int, now: float
+        self, lenders: Collection[LenderPeer], missing_total: int, now: float
     ) -> list[tuple[LenderPeer, int]]:
         """Return the lenders to send requests to, with a maximum of slots.
 
-        ``total`` is the number of missing slots. Lenders with few free slots
-        are not worth a message unless there are no others.
+        ``missing_total`` is the number of missing slots. Lenders with few free
+        slots are skipped unless there are no others, to save messages.
 
-        A lender without free slots may still have lent some that are idle
-        now, or may grant a fair share. Such lenders get requests less often.
+        A lender without free slots may grant a fair share, or slots that its
+        borrowers leave idle. Such lenders get requests less often.
         """
         available = [
             lender
             for lender in lenders
             if lender.free_slots
-            and now - self._requested_at(lender) >= self._cfg.lender_interval_s
+            and now - self._last_request_at(lender)
+            >= self._cfg.lender_interval_s
         ]
         recent_lenders = {
-            self._last_lenders.get(entry.customer)
-            for entry in self._backlog.customers(now)
-            if entry.waiting
+            self._last_lenders.get(demand.customer)
+            for demand in self._backlog.customers(now)
+            if demand.waiting
         }
         available.sort(
             key=lambda lender: (
@@ -290,12 +300,15 @@
             )
         )
         half_of_own = sum(self._table.owned.values()) // 2
-        min_slots = min(total, self._cfg.min_loan_slots, half_of_own)
-        large = [
+        min_slots = min(missing_total, self._cfg.min_loan_slots, half_of_own)
+        sufficient = [
             lender for lender in available if lender.free_slots >= min_slots
         ]
         return [
-            *((lender, lender.free_slots) for lender in large or available[:1]),
+            *(
+                (lender, lender.free_slots)
+                for lender in sufficient or available[:1]
+            ),
             *(
                 (lender, MAX_PROBE_REQUEST_SLOTS)
                 for lender in self._probe_targets(lenders, now)
@@ -308,59 +321,61 @@
         """Return the lenders without free slots to send requests to.
 
         These are the ones of the own zone and one other. Peers that already
-        lend to this VM are left out: they report free slots in their frames.
+        lend to this VM are skipped: they report free slots in their frames.
         """
         without_free_slots = [
             lender
             for lender in lenders
             if not lender.free_slots
-            and now - self._requested_at(lender) >= self._cfg.probe_interval_s
+            and now - self._last_request_at(lender)
+            >= self._cfg.probe_interval_s
             and not self._borrowed.has_loans_from(lender.vm)
         ]
         without_free_slots.sort(
             key=lambda lender: (
                 not lender.is_same_zone,
-                self._requested_at(lender),
+                self._last_request_at(lender),
             )
         )
         same_zone = sum(lender.is_same_zone for lender in without_free_slots)
         return without_free_slots[: same_zone + 1]
 
-    def _requested_at(self, lender: LenderPeer) -> float:
+    def _last_request_at(self, lender: LenderPeer) -> float:
         request = self._sent_requests.get(lender.vm)
         return request.sent_at if request else -math.inf
 
 
 def _to_frames(
-    lots_by_lender: Mapping[ids.VmId, tuple[frames.SlotAllocation, ...]],
+    allocations_by_lender: Mapping[ids.VmId, tuple[frames.SlotAllocation, ...]],
 ) -> OutgoingFrames:
     return [
-        (vm, frames.SlotReturn(allocations=lots))
-        for vm, lots in lots_by_lender.items()
+        (vm, frames.SlotReturn(allocations=allocations))
+        for vm, allocations in allocations_by_lender.items()
     ]
 
 
-def _divide_wants(
-    needs: Mapping[ids.CustomerId, tuple[float, int]], max_slots: int
+def _divide_demands(
+    missing: Mapping[ids.CustomerId, tuple[float, int]], max_slots: int
 ) -> tuple[frames.SlotDemand, ...]:
     """Divide up to ``max_slots`` among the customers by contract weight."""
-    shares = water_fill(
-        max_slots, {('', customer): need for customer, need in needs.items()}
+    shares = max_min_fair_shares(
+        max_slots,
+        {('', customer): count for customer, count in missing.items()},
     )
     return tuple(
-        (customer, float(needs[customer][0]), count)
+        (customer, float(missing[customer][0]), count)
         for (_, customer), count in shares.items()
         if count
     )
 
 
-def water_fill(
+def max_min_fair_shares(
     total: int, claims: Claims
 ) -> dict[tuple[str, ids.CustomerId], int]:
     """Divide slots by weight; no share is larger than its claim.
 
-    This is weighted max-min fairness. Slots that remain after rounding go to
-    the first claims.
+    The shares are weighted max-min fair. Slots that remain after rounding go
+    to the first claims.
     """
     shares = dict.fromkeys(claims, 0)
     remaining = total
--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -10,9 +10,10 @@
 
 USAGE = """Run the entry process of one entry VM.
 
-Reads a settings file (JSON with comments, see docs/settings.md), follows the
-platform, and serves callers until SIGTERM. Prints one line with its ports
-on standard output, and its logs on standard error.
+Reads a settings file (JSON with comments, see docs/settings.md), polls the
+platform for the configuration and the VM list, and serves callers until
+SIGTERM. Prints one line with its ports on standard output, and its logs on
+standard error.
 
 Example: sardineproxy-entry --settings entry.jsonc
 """
@@ -29,7 +30,7 @@
 
 
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
-    """Parse the command line; the error is one sentence."""
+    """Parse the command line; an error is one sentence."""
     values = _define_flags()
     help_requested = command_line.read(values, argv, USAGE)
     if isinstance(help_requested, result.Err):
@@ -58,7 +59,7 @@
     flags.DEFINE_bool(
         'check',
         default=False,
-        help='Check the settings, open no port, and end.',
+        help='Validate the settings and exit without opening a port.',
         flag_values=values,
     )
     return values
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -69,8 +69,8 @@
 class _DeferredForwarder:
     """Forwarder whose target is set after construction.
 
-    It breaks a dependency cycle: submissions forward through the peers, and
-    the peers pass forwarded payloads to the submissions.
+    It breaks a dependency cycle: submissions are forwarded through the peers,
+    and the peers pass forwarded payloads to the submissions.
     """
 
     def __init__(self) -> None:
@@ -141,7 +141,7 @@
         cfg=dispatcher.Config(),
     )
     forwarder = _DeferredForwarder()
-    accepted = submissions.Submissions(
+    submission_service = submissions.Submissions(
         clock=dependencies.clock,
         rng=dependencies.rng,
         vm=ids.VmId(cfg.vm),
@@ -158,7 +158,7 @@
         forwarder=forwarder,
         metrics=registry,
     )
-    peer_streams = peers.Peers(
+    entry_peers = peers.Peers(
         clock=dependencies.clock,
         rng=dependencies.rng,
         vm=ids.VmId(cfg.vm),
@@ -167,7 +167,7 @@
         size=cfg.size,
         directory=vm_directory,
         slot_table=slot_table,
-        handler=accepted,
+        handler=submission_service,
         gossip=gossip.Gossip(
             version_follower=version_follower, list_follower=list_follower
         ),
@@ -176,7 +176,7 @@
         connect=dependencies.connect,
         listen=dependencies.listen,
     )
-    forwarder.target = peer_streams
+    forwarder.target = entry_peers
     components = Components(
         incarnation=incarnation,
         metrics=registry,
@@ -186,8 +186,8 @@
         slots=slot_table,
         client=client,
         dispatcher=task_dispatcher,
-        submissions=accepted,
-        peers=peer_streams,
+        submissions=submission_service,
+        peers=entry_peers,
     )
     _subscribe(components)
     return components
@@ -228,7 +228,7 @@
 
 
 def _subscribe(components: Components) -> None:
-    """Connect the events of components to their subscribers."""
+    """Subscribe the components to each other's events."""
     components.version_follower.active_version.subscribe(
         lambda version: _apply_version(components, version)
     )
--- a/sardineproxy/process/config_exchange.py
+++ b/sardineproxy/process/config_exchange.py
@@ -6,9 +6,9 @@
 from sardineproxy.connection import frames, peer
 
 #: Bounds of the interval between two fetches, in seconds. The interval doubles
-#: while fetches return nothing newer.
-FETCH_MIN_S = 0.5
-FETCH_MAX_S = 8
+#: with each fetch until newer data has been received.
+FETCH_INTERVAL_MIN_S = 0.5
+FETCH_INTERVAL_MAX_S = 8
 
 
 class Gossip(Protocol):
@@ -18,7 +18,7 @@
         """Return the number of the version in force, 0 if none."""
 
     def changes_since(self, number: int) -> bytes | None:
-        """Return the changes after version ``number``, None if not kept."""
+        """Return the changes after version ``number``, None if not stored."""
 
     def offer_changes(self, payload: bytes) -> None:
         """Apply configuration changes that a peer sent."""
@@ -40,36 +40,38 @@
         """Create an exchange that has announced nothing."""
         self._gossip = gossip
         self._rng = rng
-        self._announced = (0, 0)
-        self._fetch_at: float = 0
-        self._interval_s: float = FETCH_MIN_S
+        self._last_announced = (0, 0)
+        self._next_fetch_at: float = 0
+        self._fetch_interval_s: float = FETCH_INTERVAL_MIN_S
 
     def local_versions(self) -> tuple[int, int]:
         """Return the local version number and VM list revision."""
         return self._gossip.version_number(), self._gossip.listing_revision()
 
     def tick(self, streams: Iterable[peer.Stream], now: float) -> None:
-        """Announce a local update, and fetch if a peer has newer data."""
+        """Announce local updates, and fetch from a peer with newer data."""
         version, revision = self.local_versions()
-        if self._announced != (version, revision):
-            self._announced = (version, revision)
-            self._interval_s = FETCH_MIN_S
-            for behind in streams:
-                if behind.version < version or behind.revision < revision:
-                    behind.send(
+        if self._last_announced != (version, revision):
+            self._last_announced = (version, revision)
+            self._fetch_interval_s = FETCH_INTERVAL_MIN_S
+            for receiver in streams:
+                if receiver.version < version or receiver.revision < revision:
+                    receiver.send(
                         frames.ConfigAnnounce(
                             version=version, revision=revision
                         )
                     )
-        ahead = [
+        newer_peers = [
             stream
             for stream in streams
             if stream.version > version or stream.revision > revision
         ]
-        if ahead and now >= self._fetch_at:
-            self._fetch_at = now + self._interval_s
-            self._interval_s = min(2 * self._interval_s, FETCH_MAX_S)
-            self._rng.choice(ahead).send(
+        if newer_peers and now >= self._next_fetch_at:
+            self._next_fetch_at = now + self._fetch_interval_s
+            self._fetch_interval_s = min(
+                2 * self._fetch_interval_s, FETCH_INTERVAL_MAX_S
+            )
+            self._rng.choice(newer_peers).send(
                 frames.ConfigFetch(version=version, revision=revision)
             )
 
--- a/sardineproxy/process/core.py
+++ b/sardineproxy/process/core.py
@@ -46,8 +46,8 @@
 
 
 def _fail(
-    *sentences: str, status: exit_status.ExitStatus
+    *errors: str, status: exit_status.ExitStatus
 ) -> exit_status.ExitStatus:
-    for sentence in sentences:
-        sys.stderr.write(f'sardineproxy-entry: {sentence}\n')
+    for error in errors:
+        sys.stderr.write(f'sardineproxy-entry: {error}\n')
     return status
--- a/sardineproxy/process/directory.py
+++ b/sardineproxy/process/directory.py
@@ -31,7 +31,7 @@
         return self._listing.value
 
     def offer(self, vm_list: platform.VmList) -> bool:
-        """Use the list if it is newer; return whether it was."""
+        """Apply a list if it is newer; return whether it was applied."""
         if vm_list.revision <= self.newest.revision:
             return False
         self._entry_vms = tuple(
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -32,8 +32,8 @@
         self._dependencies = dependencies
         self._session: aiohttp.ClientSession | None = None
         self._components: components.Components | None = None
-        self._callers: caller.Listener | None = None
-        self._admin: web.AppRunner | None = None
+        self._caller_listener: caller.Listener | None = None
+        self._admin_runner: web.AppRunner | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._is_draining = False
 
@@ -143,7 +143,7 @@
 
     async def _open_listeners(self, components: components.Components) -> Ports:
         limits = caller.ConnectionLimits()
-        self._callers = await caller.start(
+        self._caller_listener = await caller.start(
             app=caller.build_app(
                 submissions=components.submissions,
                 limits=limits,
@@ -153,21 +153,21 @@
             host=self._cfg.callers.host,
             port=self._cfg.callers.port,
         )
-        self._admin = web.AppRunner(
+        self._admin_runner = web.AppRunner(
             admin.build_app(process=self, metrics=components.metrics),
             access_log=None,
         )
-        await self._admin.setup()
+        await self._admin_runner.setup()
         admin_site = web.TCPSite(
-            self._admin, self._cfg.admin.host, self._cfg.admin.port
+            self._admin_runner, self._cfg.admin.host, self._cfg.admin.port
         )
         await admin_site.start()
         await components.peers.start(
             host=self._cfg.peers.host, port=self._cfg.peers.port
         )
         return {
-            'callers': self._callers.port,
-            'admin': self._admin.addresses[0][1],
+            'callers': self._caller_listener.port,
+            'admin': self._admin_runner.addresses[0][1],
             'peers': components.peers.port,
         }
 
@@ -175,13 +175,13 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        if self._callers is not None:
-            await self._callers.close()
+        if self._caller_listener is not None:
+            await self._caller_listener.close()
         await components.peers.close()
         components.dispatcher.close()
         await components.client.close()
-        if self._admin is not None:
-            await self._admin.cleanup()
+        if self._admin_runner is not None:
+            await self._admin_runner.cleanup()
         if self._session is not None:
             await self._session.close()
 
--- a/sardineproxy/process/forwards.py
+++ b/sardineproxy/process/forwards.py
@@ -1,4 +1,4 @@
-"""Forwarded requests that wait for a reply from the issuer of their key."""
+"""Requests that are forwarded to the VM that issued their key."""
 
 import asyncio
 import dataclasses
@@ -8,8 +8,8 @@
 from sardineproxy.connection import frames, peer
 from sardineproxy.request import forwarding
 
-#: Timeout for opening a stream to a VM that has none, in seconds. It bounds
-#: the response time for a key of a dead VM, regardless of the deadline.
+#: Timeout for opening a stream to a VM that has none, in seconds. It limits
+#: the response time for a key of a failed VM, regardless of the deadline.
 STREAM_WAIT_S = 3
 
 
@@ -25,11 +25,11 @@
 
 
 class PendingForwards:
-    """Resends forwards on each new stream until a reply arrives."""
+    """Forwards without a reply, which are resent on each new stream."""
 
     def __init__(self) -> None:
-        """Create a set without pending forwards."""
-        self._pending: dict[int, _PendingForward] = {}
+        """Create an instance without pending forwards."""
+        self._pending_forwards: dict[int, _PendingForward] = {}
 
         #: Forwards to an incarnation that differs from that of the VM's
         #: stream.
@@ -38,7 +38,7 @@
 
     def pending_vms(self) -> set[ids.VmId]:
         """Return the VMs with pending forwards."""
-        return {forward.vm for forward in self._pending.values()}
+        return {forward.vm for forward in self._pending_forwards.values()}
 
     async def send(
         self,
@@ -62,7 +62,7 @@
             payload=payload,
             fut=asyncio.get_running_loop().create_future(),
         )
-        self._pending[forward.number] = forward
+        self._pending_forwards[forward.number] = forward
         stream = streams.get(vm)
         if stream is not None:
             self._send(stream, forward)
@@ -72,17 +72,17 @@
         except TimeoutError:
             return forwarding.Unreachable()
         finally:
-            self._pending.pop(forward.number)
+            self._pending_forwards.pop(forward.number)
 
     def resend(self, stream: peer.Stream) -> None:
         """Send all pending forwards to the VM on its new stream."""
         self._unconfirmed.pop(stream.hello.vm, None)
-        for forward in list(self._pending.values()):
+        for forward in list(self._pending_forwards.values()):
             if forward.vm == stream.hello.vm:
                 self._send(stream, forward)
 
     def confirm_incarnation(self, stream: peer.Stream) -> None:
-        """Resolve forwards to an incarnation that this one has replaced.
+        """Resolve forwards to an incarnation that the stream's has replaced.
 
         A frame received after the request was sent proves that its sender is
         the VM's current incarnation.
@@ -94,7 +94,7 @@
         self, stream: peer.Stream, reply: frames.ForwardReply
     ) -> None:
         """Resolve the forward that a reply belongs to."""
-        forward = self._pending.get(reply.number)
+        forward = self._pending_forwards.get(reply.number)
         sender = (stream.hello.vm, stream.hello.incarnation)
         if forward and (forward.vm, forward.incarnation) == sender:
             _resolve(forward, forwarding.Replied(payload=reply.payload))
--- a/sardineproxy/process/gossip.py
+++ b/sardineproxy/process/gossip.py
@@ -1,4 +1,4 @@
-"""Configuration and VM list that entry processes exchange."""
+"""Adapter of configuration and VM list to the exchange between peers."""
 
 from sardineproxy.process import listing
 from sardineproxy.version import follower
@@ -22,7 +22,7 @@
         return self._version_follower.number()
 
     def changes_since(self, number: int) -> bytes | None:
-        """Return the changes after version ``number``, None if not kept."""
+        """Return the changes after version ``number``, None if not stored."""
         return self._version_follower.changes_since(number)
 
     def offer_changes(self, payload: bytes) -> None:
--- a/sardineproxy/process/lending.py
+++ b/sardineproxy/process/lending.py
@@ -1,4 +1,4 @@
-"""The lender's side of slot loans: grants, recalls and ends of loans."""
+"""The lender's side of slot loans: grants, recalls and expiry."""
 
 import dataclasses
 import math
@@ -8,14 +8,15 @@
 from sardineproxy.connection import frames
 from sardineproxy.process import borrowing, demand, slots
 
-_LotKey = tuple[ids.CustomerId, ids.EndpointId]
+_LoanKey = tuple[ids.CustomerId, ids.EndpointId]
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _BorrowerAccount:
     """Slots that are lent to one borrower, and its pending request."""
 
-    lots: dict[_LotKey, int] = dataclasses.field(default_factory=dict)
+    #: Number of lent slots, by customer and endpoint.
+    loans: dict[_LoanKey, int] = dataclasses.field(default_factory=dict)
 
     #: Contract weights of the customers in the borrower's requests.
     weights: dict[ids.CustomerId, float] = dataclasses.field(
@@ -33,10 +34,12 @@
 
     def lent_slots(self, customer: ids.CustomerId) -> int:
         return sum(
-            count for (name, _), count in self.lots.items() if name == customer
+            count
+            for (lent_for, _), count in self.loans.items()
+            if lent_for == customer
         )
 
-    def claims(self, now: float) -> dict[ids.CustomerId, int]:
+    def claimed_slots(self, now: float) -> dict[ids.CustomerId, int]:
         """Return the lent and pending slots of each customer."""
         pending = self.pending if now < self.pending_until else {}
         return {
@@ -61,13 +64,13 @@
         self._backlog = backlog
         self._accounts: dict[ids.VmId, _BorrowerAccount] = {}
 
-        #: Loans to borrowers whose stream is closed, and when they end.
-        self._expiring: list[tuple[float, dict[_LotKey, int]]] = []
+        #: Times at which loans to disconnected borrowers end, and these loans.
+        self._expiring_loans: list[tuple[float, dict[_LoanKey, int]]] = []
 
     def handle_request(
         self, vm: ids.VmId, request: frames.SlotRequest, now: float
     ) -> frames.SlotGrant | None:
-        """Return the grant, or None if the request wants no slots.
+        """Return the grant, or None if the request has no demands.
 
         Slots that cannot be granted now stay pending.
         """
@@ -87,17 +90,17 @@
         )
 
     def handle_return(
-        self, vm: ids.VmId, lots: Iterable[frames.SlotAllocation]
+        self, vm: ids.VmId, allocations: Iterable[frames.SlotAllocation]
     ) -> None:
-        """End the returned loans; excess slots in ``lots`` are ignored."""
+        """End loans; returned slots that were not lent are ignored."""
         account = self._accounts.get(vm)
         if account is None:
             return
-        for customer, endpoint, count in lots:
-            lent = account.lots.pop((customer, endpoint), 0)
+        for customer, endpoint, count in allocations:
+            lent = account.loans.pop((customer, endpoint), 0)
             returned = min(count, lent)
             if lent > returned:
-                account.lots[(customer, endpoint)] = lent - returned
+                account.loans[(customer, endpoint)] = lent - returned
             else:
                 account.recalled.discard(endpoint)
             if returned:
@@ -107,23 +110,23 @@
     def handle_disconnect(self, vm: ids.VmId, now: float) -> None:
         """Schedule the end of the borrower's loans.
 
-        The borrower may have received frames until now, so it may start tasks
-        until its lease has ended, and these may run for ``max_task_s``.
+        The borrower may have received frames until now. It may then start
+        tasks until its lease ends, and these may run for ``max_task_s``.
         """
         account = self._accounts.pop(vm, None)
-        if account and account.lots:
+        if account and account.loans:
             ends_at = now + self._cfg.lease_s + self._cfg.max_task_s
-            self._expiring.append((ends_at, account.lots))
+            self._expiring_loans.append((ends_at, account.loans))
 
     def tick(self, now: float) -> borrowing.OutgoingFrames:
         """End expired loans; return grants of pending slots, and recalls."""
         self._end_expired(now)
         frames_out: borrowing.OutgoingFrames = []
         for vm, account in self._accounts.items():
-            lots = self._grant_pending(vm, account, now)
-            if lots:
+            allocations = self._grant_pending(vm, account, now)
+            if allocations:
                 grant = frames.SlotGrant(
-                    number=account.request_number, allocations=lots
+                    number=account.request_number, allocations=allocations
                 )
                 frames_out.append((vm, grant))
             recall = self._build_recall(vm, account, now)
@@ -136,30 +139,34 @@
         """Return all loans for the state dump."""
         return {
             'lent': {
-                vm: [[*key, count] for key, count in account.lots.items()]
+                vm: [[*key, count] for key, count in account.loans.items()]
                 for vm, account in self._accounts.items()
             },
-            'lapsing': sum(sum(lots.values()) for _, lots in self._expiring),
+            'lapsing': sum(
+                sum(loans.values()) for _, loans in self._expiring_loans
+            ),
         }
 
     def _grant(
         self, vm: ids.VmId, account: _BorrowerAccount, now: float
     ) -> tuple[frames.SlotAllocation, ...]:
-        """Lend slots for the pending request as far as possible."""
-        lots: list[frames.SlotAllocation] = []
-        for customer, wanted in list(account.pending.items()):
-            limit = min(wanted, self._grant_limit(vm, account, customer, now))
+        """Lend as many slots of the pending request as possible."""
+        allocations: list[frames.SlotAllocation] = []
+        for customer, requested in list(account.pending.items()):
+            limit = min(
+                requested, self._grant_limit(vm, account, customer, now)
+            )
             for endpoint, count in self._table.lend(customer, limit).items():
                 key = (customer, endpoint)
-                lots.append((customer, endpoint, count))
-                account.lots[key] = account.lots.get(key, 0) + count
+                allocations.append((customer, endpoint, count))
+                account.loans[key] = account.loans.get(key, 0) + count
                 account.recalled.discard(endpoint)
                 account.pending[customer] -= count
             if not account.pending[customer]:
                 account.pending.pop(customer)
-        if lots:
+        if allocations:
             account.last_exchange_at = now
-        return tuple(lots)
+        return tuple(allocations)
 
     def _grant_pending(
         self, vm: ids.VmId, account: _BorrowerAccount, now: float
@@ -172,15 +179,16 @@
             return ()
         if now < account.pending_until:
             min_slots = min(
-                self._wanted_slots(vm, account, now), self._cfg.min_loan_slots
+                self._grantable_slots(vm, account, now),
+                self._cfg.min_loan_slots,
             )
             if self._table.free_slots < max(1, min_slots):
                 return ()
-        lots = self._grant(vm, account, now)
+        allocations = self._grant(vm, account, now)
         account.pending = {}
-        return lots
+        return allocations
 
-    def _wanted_slots(
+    def _grantable_slots(
         self, vm: ids.VmId, account: _BorrowerAccount, now: float
     ) -> int:
         """Return the number of pending slots that may be granted.
@@ -190,8 +198,8 @@
         if not self._backlog.has_waiting_tasks(now):
             return sum(account.pending.values())
         return sum(
-            min(wanted, self._grant_limit(vm, account, customer, now))
-            for customer, wanted in account.pending.items()
+            min(requested, self._grant_limit(vm, account, customer, now))
+            for customer, requested in account.pending.items()
         )
 
     def _grant_limit(
@@ -201,7 +209,7 @@
         customer: ids.CustomerId,
         now: float,
     ) -> int:
-        """Return the number of slots that may be granted in addition."""
+        """Return the number of further slots that may be granted."""
         if not self._backlog.has_waiting_tasks(now):
             return self._table.free_slots
         fair_share = self._fair_shares(now).get((vm, customer), 0)
@@ -219,12 +227,15 @@
             for local in self._backlog.customers(now)
         }
         for vm, account in self._accounts.items():
-            for customer, wanted in account.claims(now).items():
-                claims[(vm, customer)] = (account.weights[customer], wanted)
+            for customer, claimed_slots in account.claimed_slots(now).items():
+                claims[(vm, customer)] = (
+                    account.weights[customer],
+                    claimed_slots,
+                )
         totals: dict[ids.CustomerId, int] = {}
         for (_, customer_id), (_, claimed) in claims.items():
             totals[customer_id] = totals.get(customer_id, 0) + claimed
-        return borrowing.water_fill(
+        return borrowing.max_min_fair_shares(
             sum(self._table.owned.values()),
             {
                 key: (weight * count / totals[key[1]], count)
@@ -248,7 +259,7 @@
         """Return a frame that recalls or reclaims slots, or None."""
         recall = self._endpoints_to_recall(vm, account, now)
         reclaim = (
-            bool(account.lots)
+            bool(account.loans)
             and now - account.last_exchange_at >= self._cfg.reclaim_interval_s
             and self._needs_slots(vm, now)
         )
@@ -263,9 +274,9 @@
 
     def _needs_slots(self, borrower: ids.VmId, now: float) -> bool:
         """Return whether local tasks or other borrowers wait for slots."""
-        if self._backlog.exceeds(
+        if self._backlog.is_large_or_old(
             now,
-            more_than=self._table.free_slots,
+            max_waiting=self._table.free_slots,
             min_backlog_age_s=self._cfg.min_backlog_age_s,
         ):
             return True
@@ -280,12 +291,13 @@
     ) -> tuple[ids.EndpointId, ...]:
         """Return the endpoints whose slots have to be recalled.
 
-        These are endpoints that are no longer owned and, while local tasks
-        wait and no slot is free, endpoints beyond the borrower's fair share.
+        These are endpoints that are no longer owned. While local tasks wait
+        and no slot is free, slots beyond the borrower's fair share are
+        recalled too.
         """
         endpoints = {
             endpoint
-            for _, endpoint in account.lots
+            for _, endpoint in account.loans
             if endpoint not in self._table.owned
         }
         if self._backlog.has_waiting_tasks(now) and not self._table.free_slots:
@@ -302,7 +314,7 @@
         reserved = 0
         if self._backlog.has_waiting_tasks(now):
             reserved = sum(
-                self._wanted_slots(vm, account, now)
+                self._grantable_slots(vm, account, now)
                 for vm, account in self._accounts.items()
             )
         decreased = reserved < self._table.reserved
@@ -311,12 +323,16 @@
             self._table.changed.on_next(None)
 
     def _end_expired(self, now: float) -> None:
-        expired = [lots for ends_at, lots in self._expiring if now >= ends_at]
+        expired = [
+            loans for ends_at, loans in self._expiring_loans if now >= ends_at
+        ]
         if not expired:
             return
-        self._expiring = [entry for entry in self._expiring if now < entry[0]]
-        for lots in expired:
-            for (customer, endpoint), lent in lots.items():
+        self._expiring_loans = [
+            entry for entry in self._expiring_loans if now < entry[0]
+        ]
+        for loans in expired:
+            for (customer, endpoint), lent in loans.items():
                 self._table.end_loan(customer, endpoint, lent)
         self._table.changed.on_next(None)
 
@@ -324,20 +340,20 @@
 def _select_endpoints(
     account: _BorrowerAccount, customer: ids.CustomerId, excess: int
 ) -> set[ids.EndpointId]:
-    """Return endpoints to recall so that up to ``excess`` slots come back.
+    """Return endpoints to recall so that up to ``excess`` slots are returned.
 
-    Slots that are recalled already count towards ``excess``.
+    Slots that are already recalled count towards ``excess``.
     """
     recalled_slots = sum(
         count
-        for (name, endpoint), count in account.lots.items()
-        if name == customer and endpoint in account.recalled
+        for (lent_for, endpoint), count in account.loans.items()
+        if lent_for == customer and endpoint in account.recalled
     )
     selected: set[ids.EndpointId] = set()
-    for (name, endpoint), count in account.lots.items():
+    for (lent_for, endpoint), count in account.loans.items():
         if recalled_slots + count > excess:
             break
-        if name == customer and endpoint not in account.recalled:
+        if lent_for == customer and endpoint not in account.recalled:
             selected.add(endpoint)
             recalled_slots += count
     return selected
--- a/sardineproxy/process/listing.py
+++ b/sardineproxy/process/listing.py
@@ -14,7 +14,7 @@
 from sardineproxy.process import directory, platform, settings, store
 from sardineproxy.version import polling
 
-#: Maximum number of VMs of one list.
+#: Maximum number of VMs in a list.
 MAX_VMS = 32_768
 
 #: Maximum size of a list in bytes of JSON. 9,700 VMs take about 1.8 MB.
@@ -23,7 +23,7 @@
 #: Maximum size of a compressed list from a peer in bytes, half a peer frame.
 MAX_PAYLOAD_BYTES = 4_194_304
 
-#: Level that reduces a list to about a tenth; higher levels gain little.
+#: Compresses a list to about a tenth of its size; higher levels gain little.
 _COMPRESSION_LEVEL = 6
 
 _MAX_HOST_CHARS = 45
@@ -31,13 +31,13 @@
 _LOG = logs.get_logger('listing')
 
 
-#: A leaving endpoint must get no new work after a few seconds, so the list is
-#: polled as often as the configuration.
+#: The list is polled as often as the configuration, because a leaving endpoint
+#: must get no new work after a few seconds.
 Config = polling.Config
 
 
-def _check_host(text: str) -> str:
-    """Validate an IP number.
+def _check_ip_address(text: str) -> str:
+    """Validate an IP address.
 
     The module ``ipaddress`` would take ten times as long.
     """
@@ -45,18 +45,18 @@
     try:
         socket.inet_pton(family, text)
     except OSError as exc:
-        raise ValueError('expected an IP number, not a host name') from exc
+        raise ValueError('expected an IP address, not a host name') from exc
     return text
 
 
 _Host = Annotated[
     str,
     pydantic.Field(max_length=_MAX_HOST_CHARS),
-    pydantic.AfterValidator(_check_host),
+    pydantic.AfterValidator(_check_ip_address),
 ]
 
 
-class _Vm(pydantic.BaseModel):
+class _VmModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
     name: settings.Name
@@ -72,11 +72,11 @@
     ] = 0
 
 
-class _VmList(pydantic.BaseModel):
+class _VmListModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
     revision: Annotated[int, pydantic.Field(strict=True, ge=0, lt=2**63)]
-    vms: Annotated[list[_Vm], pydantic.Field(max_length=MAX_VMS)]
+    vms: Annotated[list[_VmModel], pydantic.Field(max_length=MAX_VMS)]
 
 
 def to_document(vm_list: platform.VmList) -> dict[str, Any]:
@@ -90,10 +90,10 @@
 def from_document(document: Any) -> result.Result[platform.VmList, str]:
     """Validate a parsed JSON object; the error is one sentence."""
     try:
-        model = _VmList.model_validate(document)
+        model = _VmListModel.model_validate(document)
     except pydantic.ValidationError as exc:
         return result.Err(settings.describe_errors(exc)[0])
-    vms = tuple(_to_vm(member) for member in model.vms)
+    vms = tuple(_to_vm(vm) for vm in model.vms)
     if len({(vm.role, vm.name) for vm in vms}) < len(vms):
         return result.Err('two VMs of one role have the same name')
     return result.Ok(platform.VmList(revision=model.revision, vms=vms))
@@ -108,14 +108,14 @@
 def decode(payload: bytes) -> result.Result[platform.VmList, str]:
     """Decode an encoded list within the size limits."""
     if len(payload) > MAX_PAYLOAD_BYTES:
-        return result.Err(f'payload has {len(payload)} bytes')
+        return result.Err(f'payload of {len(payload)} bytes is too large')
     inflater = zlib.decompressobj()
     try:
         text = inflater.decompress(payload, MAX_LIST_BYTES).decode()
     except (zlib.error, UnicodeDecodeError) as exc:
         return result.Err(f'payload is not compressed text: {exc}')
     if not inflater.eof:
-        return result.Err('payload is cut or inflates over its bound')
+        return result.Err('payload is truncated or too large when decompressed')
     return json_text.parse_object(
         text, max_bytes=MAX_LIST_BYTES, comments=False
     ).and_then(from_document)
@@ -156,7 +156,10 @@
         if error is None:
             self._last_read = self._clock.now()
         elif not failures_before:
-            _LOG.warning('Cannot read the VM list: %s.', error.detail)
+            _LOG.warning(
+                'Polling the VM list from the platform failed: %s.',
+                error.detail,
+            )
 
     def revision(self) -> int:
         """Return the revision of the newest list."""
@@ -170,7 +173,7 @@
         return self._encoded[1]
 
     def offer(self, payload: bytes) -> None:
-        """Use a peer's list if it is well formed and newer."""
+        """Apply a peer's list if it is well-formed and newer."""
         decoded = decode(payload)
         if isinstance(decoded, result.Err):
             _LOG.warning(
@@ -211,15 +214,15 @@
     }
 
 
-def _to_vm(member: _Vm) -> platform.Vm:
+def _to_vm(vm: _VmModel) -> platform.Vm:
     return platform.Vm(
-        name=member.name,
-        role=member.role,
-        state=member.state,
-        zone=ids.ZoneId(member.zone),
-        region=ids.RegionId(member.region),
-        host=member.host,
-        port=member.port,
-        slots=member.slots,
-        connections=member.connections,
+        name=vm.name,
+        role=vm.role,
+        state=vm.state,
+        zone=ids.ZoneId(vm.zone),
+        region=ids.RegionId(vm.region),
+        host=vm.host,
+        port=vm.port,
+        slots=vm.slots,
+        connections=vm.connections,
     )
--- a/sardineproxy/process/loans.py
+++ b/sardineproxy/process/loans.py
@@ -32,7 +32,7 @@
         )
 
     def report(self, demand: demand.Demand, now: float) -> None:
-        """Update the local backlog, which limits lending and borrowing."""
+        """Update the local backlog, on which lending and borrowing depend."""
         self._backlog.report(demand, now)
 
     def request_slots(
@@ -92,7 +92,7 @@
     def _handle_request(
         self, vm: ids.VmId, request: frames.SlotRequest, now: float
     ) -> borrowing.OutgoingFrames:
-        """Return idle slots of the peer, then grant the slots it requests."""
+        """Return the peer's idle slots, and grant slots for its demands."""
         self._table.borrowed.recall(vm, request.recall)
         replies: borrowing.OutgoingFrames = []
         if request.reclaim or request.recall:
--- a/sardineproxy/process/neighbors.py
+++ b/sardineproxy/process/neighbors.py
@@ -1,4 +1,4 @@
-"""Selection of the entry VMs to connect to, and of the VM that connects."""
+"""Selection of the entry VMs to connect to, and of the end that connects."""
 
 import dataclasses
 from typing import Container, Mapping
@@ -31,8 +31,8 @@
     def count_live(self, connected: Container[ids.VmId]) -> int:
         """Return the estimated number of other live VMs.
 
-        A chosen VM without a stream counts as dead, unless no chosen VM of
-        its zone has one: the zone may then be partitioned and still serve.
+        A chosen VM without a stream counts as failed, unless no chosen VM of
+        its zone has one: the zone may then be partitioned but still serve.
         """
         reachable_zones = {
             self.listed[vm].zone for vm in self.chosen if vm in connected
--- a/sardineproxy/process/ownership.py
+++ b/sardineproxy/process/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of slots: applies the membership views to the slot table."""
+"""Ownership of slots: applies membership views to the slot table."""
 
 from sardineproxy.process import borrowing, slots, views
 
@@ -16,14 +16,14 @@
         """Create an ownership without slots.
 
         After a change of the view, tasks may still run on slots that the new
-        view assigns to other VMs. The view counts as settled after ``drain_s``
-        in any case.
+        view assigns to other VMs. The view counts as settled once they have
+        ended, and after ``drain_s`` at the latest.
         """
         self._views = views
         self._table = table
         self._drain_s = drain_s
 
-        #: Divisions of the last confirmed view and of all views since.
+        #: Divisions of the last confirmed view and of all later views.
         self._divisions: tuple[slots.LimitDivision, ...] = ()
 
         #: True if used and lent slots are within the candidate view, or the
@@ -36,7 +36,7 @@
         if self._views.update_candidate(now):
             self.settled = False
             self._drain_until = now + self._drain_s
-            self._restrict()
+            self._restrict_usage()
         if not self.settled:
             candidate = self._views.candidate
             self.settled = (
@@ -55,12 +55,12 @@
         self._table.set_owned({})
 
     def leave(self) -> None:
-        """Release all slots for good."""
+        """Release all slots permanently."""
         self._views.leave()
         self._table.set_owned({})
 
-    def _restrict(self) -> None:
-        """Restrict use to what all views since the last confirmed one allow.
+    def _restrict_usage(self) -> None:
+        """Restrict usage to the limits of all views since the confirmed one.
 
         Peers may still act on any of these views.
         """
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -50,7 +50,7 @@
         self.goodbye_sent = False
 
     def stream_opened(self, stream: peer.Stream) -> None:
-        """Register a peer and resend the forwards that wait for it."""
+        """Register a peer and resend the pending forwards to it."""
         if stream.hello.zone == self._zone:
             self._views.add_peer(stream.hello.vm, stream.hello.incarnation)
         self._forwards.resend(stream)
@@ -60,7 +60,7 @@
         self.update_ownership()
 
     def stream_closed(self, stream: peer.Stream) -> None:
-        """Remove a peer; pending forwards wait for its next stream."""
+        """Remove a peer; forwards to it stay pending until its next stream."""
         self._views.remove_peer(stream.hello.vm, self._clock.now())
         self._loans.handle_disconnect(stream.hello.vm, self._clock.now())
         self.update_ownership()
@@ -112,13 +112,13 @@
     async def _reply(
         self, stream: peer.Stream, forward: frames.Forward
     ) -> None:
-        """Reply on the same stream; if it has closed, the peer resends."""
+        """Reply on the same stream; if it is closed, the peer resends."""
         reply = await self._handler.handle(forward.payload)
         sent = stream.send(
             frames.ForwardReply(number=forward.number, payload=reply)
         )
         if not sent:
             _log.info(
-                'Reply to %s was not sent: the stream is closed.',
+                'Reply to a forward from peer %s dropped: stream is closed.',
                 stream.hello.vm,
             )
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -36,7 +36,7 @@
 class Config:
     """Timing and limits of the peer protocol; times are in seconds."""
 
-    #: Delay before the slots of an unreachable VM are taken over.
+    #: Delay before the slots of an unreachable VM are reassigned.
     takeover_grace_s: float = 3
 
     #: Interval of ``Peers.tick``.
@@ -106,7 +106,7 @@
             ctx=peer.StreamContext(
                 clock=clock,
                 metrics=metrics,
-                make_hello=self._hello,
+                make_hello=self._make_hello,
                 count_free_slots=lambda: slot_table.free_slots,
             ),
             rng=rng,
@@ -117,7 +117,7 @@
         )
         self._ticker: asyncio.Task[None] | None = None
         self._subscription: abc.DisposableBase = disposable.Disposable()
-        self._ticked_at: float | None = None
+        self._last_tick_at: float | None = None
         self._live_vms = subject.BehaviorSubject(1)
 
     @property
@@ -142,7 +142,7 @@
         """Release all slots and send Goodbye to the peers.
 
         Waits until no task runs on the slots, here or at borrowers, but at
-        most the maximum task time.
+        most for ``max_task_s``.
         """
         self._ownership.leave()
         self._events.update_ownership()
@@ -194,18 +194,18 @@
     def on_backlog(self, demand: demand.Demand) -> None:
         """Borrow slots for waiting tasks.
 
-        A report expires after half a second and must be repeated while tasks
-        wait.
+        A report expires after ``borrowing.REPORT_VALID_S`` and has to be
+        repeated while tasks wait.
         """
         now = self._clock.now()
         self._loans.report(demand, now)
         self._send_all(self._loans.request_slots(self._lenders, now))
 
     def tick(self, now: float) -> None:
-        """Run periodic work.
+        """Perform the periodic work; called every ``Config.tick_s``.
 
-        A stall of the event loop voids slot ownership and loans, because
-        peers may have taken over the slots meanwhile.
+        After a stall of the event loop, slot ownership and loans are dropped,
+        because peers may use the slots by then.
         """
         self._check_stall(now)
         version, revision = self._exchange.local_versions()
@@ -244,7 +244,7 @@
             'loans': self._loans.state(),
         }
 
-    def _hello(self) -> frames.Hello:
+    def _make_hello(self) -> frames.Hello:
         version, revision = self._exchange.local_versions()
         return dataclasses.replace(
             self._own_hello, version=version, revision=revision
@@ -283,10 +283,14 @@
                 stream.send(frame)
 
     def _check_stall(self, now: float) -> None:
-        last = self._ticked_at
-        self._ticked_at = now
+        last = self._last_tick_at
+        self._last_tick_at = now
         if last is not None and now - last >= self._cfg.stream.peer_silent_s:
-            _log.warning('Event loop stalled for %.1f s.', now - last)
+            _log.warning(
+                'Event loop stalled for %.1f s; dropping owned slots and '
+                'closing all peer streams.',
+                now - last,
+            )
             self._ownership.drop_owned()
-            self._streams.abort_all('process stalled')
+            self._streams.abort_all('event loop stalled')
         self._table.set_valid_until(now + self._cfg.stream.peer_silent_s)
--- a/sardineproxy/process/platform.py
+++ b/sardineproxy/process/platform.py
@@ -46,7 +46,7 @@
     zone: ids.ZoneId
     region: ids.RegionId
 
-    #: IP number of the VM.
+    #: IP address of the VM.
     host: str
 
     #: Port of an entry VM's peer listener or of an endpoint's HTTP server.
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -20,13 +20,13 @@
 #: Maximum size of a page of rows, in bytes of JSON.
 MAX_PAGE_BYTES = 4_194_304
 
-#: Maximum bytes of rows of one read, over all pages.
+#: Maximum total size of the rows of one read, in bytes.
 MAX_ROWS_BYTES = 33_554_432
 
 #: Maximum size of an object, in bytes.
 MAX_OBJECT_BYTES = 16_777_216
 
-#: Maximum bytes of an error response that go into the error's detail.
+#: Maximum bytes of an error response that are quoted in the error's detail.
 MAX_DETAIL_BYTES = 300
 
 _CHUNK_BYTES = 65_536
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Reply:
+class _Response:
     status: int
     body: bytes
 
@@ -81,7 +81,7 @@
     ) -> result.Result[tuple[platform.Row, ...], _Error]:
         """Return the rows with keys that start with ``prefix``, by key.
 
-        The platform returns pages, so the result is no snapshot: a write
+        The platform returns pages, so the result is not a snapshot: a write
         during a read is visible only in later pages.
         """
         rows: list[platform.Row] = []
@@ -118,7 +118,7 @@
                 ],
             }
         )
-        reply = await self._exchange(
+        response = await self._exchange(
             _Request(
                 method='POST',
                 path='/v1/transactions',
@@ -127,28 +127,30 @@
                 body=body.encode(),
             )
         )
-        return reply.and_then(_check_write)
+        return response.and_then(_check_write)
 
     async def get_object(
         self, name: str
     ) -> result.Result[bytes | None, _Error]:
         """Return an object, None if it does not exist."""
-        reply = await self._exchange(
+        response = await self._exchange(
             _Request(
                 method='GET',
                 path=f'/v1/objects/{name}',
                 max_bytes=MAX_OBJECT_BYTES,
             )
         )
-        if isinstance(reply, result.Ok) and reply.ok_value.status == 404:
+        if isinstance(response, result.Ok) and response.ok_value.status == 404:
             return result.Ok(None)
-        return reply.and_then(_check_read).map(lambda reply: reply.body)
+        return response.and_then(_check_read).map(
+            lambda response: response.body
+        )
 
     async def put_object(
         self, name: str, body: bytes
     ) -> result.Result[None, _Error]:
         """Store an object."""
-        reply = await self._exchange(
+        response = await self._exchange(
             _Request(
                 method='PUT',
                 path=f'/v1/objects/{name}',
@@ -156,7 +158,7 @@
                 body=body,
             )
         )
-        return reply.and_then(_check_write)
+        return response.and_then(_check_write)
 
     async def list_vms(self) -> result.Result[platform.VmList, _Error]:
         """Return the list of VMs, which may be out of date.
@@ -168,7 +170,7 @@
         headers = (
             {} if cached is None else {'If-None-Match': f'"{cached.revision}"'}
         )
-        reply = await self._exchange(
+        response = await self._exchange(
             _Request(
                 method='GET',
                 path='/v1/vms',
@@ -176,11 +178,11 @@
                 headers=headers,
             )
         )
-        if isinstance(reply, result.Ok) and reply.ok_value.status == 304:
+        if isinstance(response, result.Ok) and response.ok_value.status == 304:
             if cached is not None:
                 return result.Ok(cached)
-        # Decoding 9,700 VMs took 0.13 s, which would block the event loop.
-        listed = await asyncio.to_thread(_parse_vm_list, reply)
+        # Decoding 9,700 VMs takes 0.13 s, which would block the event loop.
+        listed = await asyncio.to_thread(_parse_vm_list, response)
         if isinstance(listed, result.Ok):
             self._vm_list = listed.ok_value
         return listed
@@ -192,7 +194,7 @@
     async def _read_page(
         self, prefix: str, after: str, strict: bool
     ) -> result.Result[tuple[tuple[platform.Row, ...], bool], _Error]:
-        reply = await self._exchange(
+        response = await self._exchange(
             _Request(
                 method='GET',
                 path='/v1/rows',
@@ -205,12 +207,14 @@
             )
         )
         return (
-            reply.and_then(_check_read)
-            .and_then(lambda reply: _parse(reply, MAX_PAGE_BYTES))
+            response.and_then(_check_read)
+            .and_then(lambda response: _parse(response, MAX_PAGE_BYTES))
             .and_then(lambda document: _to_page(document, prefix, after))
         )
 
-    async def _exchange(self, req: _Request) -> result.Result[_Reply, _Error]:
+    async def _exchange(
+        self, req: _Request
+    ) -> result.Result[_Response, _Error]:
         if self._metrics is not None:
             access = 'write' if req.is_write else 'read'
             self._metrics.count('platform_calls_total', kind=access)
@@ -225,7 +229,7 @@
             kind = _Kind.UNKNOWN if req.is_write else _classify_read_error(exc)
             return _call_failed(kind, req, exc)
 
-    async def _send(self, req: _Request) -> result.Result[_Reply, _Error]:
+    async def _send(self, req: _Request) -> result.Result[_Response, _Error]:
         url = self._base.with_path(req.path).with_query(req.query)
         async with self._session.request(
             req.method,
@@ -234,9 +238,9 @@
             data=req.body,
             timeout=self._timeout,
             allow_redirects=False,
-        ) as reply:
+        ) as response:
             body = bytearray()
-            async for chunk in reply.content.iter_chunked(_CHUNK_BYTES):
+            async for chunk in response.content.iter_chunked(_CHUNK_BYTES):
                 body += chunk
                 if len(body) > req.max_bytes and not req.is_write:
                     return _invalid(
@@ -245,7 +249,9 @@
                 if req.is_write:
                     # Only the start of the response to a write is used.
                     body = body[:MAX_DETAIL_BYTES]
-            return result.Ok(_Reply(status=reply.status, body=bytes(body)))
+            return result.Ok(
+                _Response(status=response.status, body=bytes(body))
+            )
 
 
 def _call_failed(
@@ -269,26 +275,26 @@
     return result.Err(_Error(kind=_Kind.INVALID, detail=detail))
 
 
-def _describe(reply: _Reply) -> str:
-    text = reply.body[:MAX_DETAIL_BYTES].decode(errors='replace')
-    return f'the platform answered {reply.status}: {text}'
+def _describe(response: _Response) -> str:
+    text = response.body[:MAX_DETAIL_BYTES].decode(errors='replace')
+    return f'the platform responded with status {response.status}: {text}'
 
 
-def _check_read(reply: _Reply) -> result.Result[_Reply, _Error]:
-    if reply.status == 200:
-        return result.Ok(reply)
-    is_busy = reply.status == 429 or reply.status >= 500
+def _check_read(response: _Response) -> result.Result[_Response, _Error]:
+    if response.status == 200:
+        return result.Ok(response)
+    is_busy = response.status == 429 or response.status >= 500
     kind = _Kind.UNAVAILABLE if is_busy else _Kind.INVALID
-    return result.Err(_Error(kind=kind, detail=_describe(reply)))
+    return result.Err(_Error(kind=kind, detail=_describe(response)))
 
 
-def _check_write(reply: _Reply) -> result.Result[None, _Error]:
-    """Map the status of a write.
+def _check_write(response: _Response) -> result.Result[None, _Error]:
+    """Map the status of a write to its outcome.
 
-    Only the statuses that refuse the request rule out an effect; any other
-    leaves the outcome unknown.
+    Only the statuses of rejected requests rule out that the write took effect;
+    with any other status its outcome is unknown.
     """
-    if reply.status in {200, 204}:
+    if response.status in {200, 204}:
         return result.Ok(None)
     kinds = {
         400: _Kind.INVALID,
@@ -297,58 +303,60 @@
         429: _Kind.UNAVAILABLE,
         507: _Kind.UNAVAILABLE,
     }
-    kind = kinds.get(reply.status, _Kind.UNKNOWN)
-    return result.Err(_Error(kind=kind, detail=_describe(reply)))
+    kind = kinds.get(response.status, _Kind.UNKNOWN)
+    return result.Err(_Error(kind=kind, detail=_describe(response)))
 
 
-def _parse(reply: _Reply, max_bytes: int) -> result.Result[Any, _Error]:
+def _parse(response: _Response, max_bytes: int) -> result.Result[Any, _Error]:
     try:
-        text = reply.body.decode()
+        text = response.body.decode()
     except UnicodeDecodeError:
-        return _invalid('the platform answered with invalid UTF-8')
+        return _invalid('response of the platform is not valid UTF-8')
     return json_text.parse_object(
         text, max_bytes=max_bytes, comments=False
-    ).map_err(_to_invalid)
+    ).map_err(_invalid_response)
 
 
-def _to_invalid(detail: str) -> _Error:
-    return _Error(kind=_Kind.INVALID, detail=f'the platform answered: {detail}')
+def _invalid_response(detail: str) -> _Error:
+    return _Error(
+        kind=_Kind.INVALID, detail=f'invalid response of the platform: {detail}'
+    )
 
 
 def _parse_vm_list(
-    reply: result.Result[_Reply, _Error],
+    response: result.Result[_Response, _Error],
 ) -> result.Result[platform.VmList, _Error]:
     return (
-        reply.and_then(_check_read)
-        .and_then(lambda reply: _parse(reply, listing.MAX_LIST_BYTES))
+        response.and_then(_check_read)
+        .and_then(lambda response: _parse(response, listing.MAX_LIST_BYTES))
         .and_then(_to_vm_list)
     )
 
 
 def _to_vm_list(document: Any) -> result.Result[platform.VmList, _Error]:
-    return listing.from_document(document).map_err(_to_invalid)
+    return listing.from_document(document).map_err(_invalid_response)
 
 
 def _to_page(
     document: Any, prefix: str, after: str
 ) -> result.Result[tuple[tuple[platform.Row, ...], bool], _Error]:
     try:
-        rows = tuple(_to_row(member) for member in document['rows'])
+        rows = tuple(_to_row(row) for row in document['rows'])
         has_more = document['more']
     except (KeyError, TypeError, ValueError):
-        return _invalid('the platform answered with a malformed page of rows')
+        return _invalid('response of the platform is no valid page of rows')
     keys = [after, *(row.key for row in rows)]
     is_sorted = all(low < high for low, high in zip(keys, keys[1:]))
     has_prefix = all(row.key.startswith(prefix) for row in rows)
     if not is_sorted or not has_prefix or not isinstance(has_more, bool):
         return _invalid(
-            'the platform answered with rows outside the requested range'
+            'response of the platform has rows outside the requested range'
         )
     return result.Ok((rows, has_more))
 
 
-def _to_row(member: Mapping[str, Any]) -> platform.Row:
-    key, revision = member['key'], member['revision']
+def _to_row(row: Mapping[str, Any]) -> platform.Row:
+    key, revision = row['key'], row['revision']
     is_number = isinstance(revision, int) and not isinstance(revision, bool)
     if not isinstance(key, str) or not is_number or revision < 1:
         raise ValueError('row with an invalid key or revision')
@@ -358,7 +366,7 @@
     return platform.Row(
         key=key,
         revision=revision,
-        body=_from_base64(member['body_base64']),
+        body=_from_base64(row['body_base64']),
     )
 
 
--- a/sardineproxy/process/settings.py
+++ b/sardineproxy/process/settings.py
@@ -26,7 +26,7 @@
     try:
         ipaddress.ip_address(text)
     except ValueError as exc:
-        raise ValueError('expected an IP number, not a host name') from exc
+        raise ValueError('expected an IP address, not a host name') from exc
     return text
 
 
@@ -45,7 +45,7 @@
 
 
 class Address(Section):
-    """An IP number and a port; port 0 lets the kernel choose."""
+    """An IP address and a port; port 0 lets the kernel choose."""
 
     host: IpAddress
     port: Port
@@ -65,8 +65,8 @@
 class Shutdown(Section):
     """Timing of a graceful shutdown."""
 
-    #: Seconds between the failing readiness check and the refusal of new work,
-    #: in which the load balancer notices the check.
+    #: Seconds between the failing readiness check and the refusal of new work.
+    #: The load balancer has to see the check fail within this time.
     notice_s: Seconds = 5
 
     #: Seconds after which the process exits even if work is in progress.
@@ -74,7 +74,7 @@
 
     @pydantic.model_validator(mode='after')
     def check_order(self) -> Self:
-        """Reject a limit too short to finish work and close."""
+        """Reject a limit that is too short to finish work and to close."""
         if self.limit_s < self.notice_s + MIN_SHUTDOWN_S:
             raise ValueError(
                 f'limit_s must exceed notice_s by at least {MIN_SHUTDOWN_S} s'
@@ -94,7 +94,7 @@
 
     @pydantic.model_validator(mode='after')
     def check_order(self) -> Self:
-        """Reject a timeout that one late heartbeat would exceed."""
+        """Reject a timeout that a single late heartbeat would exceed."""
         if self.silent_s < 2 * self.heartbeat_s:
             raise ValueError('silent_s must be at least twice heartbeat_s')
         return self
@@ -140,7 +140,7 @@
     #: Relative size of this VM among the zone's entry VMs.
     size: Annotated[int, pydantic.Field(ge=1, le=1024)] = 1
 
-    #: Other entry VMs to contact on a start while the platform is down.
+    #: Other entry VMs to contact at start while the platform is unavailable.
     seeds: Annotated[tuple[Seed, ...], pydantic.Field(max_length=64)] = ()
 
     shutdown: Shutdown = Shutdown()
@@ -182,7 +182,7 @@
 
 
 def describe_errors(exc: pydantic.ValidationError) -> tuple[str, ...]:
-    """Return one sentence per error: location, expectation, given value."""
+    """Return one sentence per error: location, expectation, actual value."""
     return tuple(
         _describe_error('.'.join(map(str, error['loc'])), error)
         for error in exc.errors()
@@ -193,8 +193,8 @@
     if error['type'] == 'missing':
         return f'{location}: this key is required.'
     message = _simplify_message(error['msg'])
-    given = error['input']
-    return f'{location or "settings"}: {message}, found {given!r}.'
+    received_value = error['input']
+    return f'{location or "settings"}: {message}, found {received_value!r}.'
 
 
 def _simplify_message(message: str) -> str:
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -60,7 +60,8 @@
         self._last_number = 0
         self._valid_until = math.inf
 
-        #: Emits when slots may have become free other than by a release.
+        #: Emits when slots may have become free for a reason other than a
+        #: release.
         self.changed: subject.Subject[None] = subject.Subject()
 
         #: Number of own free slots that are reserved for borrowers.
@@ -102,9 +103,9 @@
         self.changed.on_next(None)
 
     def set_valid_until(self, until: float) -> None:
-        """Set when slots become unusable unless this is called again.
+        """Set the time at which slots become unusable, unless extended.
 
-        After this time another VM may own the slots.
+        Another VM may own the slots after this time.
         """
         self._valid_until = until
 
@@ -142,7 +143,7 @@
         if loan is None:
             if endpoint not in self._free or not self._can_use_own(customer):
                 return None
-            self._add_use(endpoint, customer, 1)
+            self._change_usage(endpoint, customer, 1)
         self._last_number += 1
         self._tickets[self._last_number] = loan
         return Ticket(
@@ -155,7 +156,7 @@
             return
         loan = self._tickets.pop(ticket.number)
         if loan is None:
-            self._add_use(ticket.endpoint, ticket.customer, -1)
+            self._change_usage(ticket.endpoint, ticket.customer, -1)
         else:
             self.borrowed.release(loan, now)
 
@@ -168,15 +169,15 @@
             self.limit_share(customer)
             - self._used_by_customer.get(customer, 0),
         )
-        lots: dict[ids.EndpointId, int] = {}
+        lent: dict[ids.EndpointId, int] = {}
         for endpoint, free in list(self._free.items()):
-            lot = int(min(remaining, free))
-            if lot <= 0:
+            lent_count = int(min(remaining, free))
+            if lent_count <= 0:
                 break
-            lots[endpoint] = lot
-            remaining -= lot
-            self._add_use(endpoint, customer, lot)
-        return lots
+            lent[endpoint] = lent_count
+            remaining -= lent_count
+            self._change_usage(endpoint, customer, lent_count)
+        return lent
 
     def end_loan(
         self, customer: ids.CustomerId, endpoint: ids.EndpointId, count: int
@@ -185,7 +186,7 @@
 
         The caller has to emit ``changed`` afterwards.
         """
-        self._add_use(endpoint, customer, -count)
+        self._change_usage(endpoint, customer, -count)
 
     def limit_share(self, customer: ids.CustomerId) -> float:
         """Return this VM's share of the customer's concurrency limit."""
@@ -198,9 +199,9 @@
     def is_usage_within(
         self, owned: Mapping[ids.EndpointId, int], division: LimitDivision
     ) -> bool:
-        """Return whether used and lent slots are within the given ownership.
+        """Return whether used and lent slots fit into another ownership.
 
-        Both the owned slots and the shares of the limits are checked.
+        Checks both the slots of each endpoint and the shares of the limits.
         """
         if any(
             used > owned.get(endpoint, 0)
@@ -247,16 +248,16 @@
             default=limit,
         )
 
-    def _add_use(
+    def _change_usage(
         self, endpoint: ids.EndpointId, customer: ids.CustomerId, change: int
     ) -> None:
-        endpoint_use = self._used_by_endpoint.get(endpoint, 0) + change
-        customer_use = self._used_by_customer.get(customer, 0) + change
-        self._used_by_endpoint[endpoint] = endpoint_use
-        self._used_by_customer[customer] = customer_use
-        if not endpoint_use:
+        endpoint_usage = self._used_by_endpoint.get(endpoint, 0) + change
+        customer_usage = self._used_by_customer.get(customer, 0) + change
+        self._used_by_endpoint[endpoint] = endpoint_usage
+        self._used_by_customer[customer] = customer_usage
+        if not endpoint_usage:
             self._used_by_endpoint.pop(endpoint)
-        if not customer_use:
+        if not customer_usage:
             self._used_by_customer.pop(customer)
         self._update_free(endpoint)
 
--- a/sardineproxy/process/store.py
+++ b/sardineproxy/process/store.py
@@ -19,7 +19,7 @@
     #: A condition of a transaction did not hold; nothing was written.
     CONFLICT = 'conflict'
 
-    #: The store no longer keeps the requested changes.
+    #: The store no longer has the requested changes.
     HISTORY_LOST = 'history_lost'
 
     #: The store's response was malformed or exceeded its size limit.
@@ -32,7 +32,7 @@
 
     kind: ErrorKind
 
-    #: One sentence for an operator.
+    #: Description for an operator.
     detail: str
 
 
@@ -98,7 +98,7 @@
     ) -> result.Result[Rows, StoreError]:
         """Return all rows of a part of a table.
 
-        Every page is linearizable, but not the read as a whole.
+        Each page is linearizable, but the read as a whole is not.
         """
 
     async def get(
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -14,8 +14,8 @@
 Accept = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 Listen = Callable[[Accept, str, int], Awaitable[asyncio.Server]]
 
-#: Time after the opening of a stream within which a stream opened by the
-#: other end counts as simultaneous, in seconds.
+#: Maximum time between the openings of two streams, one by each end, that
+#: count as simultaneous, in seconds.
 SIMULTANEOUS_OPEN_S = 1
 
 #: Timeout of a connection attempt, in seconds.
@@ -54,7 +54,7 @@
     #: Time without incoming frames after which a stream is closed.
     peer_silent_s: float = 10
 
-    #: Delay before a VM connects although the other end should connect first.
+    #: Delay before a VM connects if the other end is expected to connect.
     dial_wait_s: float = 0.5
 
     #: Idle time after which a stream to a VM that is not chosen is closed.
@@ -63,9 +63,9 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Retry:
-    """Back-off state for reopening the stream to a VM."""
+    """Delay before the next attempt to open a stream to a VM."""
 
-    since: float
+    waiting_since: float
     back_off_s: float = 0
     failures: int = 0
 
@@ -139,8 +139,8 @@
         for vm in missing.difference(self.by_vm):
             at_once = vm in urgent or self.neighbors.chosen[vm]
             wait_s = 0 if at_once else self._cfg.dial_wait_s
-            retry = self._retries.setdefault(vm, _Retry(since=now))
-            if now >= retry.since + max(wait_s, retry.back_off_s):
+            retry = self._retries.setdefault(vm, _Retry(waiting_since=now))
+            if now >= retry.waiting_since + max(wait_s, retry.back_off_s):
                 self._dialing.add(vm)
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
@@ -148,10 +148,10 @@
         """Close dead and unused streams; send heartbeats on idle ones."""
         for vm, stream in list(self.by_vm.items()):
             if now - stream.last_received_at >= self._cfg.peer_silent_s:
-                stream.abort('no frames from the peer')
+                stream.abort('no frames from the peer before the timeout')
                 self._unregister(stream)
             elif self._is_unused(vm, stream, now):
-                stream.abort('unused')
+                stream.abort('idle stream to a VM that is not chosen')
                 self._unregister(stream)
             elif now - stream.last_sent_at >= self._cfg.heartbeat_s:
                 stream.send(heartbeat)
@@ -178,7 +178,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._spawn(
-            self._run(
+            self._run_stream(
                 peer.Stream(
                     ctx=self._ctx, reader=reader, writer=writer, dialed=False
                 ),
@@ -197,7 +197,9 @@
             stream = peer.Stream(
                 ctx=self._ctx, reader=reader, writer=writer, dialed=True
             )
-            was_registered = await self._run(stream, expected=neighbor.vm)
+            was_registered = await self._run_stream(
+                stream, expected=neighbor.vm
+            )
         except (OSError, TimeoutError) as exc:
             _log.info(
                 'Cannot connect to peer %s: %s.',
@@ -212,41 +214,41 @@
     def _back_off(self, vm: ids.VmId) -> None:
         """Schedule the next attempt after an exponential delay with jitter."""
         failures = self._retries[vm].failures if vm in self._retries else 0
-        longest = min(BACK_OFF_MIN_S * 2 ** min(failures, 9), BACK_OFF_MAX_S)
-        wait_s = longest * self._rng.uniform(0.5, 1)
+        max_wait_s = min(BACK_OFF_MIN_S * 2 ** min(failures, 9), BACK_OFF_MAX_S)
+        wait_s = max_wait_s * self._rng.uniform(0.5, 1)
         self._retries[vm] = _Retry(
-            since=self._ctx.clock.now(),
+            waiting_since=self._ctx.clock.now(),
             back_off_s=wait_s,
             failures=failures + 1,
         )
 
-    async def _run(
+    async def _run_stream(
         self, stream: peer.Stream, *, expected: ids.VmId | None
     ) -> bool:
         """Run a stream to its end; return whether it was registered."""
         try:
-            if not await self._open(stream, expected):
+            if not await self._handshake(stream, expected):
                 return False
-            await self._read(stream)
+            await self._receive_frames(stream)
             return True
         finally:
             stream.abort('end of stream')
             self._unregister(stream)
 
-    async def _open(
+    async def _handshake(
         self, stream: peer.Stream, expected: ids.VmId | None
     ) -> bool:
-        greeting = await stream.handshake()
-        if isinstance(greeting, result.Err):
-            self._reject(stream, greeting.err_value)
+        handshake = await stream.handshake()
+        if isinstance(handshake, result.Err):
+            self._reject(stream, handshake.err_value)
             return False
-        hello = greeting.ok_value
+        hello = handshake.ok_value
         if hello.vm == self._vm or expected not in {None, hello.vm}:
             self._reject(stream, f'unexpected VM {hello.vm}')
             return False
         return self._register(stream)
 
-    async def _read(self, stream: peer.Stream) -> None:
+    async def _receive_frames(self, stream: peer.Stream) -> None:
         while True:
             received = await stream.receive()
             if self.by_vm.get(stream.hello.vm) is not stream:
@@ -256,7 +258,7 @@
                     self._reject(stream, received.err_value)
                 return
             if isinstance(received.ok_value, frames.Hello):
-                self._reject(stream, 'second Hello')
+                self._reject(stream, 'unexpected second Hello')
                 return
             self._events.frame_received(stream, received.ok_value)
 
@@ -272,7 +274,7 @@
         if old is not None:
             if self._is_simultaneous_open(old, stream):
                 return False
-            old.abort('replaced')
+            old.abort('replaced by a newer stream')
             self._unregister(old)
         self.by_vm[hello.vm] = stream
         _log.info('Stream to peer %s opened.', hello.vm)
--- a/sardineproxy/process/views.py
+++ b/sardineproxy/process/views.py
@@ -1,12 +1,12 @@
 """Membership views of a zone, and slot ownership in a view.
 
 A view assigns all slots of the zone to its members. Processes with different
-views may assign a slot to different members. Two rules prevent that two
-processes use the same slot:
+views may assign a slot to different members. Two rules prevent two processes
+from using the same slot:
 
 - Before a process announces a new view, it stops starting tasks on slots that
-  it does not own in that view. Once these slots are no longer in use or lent,
-  or after a time limit, it announces the view as settled.
+  it does not own in that view. It announces the view as settled once these
+  slots are no longer in use or lent, or after a timeout.
 - A process uses newly owned slots only after the view is confirmed: every
   connected process of the zone has announced the same view as settled, after
   it received this process's announcement.
@@ -64,9 +64,9 @@
     last_view: frames.View | None = None
     is_leaving: bool = False
 
-    #: Fields ``epoch``, ``acknowledged_epoch`` and ``settled`` of the view that was last
-    #: sent to the peer.
-    sent: tuple[int, int, bool] = (0, 0, False)
+    #: Fields ``epoch``, ``acknowledged_epoch`` and ``settled`` of the view that
+    #: was last sent to the peer.
+    last_sent: tuple[int, int, bool] = (0, 0, False)
 
     def announced_epoch(self) -> int:
         return self.last_view.epoch if self.last_view else 0
@@ -89,8 +89,8 @@
     ) -> None:
         """Create a view without peers and without owned slots.
 
-        A process that has been unconnected for less than ``grace_s`` may still
-        use its slots, so no view is confirmed meanwhile.
+        A process that has been absent for less than ``grace_s`` may still use
+        its slots, so no view is confirmed during this time.
         """
         self._own_member = (vm, incarnation)
         self._zone = zone
@@ -98,28 +98,30 @@
         self._listing = platform.VmList(revision=0, vms=())
         self._peers: dict[ids.VmId, _MemberPeer] = {}
 
-        #: Times since which processes of the zone are unconnected. Processes
-        #: that are no longer listed are removed after the grace period.
-        self._absent: dict[ids.VmId, float] = {}
+        #: Times since which processes of the zone have been absent, that is,
+        #: without a stream. Processes that are no longer listed are removed
+        #: after the grace period.
+        self._absent_since: dict[ids.VmId, float] = {}
 
-        #: Unconnected processes that said goodbye; these are not absent.
-        self._departed: set[ids.VmId] = set()
+        #: Processes without a stream that had sent Goodbye. They do not count
+        #: as absent.
+        self._departed_vms: set[ids.VmId] = set()
         self._owner_cache: dict[str, ids.VmId | None] = {}
         self._owner_cache_sizes: dict[ids.VmId, float] = {}
 
         #: Sizes of the live entry VMs of the zone.
-        self._live: dict[ids.VmId, int] = {}
+        self._live_sizes: dict[ids.VmId, int] = {}
         self._is_outdated = True
-        self._leaving = False
+        self._is_leaving = False
         self._epoch = 0
-        self.candidate = self._build(())
+        self.candidate = self._build_candidate(())
         self.confirmed = False
         self.owned: dict[ids.EndpointId, int] = {}
 
     def set_listing(self, listing: platform.VmList) -> None:
-        """Use a newer list of VMs."""
+        """Replace the list of VMs by a newer one."""
         self._listing = listing
-        self._live = {
+        self._live_sizes = {
             ids.VmId(vm.name): max(1, vm.slots)
             for vm in listing.vms
             if vm.role is platform.VmRole.ENTRY
@@ -132,22 +134,22 @@
         """Add a process of the zone to which a stream was opened."""
         self._peers[vm] = _MemberPeer(incarnation=incarnation)
         self._is_outdated = True
-        self._absent.pop(vm, None)
-        self._departed.discard(vm)
+        self._absent_since.pop(vm, None)
+        self._departed_vms.discard(vm)
 
     def remove_peer(self, vm: ids.VmId, now: float) -> None:
         """Remove a process whose stream was closed."""
         peer = self._peers.pop(vm, None)
         self._is_outdated = True
         if peer and peer.is_leaving:
-            self._departed.add(vm)
+            self._departed_vms.add(vm)
         elif peer:
-            self._absent[vm] = now
+            self._absent_since[vm] = now
 
     def handle_frame(
         self, vm: ids.VmId, frame: frames.View | frames.Goodbye
     ) -> None:
-        """Process a view that a peer announces, or its goodbye."""
+        """Process a view that a peer announces, or its Goodbye."""
         peer = self._peers.get(vm)
         if peer is None:
             return
@@ -159,8 +161,8 @@
                 self._is_outdated = True
 
     def leave(self) -> None:
-        """Leave the zone for good: own nothing from the next view on."""
-        self._leaving = True
+        """Leave the zone permanently: own no slots in any later view."""
+        self._is_leaving = True
         self._is_outdated = True
 
     def drop_owned(self) -> None:
@@ -178,7 +180,7 @@
         if not self._is_outdated:
             return False
         self._is_outdated = False
-        candidate = self._build(self._members())
+        candidate = self._build_candidate(self._current_members())
         if candidate.digest == self.candidate.digest and self._epoch:
             return False
         self.candidate = candidate
@@ -197,9 +199,9 @@
         ``settled`` is whether this process uses no slots beyond the candidate.
         Returns whether the candidate was confirmed by this call.
         """
-        if self.confirmed or not settled or self._in_grace(now):
+        if self.confirmed or not settled or self._is_in_grace_period(now):
             return False
-        if not all(self._agrees(peer) for peer in self._peers.values()):
+        if not all(self._has_confirmed(peer) for peer in self._peers.values()):
             return False
         self.confirmed = True
         self.owned = dict(self.candidate.owned)
@@ -212,7 +214,7 @@
         announcements: list[tuple[ids.VmId, frames.Frame]] = []
         for vm, peer in self._peers.items():
             peer_epoch = peer.announced_epoch()
-            sent_epoch, sent_peer_epoch, sent_settled = peer.sent
+            sent_epoch, sent_peer_epoch, sent_settled = peer.last_sent
             same_view = bool(
                 peer.last_view
                 and peer.last_view.digest == self.candidate.digest
@@ -223,8 +225,10 @@
                 and not (same_view and sent_peer_epoch != peer_epoch)
             ):
                 continue
-            peer.sent = (self._epoch, peer_epoch, settled)
-            announcements.append((vm, self._announcement(peer_epoch, settled)))
+            peer.last_sent = (self._epoch, peer_epoch, settled)
+            announcements.append(
+                (vm, self._build_announcement(peer_epoch, settled))
+            )
         return announcements
 
     def state(self, now: float) -> dict[str, object]:
@@ -235,23 +239,28 @@
             'epoch': self._epoch,
             'confirmed': self.confirmed,
             'agreeing': sorted(
-                vm for vm, peer in self._peers.items() if self._agrees(peer)
+                vm
+                for vm, peer in self._peers.items()
+                if self._has_confirmed(peer)
             ),
             'absent_s': {
-                vm: round(now - since, 3) for vm, since in self._absent.items()
+                vm: round(now - since, 3)
+                for vm, since in self._absent_since.items()
             },
             'owned_endpoints': len(self.owned),
             'owned_slots': sum(self.owned.values()),
         }
 
     def absent_since(self) -> Mapping[ids.VmId, float]:
-        """Return the times since which processes of the zone are unconnected.
+        """Return the times since which processes of the zone have been absent.
 
-        Processes that said goodbye are left out.
+        Processes that sent Goodbye are not included.
         """
-        return self._absent
+        return self._absent_since
 
-    def _announcement(self, peer_epoch: int, settled: bool) -> frames.View:
+    def _build_announcement(
+        self, peer_epoch: int, settled: bool
+    ) -> frames.View:
         return frames.View(
             members=self.candidate.members,
             digest=self.candidate.digest,
@@ -260,11 +269,11 @@
             settled=settled,
         )
 
-    def _agrees(self, peer: _MemberPeer) -> bool:
+    def _has_confirmed(self, peer: _MemberPeer) -> bool:
         """Return whether the peer has confirmed the candidate view.
 
-        It has if it announced the same view as settled, in reply to this
-        process's announcement, or if it is leaving.
+        A peer confirms it by announcing the same view as settled, in reply to
+        this process's announcement. A leaving peer need not confirm it.
         """
         return peer.is_leaving or bool(
             peer.last_view
@@ -273,31 +282,31 @@
             and peer.last_view.settled
         )
 
-    def _in_grace(self, now: float) -> bool:
+    def _is_in_grace_period(self, now: float) -> bool:
         return any(
-            now - since < self._grace_s for since in self._absent.values()
+            now - since < self._grace_s for since in self._absent_since.values()
         )
 
     def _update_absent(self, now: float) -> None:
-        """Add unconnected live processes; remove unlisted ones in time."""
-        live = self._live
-        self._departed.intersection_update(live)
-        for vm in live:
+        """Add live processes without a stream; remove expired unlisted ones."""
+        live_sizes = self._live_sizes
+        self._departed_vms.intersection_update(live_sizes)
+        for vm in live_sizes:
             if vm != self._own_member[0] and vm not in self._peers:
-                if vm not in self._departed:
-                    self._absent.setdefault(vm, now)
-        for vm, since in list(self._absent.items()):
-            if vm not in live and now - since >= self._grace_s:
-                self._absent.pop(vm)
-
-    def _members(self) -> tuple[Member, ...]:
-        live = self._live
+                if vm not in self._departed_vms:
+                    self._absent_since.setdefault(vm, now)
+        for vm, since in list(self._absent_since.items()):
+            if vm not in live_sizes and now - since >= self._grace_s:
+                self._absent_since.pop(vm)
+
+    def _current_members(self) -> tuple[Member, ...]:
+        live_sizes = self._live_sizes
         members = [
             (vm, peer.incarnation)
             for vm, peer in self._peers.items()
-            if vm in live and not peer.is_leaving
+            if vm in live_sizes and not peer.is_leaving
         ]
-        if self._own_member[0] in live and not self._leaving:
+        if self._own_member[0] in live_sizes and not self._is_leaving:
             members.append(self._own_member)
         return tuple(sorted(members))
 
@@ -312,16 +321,16 @@
             self._owner_cache[endpoint] = rendezvous.winner(endpoint, sizes)
         return self._owner_cache[endpoint]
 
-    def _build(self, members: tuple[Member, ...]) -> CandidateView:
-        live = self._live
-        sizes: dict[ids.VmId, float] = {vm: live[vm] for vm, _ in members}
+    def _build_candidate(self, members: tuple[Member, ...]) -> CandidateView:
+        live_sizes = self._live_sizes
+        sizes: dict[ids.VmId, float] = {vm: live_sizes[vm] for vm, _ in members}
         owned: dict[ids.EndpointId, int] = {}
         vm_slots = {vm: 0 for vm, _ in members}
         zone_slots: dict[ids.ZoneId, int] = {}
         # The digest covers all inputs of the assignment, so that processes
         # with equal digests assign all slots alike.
         digest = hashlib.sha256(repr((members, sizes)).encode())
-        for endpoint in _endpoints(self._listing):
+        for endpoint in _live_endpoints(self._listing):
             zone_slots[endpoint.zone] = (
                 zone_slots.get(endpoint.zone, 0) + endpoint.slots
             )
@@ -347,7 +356,7 @@
         )
 
 
-def _endpoints(listing: platform.VmList) -> list[platform.Vm]:
+def _live_endpoints(listing: platform.VmList) -> list[platform.Vm]:
     return sorted(
         (
             vm
--- a/tests/process/test_directory.py
+++ b/tests/process/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the VM directory: look-ups match the newest list."""
+"""Tests of the VM directory: lookups return VMs of the newest list."""
 
 import testtools
 from testtools import matchers
@@ -7,13 +7,13 @@
 from tests.process import test_listing
 
 
-def vm_list(revision, *vms):
+def make_list(revision, *vms):
     document = {'revision': revision, 'vms': list(vms)}
     return listing.from_document(document).unwrap()
 
 
 class DirectoryTest(testtools.TestCase):
-    """Guards against look-ups in a list that is out of date."""
+    """Guards against lookups in an outdated list."""
 
     def test_looks_up_by_role(self):
         target = directory.VmDirectory()
@@ -21,22 +21,22 @@
             test_listing.vm_fields('a', role=role)
             for role in ('entry', 'endpoint')
         ]
-        target.offer(vm_list(2, *vms))
+        target.offer(make_list(2, *vms))
         entry, endpoint = target.newest.vms
         self.assertThat(target.entry_vms(), matchers.Equals((entry,)))
         self.assertThat(target.endpoints(), matchers.Equals((endpoint,)))
         self.assertThat(target.endpoint('a'), matchers.Is(endpoint))
 
-    def test_forgets_endpoints_that_a_newer_list_lacks(self):
+    def test_drops_endpoints_missing_from_a_newer_list(self):
         target = directory.VmDirectory()
         revisions = []
         target.listing.subscribe(
             lambda newest: revisions.append(newest.revision)
         )
         accepted = [
-            target.offer(vm_list(2, test_listing.vm_fields('a'))),
-            target.offer(vm_list(3)),
-            target.offer(vm_list(2, test_listing.vm_fields('a'))),
+            target.offer(make_list(2, test_listing.vm_fields('a'))),
+            target.offer(make_list(3)),
+            target.offer(make_list(2, test_listing.vm_fields('a'))),
         ]
         self.assertThat(accepted, matchers.Equals([True, True, False]))
         self.assertThat(target.endpoint('a'), matchers.Is(None))
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatcher, with a fake endpoint client that the tests control."""
+"""Tests of the dispatcher with a fake endpoint client."""
 
 import asyncio
 import collections
@@ -25,17 +25,17 @@
 
 
 class FakeClient:
-    """Endpoints that respond once ``answer`` is set, or are unreachable."""
+    """Endpoints that respond once ``may_respond`` is set, or are unreachable."""
 
     def __init__(self) -> None:
         self.started: list[tuple[str, str]] = []
         self.unreachable: set[str] = set()
-        self.answer = asyncio.Event()
+        self.may_respond = asyncio.Event()
         self.running = collections.Counter[str]()
         self.max_running = collections.Counter[str]()
 
     async def attempt(self, *, task: Any, vm: platform.Vm) -> work.Outcome:
-        """Record the start, wait for ``answer`` and respond with 200."""
+        """Record the start, wait for ``may_respond`` and respond with 200."""
         if vm.name in self.unreachable:
             return work.Refused(
                 problem=samples.make_problem(endpoint.UNREACHABLE)
@@ -46,7 +46,7 @@
             self.max_running[vm.name], self.running[vm.name]
         )
         try:
-            await self.answer.wait()
+            await self.may_respond.wait()
             await asyncio.sleep(0)
         finally:
             self.running[vm.name] -= 1
@@ -158,7 +158,7 @@
     rig.dispatcher.cancel(request_id=f'{cancelled}')
     for run in runs[:cancelled]:
         run.cancel()
-    rig.client.answer.set()
+    rig.client.may_respond.set()
     gathered = asyncio.gather(*runs, return_exceptions=True)
     return rig, await asyncio.wait_for(gathered, samples.LONG_S)
 
@@ -189,10 +189,11 @@
     def test_each_task_starts_once(
         self, customers: list[int], unreachable: set[str], cancelled: int
     ) -> None:
-        """Guards against tasks that are lost, start twice or exceed slots.
+        """Guards against lost tasks, second starts and overbooked slots.
 
-        Tasks of several customers meet unreachable endpoints, a concurrency
-        limit and cancellations.
+        Tasks of several customers are submitted at once. Some endpoints are
+        unreachable, one customer has a concurrency limit, and some tasks are
+        cancelled.
         """
         rig, outcomes = asyncio.run(
             run_and_cancel(customers, unreachable, cancelled)
@@ -213,10 +214,11 @@
     async def test_unreachable_endpoints_are_skipped(self) -> None:
         """Guards against refusing a task that another endpoint could run.
 
-        Five of six endpoints refuse the connection.
+        Five of six endpoints are unreachable, which is more than a task tries
+        before it backs off.
         """
         rig = DispatcherRig(1, 1, 1, 1, 1, 1)
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         rig.client.unreachable = {'w0', 'w1', 'w2', 'w3', 'w4'}
         outcome = await rig.submit('r')
         self.assertEqual('w5', outcome.endpoint)  # type: ignore[union-attr]
@@ -226,8 +228,9 @@
     async def test_deadlines_pass_without_other_events(self) -> None:
         """Guards against tasks that stay queued after their deadline.
 
-        No other event occurs before the deadline, so only the timer can end
-        the wait, for a full endpoint as for an unreachable one.
+        Nothing happens before the deadline, so that only the timer can end the
+        wait. The first task waits for a slot, the second for an unreachable
+        endpoint.
         """
         rig = DispatcherRig(1)
         running = rig.submit('a')
@@ -235,7 +238,7 @@
         await waiting
         self.assertEqual('deadline_passed', self.problem_code(waiting))
         rig.client.unreachable = {'w0'}
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await running
         unreachable = rig.submit('d', deadline_s=0.05)
         await unreachable
@@ -244,13 +247,16 @@
 
     @async_test
     async def test_cancelled_work_never_starts(self) -> None:
-        """Guards against a start after "cancelled" was returned."""
+        """Guards against a start after the result "cancelled".
+
+        Two tasks are cancelled while they wait for the only slot.
+        """
         rig = DispatcherRig(1)
         runs = [rig.submit(request) for request in ('a', 'b', 'b', 'd')]
         await run_pending()
         rig.dispatcher.cancel(request_id='b')
         self.assertEqual(1, rig.dispatcher.waiting(customer='c'))
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         for run in runs[1:3]:
             self.assertEqual('cancelled', self.problem_code(run))
@@ -259,7 +265,9 @@
         )
 
     @async_test
-    async def test_task_granted_but_not_yet_sent_can_be_cancelled(self) -> None:
+    async def test_task_with_a_slot_but_not_yet_sent_can_be_cancelled(
+        self,
+    ) -> None:
         """Guards against sending a task that was cancelled after its start.
 
         The slot is assigned, but the coroutine that sends the task has not
@@ -271,7 +279,7 @@
         rig.set_owned(1)
         rig.dispatcher.wake()
         rig.dispatcher.cancel(request_id='a')
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         self.assertEqual('cancelled', self.problem_code(runs[0]))
         self.assertEqual(['b'], [request for request, _ in rig.client.started])
@@ -305,7 +313,10 @@
 
     @async_test
     async def test_leaving_endpoints_get_no_new_work(self) -> None:
-        """Guards against sending tasks to an endpoint that is shutting down."""
+        """Guards against sending tasks to an endpoint that is shutting down.
+
+        Its slots are free and owned, but it is listed as leaving.
+        """
         rig = DispatcherRig(1, 1)
         leaving = samples.make_vm(state=platform.VmState.LEAVING)
         rig.list_vms(leaving)
@@ -313,18 +324,21 @@
         await run_pending()
         self.assertEqual([], rig.client.started)
         rig.list_vms(leaving, samples.make_vm(name='w1'))
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         self.assertEqual(['w1', 'w1'], [vm for _, vm in rig.client.started])
 
     @async_test
     async def test_own_zone_is_preferred(self) -> None:
-        """Guards against traffic between zones while the own zone has slots."""
+        """Guards against traffic to other zones while the own zone has slots.
+
+        An endpoint of each zone has a free slot.
+        """
         rig = DispatcherRig(1, 1)
         far = samples.make_vm(zone=ids.ZoneId('far'))
         rig.list_vms(far, samples.make_vm(name='w1'))
         runs = [rig.submit('a'), rig.submit('b')]
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         self.assertEqual([('a', 'w1'), ('b', 'w0')], rig.client.started)
 
@@ -332,7 +346,8 @@
     async def test_customer_at_its_limit_does_not_block_others(self) -> None:
         """Guards against idle slots while the first customer is at its limit.
 
-        Tasks of a customer behind it must start.
+        Its tasks are first in the queue and cannot start; the tasks of the
+        next customer have to.
         """
         rig = DispatcherRig(2, full=1)
         runs = [rig.submit(f'{number}', 'full') for number in range(4)]
@@ -341,7 +356,7 @@
         self.assertEqual(
             ['0', '4'], [request for request, _ in rig.client.started]
         )
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         self.assertEqual(6, len(rig.client.started))
 
@@ -356,13 +371,17 @@
             rig.submit(f'{number}', f'c{number % 50}') for number in range(1000)
         ]
         await run_pending()
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         self.assertLess(rig.slots.searches, 3000)
 
     @async_test
     async def test_backlog_is_reported_once_a_turn(self) -> None:
-        """Guards against one message to lenders for every waiting task."""
+        """Guards against one message to lenders for every waiting task.
+
+        The messages follow from items of the backlog stream; 49 tasks start to
+        wait in one turn of the event loop.
+        """
         rig = DispatcherRig(1)
         reports: list[Any] = []
         rig.dispatcher.backlog.subscribe(reports.append)
@@ -370,7 +389,7 @@
         await run_pending()
         self.assertEqual(1, len(reports))
         self.assertEqual(49, reports[0].customers[0].waiting)
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
 
     @async_test
@@ -381,7 +400,7 @@
         await run_pending()
         rig.dispatcher.close()
         runs.append(rig.submit('late'))
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         await asyncio.gather(*runs)
         self.assertIsInstance(runs[0].result(), work.Response)
         for run in runs[1:]:
@@ -395,7 +414,7 @@
         dispatcher.
         """
         rig = DispatcherRig(0, 1)
-        rig.client.answer.set()
+        rig.client.may_respond.set()
         now = clock.SystemClock().now()
         rig.health.record_refusal('w1', request_id='r', now=now)
         run = rig.submit('a')
--- a/tests/process/test_health.py
+++ b/tests/process/test_health.py
@@ -1,4 +1,4 @@
-"""Ranking and outlier ejection of endpoints."""
+"""Tests of the ranking and the outlier ejection of endpoints."""
 
 import random
 from typing import Any
@@ -49,8 +49,8 @@
     def test_spread_of_run_times_does_not_change_the_order(self) -> None:
         """Guards against noise that ranks a slow endpoint before a fast one.
 
-        Run times of equal tasks spread over a factor of 20, and one endpoint
-        has 0.7 times the speed of the other.
+        The run times of equal tasks spread over a factor of 20, and the second
+        endpoint has 0.7 times the speed of the first.
         """
         rng = random.Random(1)
         estimates = Estimates(2)
@@ -63,7 +63,10 @@
         self.assertLess(misrankings, 20)
 
     def test_fast_failures_do_not_improve_the_rank(self) -> None:
-        """Guards against a good rank for an endpoint that fails quickly."""
+        """Guards against a good rank for an endpoint that fails quickly.
+
+        Failed tasks end sooner than successful ones.
+        """
         estimates = Estimates(1)
         for _ in range(20):
             estimates.succeed(FIRST)
@@ -72,7 +75,10 @@
         self.assertGreater(estimates.ranks[FIRST], 10)
 
     def test_failures_in_a_row_eject_for_longer_each_time(self) -> None:
-        """Guards against frequent probes of an endpoint that keeps failing."""
+        """Guards against frequent probes of an endpoint that keeps failing.
+
+        Each failed probe doubles the time until the next one.
+        """
         estimates = Estimates(2)
         for _ in range(3):
             self.assertIn(FIRST, estimates.ranks)
@@ -88,7 +94,10 @@
             estimates.fail(FIRST, now=now)
 
     def test_success_between_failures_prevents_ejection(self) -> None:
-        """Guards against ejecting an endpoint for occasional failures."""
+        """Guards against ejecting an endpoint for occasional failures.
+
+        Two of three tasks fail, but never three in a row.
+        """
         estimates = Estimates(2)
         for _ in range(5):
             estimates.fail(FIRST)
@@ -97,7 +106,10 @@
         self.assertIn(FIRST, estimates.ranks)
 
     def test_probes_go_one_at_a_time(self) -> None:
-        """Guards against a full load on an endpoint that may still fail."""
+        """Guards against many failed tasks when an ejection ends too early.
+
+        While the first task is running at the endpoint, no other may be sent.
+        """
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
         self.assertEqual([], estimates.endpoints_on_probation(NAMES, now=0.9))
@@ -111,9 +123,9 @@
         self.assertIn(FIRST, estimates.ranks)
 
     def test_non_idempotent_tasks_wait_to_probe(self) -> None:
-        """Guards against failing a job by using it as a probe.
+        """Guards against a job that fails because its task was a probe.
 
-        Its tasks may not be retried if the endpoint still fails.
+        The task may not be retried if the endpoint still fails.
         """
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
@@ -124,7 +136,10 @@
         )
 
     def test_any_task_may_probe_the_only_endpoint(self) -> None:
-        """Guards against jobs that wait while no endpoint is in service."""
+        """Guards against jobs that wait although an endpoint could be probed.
+
+        No endpoint is in service, so that no idempotent task comes first.
+        """
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
         estimates.ranks.clear()
@@ -138,7 +153,7 @@
         self.assertEqual(3, len(estimates.ranks))
 
     def test_failing_job_does_not_eject_healthy_endpoints(self) -> None:
-        """Guards against a job that fails everywhere and ejects half a zone.
+        """Guards against a job that ejects half a zone by failing everywhere.
 
         Only its failures at the first endpoint count.
         """
@@ -159,7 +174,11 @@
         self.assertEqual(NAMES[2:4], tuple(estimates.ranks))
 
     def test_unresponsive_endpoint_is_ejected(self) -> None:
-        """Guards against slots that stay blocked by an endpoint that hangs."""
+        """Guards against slots that stay in use at an endpoint that hangs.
+
+        Both endpoints have stragglers, but only the second has responded since
+        these started.
+        """
         estimates = Estimates(2)
         estimates.succeed(FIRST, now=1)
         estimates.succeed(SECOND, now=5)
@@ -171,7 +190,10 @@
         self.assertEqual([SECOND], list(estimates.ranks))
 
     def test_estimates_of_unused_endpoints_decay(self) -> None:
-        """Guards against a slow endpoint that never gets tasks again."""
+        """Guards against an endpoint that never gets tasks again.
+
+        It was slow once, and without tasks its speed is not measured again.
+        """
         estimates = Estimates(2)
         for _ in range(50):
             estimates.succeed(FIRST, 0.1)
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -1,4 +1,4 @@
-"""Slot loans between entry VMs."""
+"""Tests of slot loans between entry VMs."""
 
 import collections
 import random
@@ -24,10 +24,10 @@
 Y = 'y'
 
 
-class Vms:
-    """Entry VMs with a common view; the test delivers their frames.
+class EntryVms:
+    """Entry VMs of one zone; the test delivers their frames.
 
-    ``names`` has one letter per VM. Every VM owns ``ENDPOINTS`` endpoints with
+    ``names`` has one letter per VM. Each VM owns ``ENDPOINTS`` endpoints with
     ``SLOTS`` slots.
     """
 
@@ -132,9 +132,9 @@
         self.tables[name].release(ticket=ticket, now=self.now)
 
     def run_job(self, name: str, customer: ids.CustomerId) -> None:
-        """Run tasks on all own slots and on slots borrowed for 40 more.
+        """Run tasks on all own slots and on slots borrowed for 40 more tasks.
 
-        Afterwards the time advances by half of the idle time.
+        Then release all slots and advance the time by half of the idle time.
         """
         self.acquire_all(name, customer)
         self.report(name, **{customer: 40})
@@ -148,7 +148,7 @@
         self.tick(name)
 
     def replace_task(self, name: str, customer: ids.CustomerId) -> None:
-        """End the oldest task and start the customer's tasks at a VM."""
+        """End the oldest task, and start the customer's tasks at a VM."""
         self.release(0)
         self.tick(name)
         self.deliver_all()
@@ -173,8 +173,14 @@
         )
 
 
-def _step(vms: Vms, rng: random.Random, links: list[tuple[str, str]]) -> None:
-    """Perform a random action."""
+def _step(
+    vms: EntryVms, rng: random.Random, links: list[tuple[str, str]]
+) -> None:
+    """Perform a random action.
+
+    The actions are: acquire (t) or release (r) a slot, report a backlog (b),
+    advance the time and tick (k), disconnect (c) and deliver a frame (d).
+    """
     name = rng.choice(vms.names)
     customer = rng.choice((X, Y))
     match rng.choice('ttttrrbbkdddddd' * 5 + 'c'):
@@ -193,9 +199,9 @@
             vms.deliver(*rng.choice(links))
 
 
-def _vms_with_loan() -> Vms:
+def _vms_with_loan() -> EntryVms:
     """Return two VMs of which ``a`` uses its own slots and all of ``b``."""
-    vms = Vms('ab', {X: 100})
+    vms = EntryVms('ab', {X: 100})
     vms.report('a', x=40)
     vms.deliver_all()
     vms.acquire_all('a', X)
@@ -212,13 +218,13 @@
     def test_limits_hold_under_any_sequence(
         self, limit: int, seed: int
     ) -> None:
-        """Guards against slots or limits that are used twice.
+        """Guards against slots that are used twice, and exceeded limits.
 
-        Frames are delayed and streams closed while both sides account for the
-        same slots.
+        Frames are delayed and streams are closed, so that borrower and lender
+        have different states of the same loan.
         """
         rng = random.Random(seed)
-        vms = Vms('abc', {X: limit, Y: 7})
+        vms = EntryVms('abc', {X: limit, Y: 7})
         links = list(vms.links)
         for _ in range(150):
             _step(vms, rng, links)
@@ -235,20 +241,23 @@
             )
 
     def test_a_job_borrows_idle_slots_with_few_messages(self) -> None:
-        """Guards against loans that are requested anew for every job.
+        """Guards against new requests for every job.
 
-        One request and one grant for each of three lenders serve five jobs
-        with short pauses.
+        One request to and one grant from each of three lenders serve five jobs
+        with short pauses, because the slots are not returned in between.
         """
-        vms = Vms('abcd', {X: 100})
+        vms = EntryVms('abcd', {X: 100})
         for _ in range(5):
             vms.run_job('a', X)
         self.assertEqual(48, vms.max_running)
         self.assertEqual(6, sum(vms.sent.values()))
 
     def test_idle_loans_return_in_one_message(self) -> None:
-        """Guards against one return message for every idle slot."""
-        vms = Vms('abcd', {X: 100})
+        """Guards against one return message for every idle slot.
+
+        The slots of each lender become idle at the same time.
+        """
+        vms = EntryVms('abcd', {X: 100})
         vms.run_job('a', X)
         vms.now += CFG.idle_return_s
         vms.tick('a')
@@ -257,8 +266,11 @@
         self.assertEqual(0, vms.held_slots(X))
 
     def test_idle_loans_return_when_the_lender_has_work(self) -> None:
-        """Guards against tasks that wait while a borrower has idle slots."""
-        vms = Vms('ab', {X: 100, Y: 100})
+        """Guards against tasks that wait while a borrower has idle slots.
+
+        All slots of the lender are lent when its own backlog begins.
+        """
+        vms = EntryVms('ab', {X: 100, Y: 100})
         vms.report('a', x=40)
         vms.deliver_all()
         self.assertFalse(vms.acquire_slot('b', Y))
@@ -269,11 +281,12 @@
         self.assertTrue(vms.acquire_slot('b', Y))
 
     def test_lender_with_backlog_grants_only_the_fair_share(self) -> None:
-        """Guards against a backlog that takes the fair share of borrowers.
+        """Guards against a lender's backlog that starves borrowers.
 
-        The lender's local backlog of another customer fills all its slots.
+        Tasks of another customer use all slots of the lender and wait for
+        more.
         """
-        vms = Vms('ab', {X: 100, Y: 100})
+        vms = EntryVms('ab', {X: 100, Y: 100})
         vms.acquire_all('b', Y)
         vms.report('b', y=100)
         vms.free_slots['b'] = 0
@@ -291,7 +304,7 @@
     def test_loans_of_disconnected_borrower_end_after_its_tasks(self) -> None:
         """Guards against use of lent slots on which tasks may still run.
 
-        The lender cannot see the borrower's tasks after the stream is closed.
+        After the stream is closed, the lender cannot observe when they end.
         """
         vms = _vms_with_loan()
         vms.disconnect('a', 'b')
@@ -304,7 +317,10 @@
             self.assertEqual(free, vms.tables['b'].free_slots)
 
     def test_borrower_starts_no_task_after_the_lease(self) -> None:
-        """Guards against tasks on slots that the lender uses again."""
+        """Guards against tasks on slots that the lender may use again.
+
+        The borrower has received no frame for the length of the lease.
+        """
         vms = _vms_with_loan()
         vms.release(-1)
         vms.now += CFG.lease_s
@@ -313,21 +329,21 @@
     def test_short_backlog_sends_no_requests(self) -> None:
         """Guards against requests for a backlog that has just started.
 
-        Its age must not be counted from an earlier backlog that has ended.
+        Its age must not include that of an earlier backlog that has ended.
         """
-        vms = Vms('ab', {X: 100})
+        vms = EntryVms('ab', {X: 100})
         for _ in range(3):
             vms.report('a', x=1)
             vms.now += 1
         self.assertEqual(0, sum(vms.sent.values()))
 
-    def test_finds_the_only_share_of_a_small_limit(self) -> None:
+    def test_borrows_the_only_share_of_a_small_limit(self) -> None:
         """Guards against a limit of one that is usable only at one VM.
 
-        Only one VM has a share of the limit; the others must find it.
+        Only one VM has a share of the limit, and the others do not know which.
         """
         for name in 'abcd':
-            vms = Vms('abcd', {X: 1})
+            vms = EntryVms('abcd', {X: 1})
             for _ in range(8):
                 vms.report(name, x=1)
                 vms.now += CFG.min_backlog_age_s
@@ -335,9 +351,13 @@
                 vms.deliver_all()
             self.assertTrue(vms.acquire_slot(name, X), name)
 
-    def test_a_peer_cannot_return_more_than_it_has(self) -> None:
-        """Guards against negative loans after an excessive return."""
-        vms = Vms('ab', {X: 100})
+    def test_peer_cannot_return_more_slots_than_lent(self) -> None:
+        """Guards against negative loans.
+
+        A peer returns more slots than it has borrowed, and slots of a customer
+        for which it has borrowed none.
+        """
+        vms = EntryVms('ab', {X: 100})
         vms.report('a', x=2)
         vms.now += CFG.min_backlog_age_s
         vms.report('a', x=2)
--- a/tests/process/test_listing.py
+++ b/tests/process/test_listing.py
@@ -27,7 +27,7 @@
     }
 
 
-def payload_of(revision, *vms):
+def encode_payload(revision, *vms):
     text = json.dumps({'revision': revision, 'vms': vms})
     return zlib.compress(text.encode())
 
@@ -43,10 +43,15 @@
 
 
 class ListFollowerTest(testtools.TestCase):
-    """Guards against a stale platform or a faulty peer reverting the list."""
+    """Guards against an outdated or malformed list replacing a newer one.
+
+    The platform may return an older list, and a peer may be faulty.
+    """
 
     @samples.with_platform
-    async def test_keeps_the_newest_list_through_lag_and_outage(self, client):
+    async def test_older_lists_and_outages_do_not_replace_the_list(
+        self, client
+    ):
         target = make_follower(client)
         revisions = []
         for control, document in (
@@ -62,34 +67,34 @@
             revisions.append(target.revision())
         self.assertThat(revisions, matchers.Equals([1, 1, 1, 1, 1, 2]))
 
-    def test_passes_its_list_to_a_peer(self):
+    def test_list_is_encoded_for_and_applied_by_a_peer(self):
         first, second = make_follower(), make_follower()
         vms = [
             vm_fields(state='leaving'),
             vm_fields('e-1', role='entry', host='fd00::1'),
         ]
-        first.offer(payload_of(4, *vms))
+        first.offer(encode_payload(4, *vms))
         second.offer(first.encode())
         self.assertThat(second.revision(), matchers.Equals(4))
         self.assertThat(second.encode(), matchers.Equals(first.encode()))
-        second.offer(payload_of(3))
+        second.offer(encode_payload(3))
         self.assertThat(second.state(now=0)['vms'], matchers.Equals(2))
 
-    def test_refuses_bad_payloads(self):
-        whole = payload_of(1, vm_fields())
-        huge = zlib.compress(bytes(listing.MAX_LIST_BYTES + 1))
+    def test_rejects_malformed_payloads(self):
+        valid = encode_payload(1, vm_fields())
+        oversized = zlib.compress(bytes(listing.MAX_LIST_BYTES + 1))
         for payload, expected in (
-            (b'', 'cut'),
-            (whole[:-9], 'cut'),
+            (b'', 'truncated'),
+            (valid[:-9], 'truncated'),
             (b'plain', 'not compressed'),
-            (huge, 'over its bound'),
+            (oversized, 'too large when decompressed'),
             (bytes(listing.MAX_PAYLOAD_BYTES + 1), 'bytes'),
-            (payload_of(1, vm_fields(), vm_fields()), 'the same name'),
-            (payload_of(1, vm_fields(host='db.example')), 'IP number'),
-            (payload_of(1, vm_fields(port=0)), 'vms.0.port'),
-            (payload_of(1, vm_fields(slots=True)), 'vms.0.slots'),
-            (payload_of(1, vm_fields(state='dead')), 'vms.0.state'),
-            (payload_of(-1), 'revision'),
+            (encode_payload(1, vm_fields(), vm_fields()), 'the same name'),
+            (encode_payload(1, vm_fields(host='db.example')), 'IP address'),
+            (encode_payload(1, vm_fields(port=0)), 'vms.0.port'),
+            (encode_payload(1, vm_fields(slots=True)), 'vms.0.slots'),
+            (encode_payload(1, vm_fields(state='dead')), 'vms.0.state'),
+            (encode_payload(-1), 'revision'),
         ):
             error = listing.decode(payload).unwrap_err()
             self.assertThat(error, matchers.Contains(expected))
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -28,12 +28,10 @@
 TIMEOUT_S = 60
 CUSTOMER = 'x'
 
-#: Heartbeat and peer timeouts keep their defaults, because a busy machine may
-#: stall a process; only tests of these timeouts shorten them.
+#: Heartbeat and peer timeouts have their defaults, because a process may stall
+#: on a busy machine. Only tests of these timeouts shorten them.
 CFG = peers.Config(takeover_grace_s=0.2, tick_s=0.01)
 NEVER_S = 10_000
-
-
 REPLIED = forwarding.Replied(payload=b'reply to ask')
 
 
@@ -47,7 +45,7 @@
 
 
 class Process:
-    """An entry process with its request handler and gossip."""
+    """Peers of an entry process, with a fake request handler and gossip."""
 
     def __init__(
         self,
@@ -68,7 +66,7 @@
         self.directory = directory.VmDirectory()
         self.metrics = metrics.Metrics()
         self.handled: list[bytes] = []
-        self.hold: asyncio.Event | None = None
+        self.reply_allowed: asyncio.Event | None = None
         self.version = 0
         self.peers = peers.Peers(
             clock=self.clock,
@@ -98,14 +96,14 @@
 
     async def handle(self, payload: bytes) -> bytes:
         self.handled.append(payload)
-        if self.hold:
-            await self.hold.wait()
+        if self.reply_allowed:
+            await self.reply_allowed.wait()
         return b'reply to ' + payload
 
     def offer_changes(self, payload: bytes) -> None:
         self.version = int(payload)
 
-    def free_for_backlog(self) -> int:
+    def free_endpoints_for_backlog(self) -> int:
         backlog = demand.CustomerDemand(
             customer=CUSTOMER, weight=1, waiting=200, running=0
         )
@@ -127,14 +125,14 @@
 
 
 async def eventually(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds; the test's timeout limits the wait."""
+    """Wait until a condition holds; limited by the timeout of ``running``."""
     while not condition():
         await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
 async def running(*processes: Process) -> AsyncIterator[dict[str, int]]:
-    """Start processes with a common VM list; yield their ports by name."""
+    """Start processes with the same VM list; yield their ports by name."""
     ports = {}
     try:
         async with asyncio.timeout(TIMEOUT_S):
@@ -152,79 +150,95 @@
         await asyncio.gather(*(process.peers.close() for process in processes))
 
 
-def owned(*processes: Process) -> list[str]:
+def owned_endpoints(*processes: Process) -> list[str]:
     """Return all endpoints that the processes own, with duplicates."""
     return sorted(
         endpoint for process in processes for endpoint in process.table.owned
     )
 
 
-def share_all(*processes: Process) -> Callable[[], bool]:
+def each_owned_once(*processes: Process) -> Callable[[], bool]:
     """Return a check that every endpoint has one owner among ``processes``."""
 
     def check() -> bool:
-        names = owned(*processes)
+        names = owned_endpoints(*processes)
         return len(names) == test_views.ENDPOINTS == len(set(names))
 
     return check
 
 
-def _zone(names: str = 'abc', **settings) -> list[Process]:
+def make_processes(names: str = 'abc', **settings) -> list[Process]:
     return [Process(name, 'z1', **settings) for name in names]
 
 
 class ZoneTest(testtools.TestCase):
-    """The processes of one zone divide its endpoints among them."""
+    """Guards against endpoints of a zone without an owner, or with two."""
 
     @test_peer.asynchronous
     async def test_slots_of_an_unreachable_process_are_taken_over(self) -> None:
-        one, two, three = _zone()
+        """Guards against idle endpoints after a process has failed.
+
+        Its streams are closed without Goodbye.
+        """
+        one, two, three = make_processes()
         async with running(one, two, three):
             counts: list[int] = []
             one.peers.live_vms.subscribe(counts.append)
-            await eventually(share_all(one, two, three))
+            await eventually(each_owned_once(one, two, three))
             await eventually(lambda: counts[-1] == 3)
             await three.peers.close()
-            await eventually(share_all(one, two))
+            await eventually(each_owned_once(one, two))
             await eventually(lambda: counts[-1] == 2)
 
     @test_peer.asynchronous
     async def test_goodbye_hands_over_slots_without_a_grace_period(
         self,
     ) -> None:
-        one, two, three = _zone()
+        """Guards against idle endpoints after an orderly shutdown.
+
+        The grace period of the other processes never ends in this test.
+        """
+        one, two, three = make_processes()
         async with running(one, two, three):
-            await eventually(share_all(one, two, three))
+            await eventually(each_owned_once(one, two, three))
             for process in (one, two):
                 process.peers._views._grace_s = NEVER_S
             await three.peers.leave()
-            self.assertEqual([], owned(three))
-            await eventually(share_all(one, two))
+            self.assertEqual([], owned_endpoints(three))
+            await eventually(each_owned_once(one, two))
             three.peers._streams.abort_all('streams may fail after Goodbye')
             await eventually(lambda: len(three.peer_names()) == 2)
             await three.peers.close()
-            await eventually(share_all(one, two))
+            await eventually(each_owned_once(one, two))
 
     @test_peer.asynchronous
     async def test_restart_under_the_same_address(self) -> None:
-        old, other = _zone('ab')
+        """Guards against forwards that reach another incarnation of a VM.
+
+        A process is restarted with the same name, host and port.
+        """
+        old, other = make_processes('ab')
         new = Process('a', 'z1', incarnation='2')
         async with running(old, other) as ports:
-            await eventually(share_all(old, other))
+            await eventually(each_owned_once(old, other))
             await old.peers.close()
             await new.peers.start(host=HOST, port=ports['a'])
             new.directory.offer(other.directory.newest)
-            await eventually(share_all(new, other))
+            await eventually(each_owned_once(new, other))
             self.assertEqual(forwarding.Gone(), await other.forward('a', '1'))
             self.assertEqual(REPLIED, await other.forward('a', '2'))
             await new.peers.close()
 
     @test_peer.asynchronous
     async def test_stalled_process_drops_its_slots(self) -> None:
-        one, two = _zone('ab')
+        """Guards against tasks on slots that were reassigned during a stall.
+
+        The clock of a process jumps by the peer timeout.
+        """
+        one, two = make_processes('ab')
         async with running(one, two):
-            await eventually(share_all(one, two))
-            endpoint = ids.EndpointId(owned(one)[0])
+            await eventually(each_owned_once(one, two))
+            endpoint = ids.EndpointId(owned_endpoints(one)[0])
             one.clock.shift = CFG.stream.peer_silent_s
             now = one.clock.now()
             self.assertIs(
@@ -234,32 +248,37 @@
                 ),
             )
             one.peers.tick(now)
-            self.assertEqual([], owned(one))
-            await eventually(share_all(one, two))
+            self.assertEqual([], owned_endpoints(one))
+            await eventually(each_owned_once(one, two))
 
     @test_peer.asynchronous
     async def test_both_sides_of_a_partition_serve(self) -> None:
+        """Guards against endpoints without an owner during a partition.
+
+        All streams are closed and new connections are refused.
+        """
         refused_ports: set[int] = set()
-        one, two = _zone('ab', refused_ports=refused_ports)
+        one, two = make_processes('ab', refused_ports=refused_ports)
         async with running(one, two) as ports:
-            await eventually(share_all(one, two))
+            await eventually(each_owned_once(one, two))
             refused_ports.update(ports.values())
             one.peers._streams.abort_all('reset by the test')
-            await eventually(share_all(one))
-            await eventually(share_all(two))
+            await eventually(each_owned_once(one))
+            await eventually(each_owned_once(two))
             refused_ports.clear()
-            await eventually(share_all(one, two))
+            await eventually(each_owned_once(one, two))
 
     @test_peer.asynchronous
     async def test_lends_idle_slots_across_zones(self) -> None:
+        """Guards against idle slots while tasks wait in another zone."""
         cfg = dataclasses.replace(
             CFG, stream=peers.streams.Config(heartbeat_s=0.1)
         )
         one, two = Process('a', 'z1', cfg=cfg), Process('b', 'z2', cfg=cfg)
         async with running(one, two):
-            await eventually(share_all(one, two))
+            await eventually(each_owned_once(one, two))
             await eventually(
-                lambda: one.free_for_backlog() == test_views.ENDPOINTS
+                lambda: one.free_endpoints_for_backlog() == test_views.ENDPOINTS
             )
             self.assertEqual(0, two.table.free_slots)
             counters = two.metrics.counters()
@@ -267,22 +286,30 @@
 
 
 class StreamsTest(testtools.TestCase):
-    """Streams are reopened after failures, and pending forwards are resent."""
+    """Guards against lost forwards and streams that stay closed."""
 
     @test_peer.asynchronous
     async def test_pending_forwards_are_resent_on_a_new_stream(self) -> None:
-        one, two = _zone('ab')
+        """Guards against forwards that are lost with their stream.
+
+        The stream is closed after the request and before the reply.
+        """
+        one, two = make_processes('ab')
         async with running(one, two):
-            two.hold = asyncio.Event()
+            two.reply_allowed = asyncio.Event()
             pending_reply = asyncio.create_task(one.forward('b', '1'))
             await eventually(lambda: two.handled)
             one.peers._streams.abort_all('reset by the test')
             await eventually(lambda: len(two.handled) == 2)
-            two.hold.set()
+            two.reply_allowed.set()
             self.assertEqual(REPLIED, await pending_reply)
 
     @test_peer.asynchronous
     async def test_opens_a_stream_for_a_forward(self) -> None:
+        """Guards against forwards that fail for VMs that are no neighbors.
+
+        Processes of different zones have no stream to each other.
+        """
         cfg = dataclasses.replace(CFG, cross_zone_peers=0)
         one, two = Process('a', 'z1', cfg=cfg), Process('b', 'z2', cfg=cfg)
         async with running(one, two):
@@ -291,7 +318,11 @@
 
     @test_peer.asynchronous
     async def test_unreachable_until_the_deadline(self) -> None:
-        one, two = _zone('ab')
+        """Guards against forwards that wait indefinitely.
+
+        One VM refuses all connections, and another is not in the VM list.
+        """
+        one, two = make_processes('ab')
         async with running(one, two) as ports:
             one.refused_ports.update(ports.values())
             two.refused_ports.update(ports.values())
@@ -302,7 +333,10 @@
 
     @test_peer.asynchronous
     async def test_garbled_stream_changes_nothing(self) -> None:
-        """Guards against handling a valid frame after a malformed one."""
+        """Guards against handling a valid frame after a malformed one.
+
+        A client sends Hello, malformed bytes and a valid request.
+        """
         one = Process('a', 'z1')
         hello = frames.Hello(
             vm='x', incarnation='1', zone='z9', version=0, revision=0
@@ -321,13 +355,13 @@
                 writer.close()
             self.assertEqual([], one.handled)
             await eventually(lambda: not one.peer_names())
-            self.assertEqual(test_views.ENDPOINTS, len(owned(one)))
+            self.assertEqual(test_views.ENDPOINTS, len(owned_endpoints(one)))
 
     @test_peer.asynchronous
     async def test_unresponsive_stream_is_closed_and_reopened(self) -> None:
-        """Guards against a stream to a hung peer that stays open.
+        """Guards against a stream to an unresponsive peer that stays open.
 
-        The peer sends only Hello on every stream.
+        The peer sends Hello on each stream, and no other frame.
         """
         cfg = dataclasses.replace(
             CFG, stream=peers.streams.Config(heartbeat_s=0.1, peer_silent_s=0.3)
@@ -337,7 +371,7 @@
 
         async def accept(reader, writer) -> None:
             received.append('stream')
-            hello = dataclasses.replace(one.peers._hello(), vm='b')
+            hello = dataclasses.replace(one.peers._make_hello(), vm='b')
             writer.write(frames.encode(hello).unwrap())
             with contextlib.suppress(OSError):
                 await reader.read()
@@ -355,6 +389,10 @@
 
     @test_peer.asynchronous
     async def test_newer_versions_spread(self) -> None:
+        """Guards against processes that keep an outdated configuration.
+
+        One process of six in three zones has a newer version.
+        """
         processes = [
             Process(f'v{index}', f'z{index % 3}') for index in range(6)
         ]
--- a/tests/process/test_platform_http.py
+++ b/tests/process/test_platform_http.py
@@ -1,4 +1,4 @@
-"""Tests of the platform client, and of the kinds of its errors."""
+"""Tests of the platform client and of its error kinds."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 _WRITE = store.Write(key='a', body=b'1')
 
 
-def http_answer(body, status='200 OK', length=None):
+def http_response(body, status='200 OK', length=None):
     size = len(body) if length is None else length
     return (
         f'HTTP/1.1 {status}\r\nContent-Length: {size}\r\n\r\n'.encode() + body
@@ -28,7 +28,7 @@
 
 
 def page(rows, more=False):
-    return http_answer(json.dumps({'rows': rows, 'more': more}).encode())
+    return http_response(json.dumps({'rows': rows, 'more': more}).encode())
 
 
 def row(key, body='MQ==', revision=1):
@@ -42,18 +42,18 @@
 list_vms = operator.methodcaller('list_vms')
 
 
-async def error_kind(answer, call, timeout_s=20):
-    """Return the kind of the error when the platform sends ``answer``.
+async def error_kind(response, call, timeout_s=20):
+    """Return the kind of the error when the platform sends ``response``.
 
-    If ``answer`` is None, the platform does not respond at all.
+    If ``response`` is None, the platform does not respond at all.
     """
     finished = asyncio.Event()
 
     async def serve(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
-        if answer is None:
+        if response is None:
             await finished.wait()
-        writer.write(answer or b'')
+        writer.write(response or b'')
         writer.close()
 
     server = await asyncio.start_server(serve, '127.0.0.1', 0)
@@ -68,64 +68,69 @@
 
 
 class ErrorKindTest(testtools.TestCase):
-    """Guards against a write reported as without effect that may have one."""
+    """Guards against reporting that a write had no effect if it may have one.
 
-    def expect(self, kind, call, *answers, **options):
-        for answer in answers:
-            actual = asyncio.run(error_kind(answer, call, **options))
-            self.assertThat((answer, actual), matchers.Equals((answer, kind)))
+    The caller would repeat the write.
+    """
+
+    def expect(self, kind, call, *responses, **options):
+        for response in responses:
+            actual = asyncio.run(error_kind(response, call, **options))
+            self.assertThat(
+                (response, actual), matchers.Equals((response, kind))
+            )
 
     def test_refused_connections_had_no_effect(self):
-        async def act(client):
+        async def call_all(client):
             return [
                 (await call(client)).unwrap_err().kind
                 for call in (read, write, put, get, list_vms)
             ]
 
         unreachable = platform_thread.RunningPlatform(port=1)
-        kinds = samples.with_client(unreachable, act)
+        kinds = samples.with_client(unreachable, call_all)
         self.assertThat(set(kinds), matchers.Equals({UNAVAILABLE}))
 
-    def test_a_write_without_a_whole_answer_may_have_taken_effect(self):
+    def test_write_without_a_complete_response_may_have_taken_effect(self):
         for call in (write, put):
             self.expect(
                 UNKNOWN,
                 call,
                 b'',
                 b'nonsense\r\n\r\n',
-                http_answer(b'{}', length=5),
-                http_answer(b'', '302 Found'),
-                http_answer(b'', '500 Internal Server Error'),
-                http_answer(b'', '503 Service Unavailable'),
+                http_response(b'{}', length=5),
+                http_response(b'', '302 Found'),
+                http_response(b'', '500 Internal Server Error'),
+                http_response(b'', '503 Service Unavailable'),
             )
             self.expect(UNKNOWN, call, None, timeout_s=1)
 
-    def test_a_write_refused_by_its_status_had_no_effect(self):
+    def test_write_rejected_by_its_status_had_no_effect(self):
         for status, kind in (
             ('409 Conflict', CONFLICT),
             ('429 Too Many Requests', UNAVAILABLE),
             ('400 Bad Request', INVALID),
         ):
-            self.expect(kind, write, http_answer(b'', status))
+            self.expect(kind, write, http_response(b'', status))
 
-    def test_reads_distinguish_an_outage_from_a_malformed_answer(self):
+    def test_reads_distinguish_an_outage_from_a_malformed_response(self):
         self.expect(
             UNAVAILABLE,
             read,
             b'',
-            http_answer(b'', '503 Service Unavailable'),
-            http_answer(b'', '429 Too Many Requests'),
+            http_response(b'', '503 Service Unavailable'),
+            http_response(b'', '429 Too Many Requests'),
         )
         self.expect(UNAVAILABLE, read, None, timeout_s=1)
         self.expect(
             INVALID,
             read,
             b'nonsense\r\n\r\n',
-            http_answer(b'{}', length=5),
-            http_answer(b'{}', '302 Found'),
-            http_answer(b'{}'),
-            http_answer(b'\xff'),
-            http_answer(b' ' * (platform_http.MAX_PAGE_BYTES + 1)),
+            http_response(b'{}', length=5),
+            http_response(b'{}', '302 Found'),
+            http_response(b'{}'),
+            http_response(b'\xff'),
+            http_response(b' ' * (platform_http.MAX_PAGE_BYTES + 1)),
             page([row('b')]),
             page([row('a2'), row('a1')]),
             page([row('a', body='?')]),
@@ -138,16 +143,19 @@
         self.expect(
             INVALID,
             list_vms,
-            http_answer(b'{"revision": 1}'),
-            http_answer(b'{"revision": true, "vms": []}'),
-            http_answer(b'', '304 Not Modified'),
+            http_response(b'{"revision": 1}'),
+            http_response(b'{"revision": true, "vms": []}'),
+            http_response(b'', '304 Not Modified'),
         )
         size = platform_http.MAX_OBJECT_BYTES + 1
-        self.expect(INVALID, get, http_answer(b' ' * size))
+        self.expect(INVALID, get, http_response(b' ' * size))
 
 
 class RoundTripTest(testtools.TestCase):
-    """The client reads back what it wrote to the platform stand-in."""
+    """Guards against rows, objects and lists that change on the way.
+
+    The client writes to the platform stand-in and reads back.
+    """
 
     @samples.with_platform
     async def test_reads_pages_in_order_and_after_a_key(self, client):
@@ -159,11 +167,11 @@
             )
             written.unwrap()
         rows = (await client.read_rows('a/')).unwrap()
-        rest = (await client.read_rows('a/', after='a/1')).unwrap()
-        other = (await client.read_rows('b', strict=True)).unwrap()
-        keys = [returned.key for returned in rows + rest]
+        rows_after_key = (await client.read_rows('a/', after='a/1')).unwrap()
+        strict_rows = (await client.read_rows('b', strict=True)).unwrap()
+        keys = [row.key for row in rows + rows_after_key]
         self.assertThat(keys, matchers.Equals(['a/0', 'a/1', 'a/2', 'a/2']))
-        self.assertThat(other[0].revision, matchers.Equals(3))
+        self.assertThat(strict_rows[0].revision, matchers.Equals(3))
 
     @samples.with_platform
     async def test_objects_and_unchanged_lists(self, client):
--- a/tests/process/test_settings.py
+++ b/tests/process/test_settings.py
@@ -23,7 +23,7 @@
 
 
 class SettingsTest(testtools.TestCase):
-    """Guards against a start with invalid settings."""
+    """Guards against a start with invalid settings, and unclear errors."""
 
     def test_accepts_valid_settings(self) -> None:
         self.assertThat(parse_with().unwrap().vm, matchers.Equals('entry-1'))
@@ -35,7 +35,7 @@
             ({'size': 0}, 'size: Input should be greater than or equal to 1'),
             (
                 {'platform': {'host': 'platform.local', 'port': 1}},
-                'platform.host: expected an IP number, not a host name',
+                'platform.host: expected an IP address, not a host name',
             ),
             ({'callers': {'host': '127.0.0.1'}}, 'callers.port: this key is'),
             (
@@ -59,7 +59,7 @@
             self.assertThat(errors, matchers.HasLength(1))
             self.assertThat(errors[0], matchers.StartsWith(expected))
 
-    def test_refuses_nan(self) -> None:
+    def test_rejects_nan(self) -> None:
         text = json.dumps({**VALID, 'shutdown': {'notice_s': float('nan')}})
         errors = settings.parse(text).unwrap_err()
         self.assertThat(errors[0], matchers.Contains('NaN'))
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -1,4 +1,4 @@
-"""Slot table, and division of concurrency limits."""
+"""Tests of the slot table and of the division of concurrency limits."""
 
 import hypothesis
 import testtools
@@ -33,13 +33,19 @@
         return set(self.table.free_endpoints(customer=customer, now=0))
 
     def test_acquires_each_slot_once(self) -> None:
-        """Guards against two tasks on one slot."""
+        """Guards against two tasks on one slot.
+
+        A third task is started at an endpoint with two slots.
+        """
         tickets = [self.acquire(E1), self.acquire(E1), self.acquire(E1)]
         self.assertIs(None, tickets[2])
         self.assertEqual({E2}, self.free_endpoints())
 
     def test_second_release_frees_nothing(self) -> None:
-        """Guards against a second release that frees another task's slot."""
+        """Guards against a second release that frees another task's slot.
+
+        Two tasks run at an endpoint, and the slot of one is released twice.
+        """
         ticket = self.acquire(E1)
         self.acquire(E1)
         for _ in range(2):
@@ -47,7 +53,11 @@
         self.assertEqual(2, self.table.free_slots)
 
     def test_limits_each_customer(self) -> None:
-        """Guards against exceeding a limit, and use of slots without one."""
+        """Guards against exceeding a limit, and against use without a limit.
+
+        One customer has a limit of one slot; the other is not in the limits
+        until later.
+        """
         self.table.set_concurrency_limits({X: 1})
         self.assertIsNot(None, self.acquire(E1))
         self.assertEqual(0, len(self.free_endpoints(X)))
@@ -57,17 +67,20 @@
         self.assertEqual({E1, E2}, self.free_endpoints(Y))
 
     def test_loans_count_against_the_limit(self) -> None:
-        """Guards against exceeding a limit by lending slots."""
+        """Guards against exceeding a limit by lending slots.
+
+        One of two slots of the limit is in use when five are to be lent.
+        """
         self.table.set_concurrency_limits({X: 2})
         self.acquire(E1)
         self.assertEqual(1, sum(self.table.lend(X, 5).values()))
         self.assertIs(None, self.acquire(E2))
 
     def test_slot_released_in_use_is_still_used_when_owned_again(self) -> None:
-        """Guards against use counts that are lost with the ownership.
+        """Guards against usage counts that are lost with the ownership.
 
-        A view removes an endpoint with a running task and a later view
-        returns it.
+        A view removes an endpoint with a running task, and a later view adds
+        it again.
         """
         ticket = self.acquire(E2)
         self.table.set_owned({E1: 2})
@@ -77,7 +90,10 @@
         self.assertEqual({E1, E2}, self.free_endpoints())
 
     def test_starts_nothing_after_the_ownership_has_expired(self) -> None:
-        """Guards against use of slots that another VM may own by now."""
+        """Guards against use of slots that another VM may own.
+
+        The ownership was not extended in time.
+        """
         self.table.set_valid_until(0)
         self.assertEqual(0, len(self.free_endpoints()))
         self.assertIs(None, self.acquire(E1))
@@ -95,7 +111,7 @@
         self.table.set_owned({})
         lent = 'e3'
         self.table.borrowed.extend_lease('b', 1)
-        self.table.borrowed.add(lender='b', lots=[(X, lent, 1)], now=0)
+        self.table.borrowed.add(lender='b', allocations=[(X, lent, 1)], now=0)
         self.assertEqual(0, len(self.free_endpoints(Y)))
         self.assertEqual({lent}, self.free_endpoints(X))
         ticket = self.acquire(lent)
@@ -154,7 +170,7 @@
         self.assertEqual(limit, sum(shares))
 
     def test_assigns_by_size_and_moves_few_keys(self) -> None:
-        """Guards against needless moves of endpoints when a VM disappears.
+        """Guards against needless moves of endpoints when a VM is removed.
 
         Only the keys of the removed VM get another owner.
         """
--- a/tests/process/test_views.py
+++ b/tests/process/test_views.py
@@ -1,4 +1,4 @@
-"""Membership views, and the ownership of slots that follows from them."""
+"""Tests of membership views and of the slot ownership derived from them."""
 
 import collections
 import dataclasses
@@ -151,8 +151,9 @@
     ) -> None:
         """Guards against two owners of an endpoint.
 
-        Members get different VM lists, stall, and receive announcements late
-        in any order.
+        In any order, members get a different VM list (l), drop their slots
+        after a stall (f), update their view (t) or receive an announcement
+        (d).
         """
         zone = _confirmed_zone()
         names = strategies.sampled_from('abc')
@@ -179,8 +180,8 @@
     def test_announcements_in_transit_confirm_nothing(self) -> None:
         """Guards against two owners after outdated confirmations.
 
-        A returns to its previous view before it receives the announcements by
-        which B and C have left that view.
+        A returns to its previous view before it receives the announcements of
+        the newer view of B and C.
         """
         zone = _confirmed_zone()
         zone.set_listing(2, 'ab', 'abc')
@@ -207,9 +208,9 @@
         self.assert_all_owned(zone, 'a')
 
     def test_unreachable_member_is_replaced_after_the_grace(self) -> None:
-        """Guards against endpoints without owner, and against two owners.
+        """Guards against endpoints without an owner, and against two owners.
 
-        A lost member may still use its slots during the grace period.
+        A member without streams may use its slots during the grace period.
         """
         zone = _confirmed_zone()
         owned_before = zone.owned('a')
@@ -226,7 +227,10 @@
         self.assertEqual(12, len(endpoints))
 
     def test_endpoints_of_a_leaving_member_move_without_the_grace(self) -> None:
-        """Guards against idle endpoints after an orderly shutdown."""
+        """Guards against idle endpoints after an orderly shutdown.
+
+        The leaving member sends Goodbye before its streams are closed.
+        """
         zone = _confirmed_zone()
         zone.ownerships['c'].leave()
         for other in 'ab':
@@ -240,7 +244,7 @@
         self.assert_all_owned(zone, 'ab')
 
     def test_stalled_member_owns_nothing_until_confirmed_again(self) -> None:
-        """Guards against use of slots that moved while a member stalled."""
+        """Guards against use of slots that were reassigned during a stall."""
         zone = _confirmed_zone()
         before = zone.owned('b')
         zone.ownerships['b'].drop_owned()
@@ -253,9 +257,9 @@
         self.assertEqual(before, zone.owned('b'))
 
     def test_both_sides_of_a_partition_own_all_endpoints(self) -> None:
-        """Guards against endpoints without owner during a partition.
+        """Guards against endpoints without an owner during a partition.
 
-        After the partition, every endpoint has one owner again.
+        After the partition, each endpoint has one owner again.
         """
         zone = _confirmed_zone()
         for other in 'ab':
@@ -274,7 +278,10 @@
         self.assertEqual(12, len(zone.owned('a') | zone.owned('b')))
 
     def test_waits_for_tasks_on_slots_that_move(self) -> None:
-        """Guards against a new owner that uses a slot with a running task."""
+        """Guards against a new owner that uses a slot with a running task.
+
+        The previous owner is no longer listed while tasks run on all its slots.
+        """
         zone = _confirmed_zone('ab')
         table = zone.tables['a']
         tickets = [
