--- a/sardineproxy/background.py
+++ b/sardineproxy/background.py
@@ -23,7 +23,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._end)
 
-    def abandon(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel all tasks without waiting for their end."""
         for task in self._tasks:
             task.cancel()
@@ -31,7 +31,7 @@
     async def close(self) -> None:
         """Cancel all tasks and wait for their end."""
         tasks = list(self._tasks)
-        self.abandon()
+        self.cancel_all()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _end(self, task: asyncio.Task[None]) -> None:
--- a/sardineproxy/bench/slopes_start.py
+++ b/sardineproxy/bench/slopes_start.py
@@ -80,7 +80,7 @@
     }
     applied = await applying.apply(
         store,
-        applying.Wanted(
+        applying.ApplyRequest(
             documents=wanted,
             base=base,
             operator='operator',
--- a/sardineproxy/connection/caller_connection.py
+++ b/sardineproxy/connection/caller_connection.py
@@ -55,7 +55,7 @@
     status=400,
     detail='The request is not well-formed HTTP/1.1.',
 )
-_REPEATED_HEADER = problems.doubt(
+_REPEATED_HEADER = problems.outcome_unknown(
     code='repeated_header',
     status=400,
     detail=f'Only one each is allowed of {", ".join(SINGLE_HEADERS)}.',
@@ -65,7 +65,7 @@
     status=415,
     detail='Content-Encoding is not supported.',
 )
-_INTERNAL_ERROR = problems.doubt(
+_INTERNAL_ERROR = problems.outcome_unknown(
     code='internal_error',
     status=500,
     detail='The request failed inside this VM.',
--- a/sardineproxy/connection/endpoint.py
+++ b/sardineproxy/connection/endpoint.py
@@ -374,7 +374,7 @@
     )
     return ResponseLost(
         endpoint=ids.EndpointId(vm.name),
-        problem=problems.doubt(
+        problem=problems.outcome_unknown(
             code='no_whole_answer',
             status=504 if isinstance(exc, TimeoutError) else 502,
             detail=f'Endpoint {vm.name} gave no whole answer ({cause}).',
--- a/sardineproxy/deployment.py
+++ b/sardineproxy/deployment.py
@@ -25,16 +25,16 @@
     lease_s: float
 
     #: Longest time that a worker takes to stop a run.
-    stop_s: float
+    stop_timeout_s: float
 
     #: Time from SIGTERM to SIGKILL.
-    grace_s: float
+    shutdown_grace_s: float
 
     #: Time within which a configuration version must be in force.
-    version_s: float
+    config_apply_s: float
 
     #: Time for which the state of a stored job is asked for after its end.
-    states_s: float
+    status_retention_s: float
 
     #: A task takes this many times as long on racks without its data; no
     #: time.
@@ -52,13 +52,13 @@
     zones: tuple[ids.ZoneId, ...]
 
     #: Listener for clients.
-    front: Address
+    client_listener: Address
 
     #: Listener for the balancer's readiness checks.
-    ready: Address
+    readiness_listener: Address
 
     #: Listener for other entry VMs.
-    peers: Address
+    peer_listener: Address
 
     #: Peer listeners that may answer while the store cannot be read.
     seeds: tuple[Address, ...]
--- a/sardineproxy/operator/applying.py
+++ b/sardineproxy/operator/applying.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Wanted:
+class ApplyRequest:
     """What one run of ``apply`` asks for."""
 
     documents: versions.Documents
@@ -90,7 +90,7 @@
     return _invalid('the newest version changes faster than it can be read')
 
 
-async def apply(client: platform.Platform, wanted: Wanted) -> Applying:
+async def apply(client: platform.Platform, wanted: ApplyRequest) -> Applying:
     """Make version ``base + 1`` if the newest version is ``base``."""
     newest = await read_newest(client)
     if isinstance(newest, result.Err):
@@ -138,7 +138,7 @@
 
 
 async def _write(
-    client: platform.Platform, wanted: Wanted, newest: Newest
+    client: platform.Platform, wanted: ApplyRequest, newest: Newest
 ) -> result.Result[versions.Head, store.StoreError]:
     head = versions.Head(
         number=ids.VersionNumber(wanted.base + 1),
@@ -200,7 +200,7 @@
 
 
 async def _judge(
-    client: platform.Platform, wanted: Wanted, newest: Newest
+    client: platform.Platform, wanted: ApplyRequest, newest: Newest
 ) -> Applying:
     """Tell an earlier run of the same apply from another operator's."""
     head = newest.head
--- a/sardineproxy/operator/commands.py
+++ b/sardineproxy/operator/commands.py
@@ -78,7 +78,7 @@
     if documents is None:
         return _Status.INVALID_INPUT
     assert opts.base is not None and opts.operator is not None
-    wanted = applying.Wanted(
+    wanted = applying.ApplyRequest(
         documents=documents,
         base=opts.base,
         operator=opts.operator,
@@ -145,7 +145,7 @@
 
 def _tell(
     env: environment.Environment,
-    wanted: applying.Wanted,
+    wanted: applying.ApplyRequest,
     outcome: applying.Outcome,
 ) -> _Status:
     match outcome:
@@ -169,7 +169,7 @@
     return _Status.SUCCESS
 
 
-def _lost_line(wanted: applying.Wanted, lost: applying.Lost) -> str:
+def _lost_line(wanted: applying.ApplyRequest, lost: applying.Lost) -> str:
     newest = f'{lost.newest.operator} made version {lost.newest.number}'
     if lost.was_wanted:
         return (
--- a/sardineproxy/platform/client_http.py
+++ b/sardineproxy/platform/client_http.py
@@ -34,7 +34,7 @@
     """What the front needs of its process."""
 
     @property
-    def table(self) -> routes.RoutingTable | None:
+    def routing_table(self) -> routes.RoutingTable | None:
         """Return the routes in force."""
 
     @property
@@ -125,7 +125,7 @@
         return response
 
     async def _answer(self, req: web.BaseRequest) -> submissions.Reply:
-        table = self._request_handler.table
+        table = self._request_handler.routing_table
         if table is None:
             self._log(req, 'Refused, no configuration yet.')
             return submissions.make_refusal(RETRY_AFTER_S)
--- a/sardineproxy/platform/configuration.py
+++ b/sardineproxy/platform/configuration.py
@@ -11,7 +11,7 @@
 
 #: Table of what the operator writes, and the row of the newest version.
 TABLE = 'op'
-ROW = 'op/config'
+ROW_KEY = 'op/config'
 
 _MS_PER_S = 1000
 
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -52,9 +52,11 @@
         vm=ids.VmId(fields.get_string(document, 'node')),
         zone=ids.ZoneId(fields.get_string(document, 'zone')),
         zones=tuple(map(ids.ZoneId, fields.get_object(document, 'zones'))),
-        front=fields.parse_address(fields.get_string(listeners, 'front')),
-        ready=ready,
-        peers=_peer_listener(document, listeners, ready.host),
+        client_listener=fields.parse_address(
+            fields.get_string(listeners, 'front')
+        ),
+        readiness_listener=ready,
+        peer_listener=_peer_listener(document, listeners, ready.host),
         seeds=_seeds(document),
         store=fields.parse_address(fields.get_string(store, 'address')),
         bounds=_bounds(fields.get_object(document, 'bounds')),
@@ -86,9 +88,13 @@
 def _bounds(document: Mapping[str, Any]) -> deployment.Bounds:
     return deployment.Bounds(
         lease_s=fields.get_number(document, 'max_hold_ms') / _MS_PER_S,
-        stop_s=fields.get_number(document, 'stop_timeout_ms') / _MS_PER_S,
-        grace_s=fields.get_number(document, 'grace_s'),
-        version_s=fields.get_number(document, 'config_apply_ms') / _MS_PER_S,
-        states_s=fields.get_number(document, 'status_s', DEFAULT_STATUS_S),
+        stop_timeout_s=fields.get_number(document, 'stop_timeout_ms')
+        / _MS_PER_S,
+        shutdown_grace_s=fields.get_number(document, 'grace_s'),
+        config_apply_s=fields.get_number(document, 'config_apply_ms')
+        / _MS_PER_S,
+        status_retention_s=fields.get_number(
+            document, 'status_s', DEFAULT_STATUS_S
+        ),
         distance_factor=fields.get_number(document, 'remote_factor', 1),
     )
--- a/sardineproxy/platform/worker_entries.py
+++ b/sardineproxy/platform/worker_entries.py
@@ -20,7 +20,7 @@
 }
 
 
-def worker_id(row: store.Row) -> ids.WorkerId:
+def parse_worker_id(row: store.Row) -> ids.WorkerId:
     """Return whose entry a row of the table is."""
     return ids.WorkerId(row.key.partition('/')[2])
 
@@ -34,7 +34,7 @@
     if not isinstance(document, dict):
         return result.Err(f'entry {row.key}: not a JSON object')
     try:
-        return result.Ok(_to_worker(worker_id(row), document))
+        return result.Ok(_to_worker(parse_worker_id(row), document))
     except (fields.FormatError, KeyError) as exc:
         return result.Err(f'entry {row.key}: {exc}')
 
--- a/sardineproxy/problems.py
+++ b/sardineproxy/problems.py
@@ -47,7 +47,7 @@
     )
 
 
-def doubt(
+def outcome_unknown(
     *,
     code: str,
     status: int,
--- a/sardineproxy/process/node/dependencies.py
+++ b/sardineproxy/process/node/dependencies.py
@@ -47,7 +47,7 @@
     shard: ids.ShardId,
     writer: fenced_rows.Writer,
     router: execution.Router,
-    states_s: float,
+    status_retention_s: float,
 ) -> job_manager.JobManager:
     """Return a stored-job manager for a shard that this process leads."""
     return job_manager.JobManager(
@@ -62,5 +62,5 @@
         router=router,
         clock=dependencies.clock,
         metrics=dependencies.metrics,
-        retention_s=states_s,
+        retention_s=status_retention_s,
     )
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -104,7 +104,7 @@
             vm=cfg.vm,
             incarnation=self.identity.incarnation,
             zone=cfg.zone,
-            address=cfg.peers,
+            address=cfg.peer_listener,
             cores=cfg.cores,
         )
         self._dependencies = dependencies
@@ -133,7 +133,7 @@
         )
         self._feeds = feeds.Feeds(
             configuration_table=dependencies.formats.configuration_table,
-            max_config_delay_s=cfg.bounds.version_s,
+            max_config_delay_s=cfg.bounds.config_apply_s,
             worker_table=dependencies.formats.worker_table,
             source=dependencies.store,
             handler=self,
@@ -154,7 +154,7 @@
 
     async def start(self) -> None:
         """Open the listener for links and start the background tasks."""
-        await self.links.start(self.cfg.peers)
+        await self.links.start(self.cfg.peer_listener)
         self._update_links()
         self._ticked_at = self._clock.now()
         for coroutine in self._feeds.coroutines(self.member):
@@ -490,7 +490,7 @@
                 token=token, incarnation=self.identity.incarnation
             ),
             router=self,
-            states_s=self.cfg.bounds.states_s,
+            status_retention_s=self.cfg.bounds.status_retention_s,
         )
 
     def _update_links(self) -> None:
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -40,7 +40,7 @@
             lease_s=lease_s,
             look_wait_s=min(calls.look_wait_s, POLL_WAIT_SHARE * lease_s),
             stop_retry_s=max(
-                calls.stop_retry_s, STOP_RETRY_FACTOR * bounds.stop_s
+                calls.stop_retry_s, STOP_RETRY_FACTOR * bounds.stop_timeout_s
             ),
         )
         return dataclasses.replace(
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -87,8 +87,8 @@
                 'vm': self._cfg.vm,
                 'zone': self._cfg.zone,
                 'incarnation': self._node.identity.incarnation,
-                'front': str(self._cfg.front),
-                'peers': str(self._cfg.peers),
+                'front': str(self._cfg.client_listener),
+                'peers': str(self._cfg.peer_listener),
             },
         )
         return result.Ok(None)
@@ -125,7 +125,9 @@
 
     async def _open(self) -> None:
         await self._node.start()
-        await self._front.start(self._cfg.front, self._cfg.ready)
+        await self._front.start(
+            self._cfg.client_listener, self._cfg.readiness_listener
+        )
         if self._metrics_port is None:
             return
         self._admin = web.AppRunner(
@@ -134,7 +136,7 @@
         )
         await self._admin.setup()
         await web.TCPSite(
-            self._admin, self._cfg.ready.host, self._metrics_port
+            self._admin, self._cfg.readiness_listener.host, self._metrics_port
         ).start()
 
     async def _drain(self) -> None:
@@ -144,7 +146,9 @@
         """
         started_at = self._clock.now()
         _LOG.info('Stopping.', extra={'requests': self._front.active_requests})
-        deadline = started_at + self._cfg.bounds.grace_s - CLOSE_RESERVE_S
+        deadline = (
+            started_at + self._cfg.bounds.shutdown_grace_s - CLOSE_RESERVE_S
+        )
         self._node.drain(shutdown_at=deadline)
         while self._clock.now() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
@@ -164,7 +168,7 @@
         self._node = served
 
     @property
-    def table(self) -> routes.RoutingTable | None:
+    def routing_table(self) -> routes.RoutingTable | None:
         """Return the routes of the version in force."""
         return self._node.versions.table
 
@@ -208,9 +212,9 @@
     """Return the table names and row decoders of the platform."""
     return dependencies.RowFormats(
         configuration_table=configuration.TABLE,
-        configuration_row=configuration.ROW,
+        configuration_row=configuration.ROW_KEY,
         worker_table=worker_entries.TABLE,
         decode_configuration=configuration.decode,
-        worker_id=worker_entries.worker_id,
+        worker_id=worker_entries.parse_worker_id,
         decode_worker=worker_entries.decode,
     )
--- a/sardineproxy/process/shards/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -117,7 +117,7 @@
 
     def abandon(self) -> None:
         """Stop all calls without waiting for their end."""
-        self._tasks.abandon()
+        self._tasks.cancel_all()
 
     @property
     def fence(self) -> int:
--- a/sardineproxy/request/executions.py
+++ b/sardineproxy/request/executions.py
@@ -238,7 +238,7 @@
 
 
 def _internal_error() -> problems.Problem:
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='internal_error',
         status=500,
         detail='The dispatcher failed while it ran the request.',
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -132,7 +132,7 @@
 
 def expired() -> problems.Problem:
     """Return the answer to a key whose record may have been dropped."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='key_expired',
         status=410,
         detail='The key has expired and never starts work again.',
@@ -145,7 +145,7 @@
     The verdict is that of the key: the caller may have serialized the same
     work differently and must not conclude that it did not run.
     """
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='key_reused',
         status=422,
         detail=(
@@ -157,7 +157,7 @@
 
 def not_submitted() -> problems.Problem:
     """Return the status of a key without a submission so far."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='not_submitted',
         status=404,
         detail=(
@@ -170,7 +170,7 @@
 
 def issuer_gone() -> problems.Problem:
     """Return the answer to a key whose incarnation has ended."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='minter_gone',
         status=410,
         detail='The process that minted the key has ended.',
@@ -179,7 +179,7 @@
 
 def issuer_unreachable() -> problems.Problem:
     """Return the answer to a key whose issuer could not be reached."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='minter_unreachable',
         status=503,
         detail='The process that minted the key cannot be reached now.',
@@ -190,7 +190,7 @@
 
 def too_large_to_forward() -> problems.Problem:
     """Return the refusal of a submission too large for a peer message."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='too_large_to_forward',
         status=413,
         detail='Submit this body at the VM that minted the key.',
@@ -200,7 +200,7 @@
 
 def malformed_forward() -> problems.Problem:
     """Return the answer to a forwarded request that could not be decoded."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='malformed_forward',
         status=502,
         detail='The process that minted the key could not read the forward.',
--- a/tests/operator/test_applying.py
+++ b/tests/operator/test_applying.py
@@ -81,7 +81,7 @@
     async def test_no_version_is_made_before_its_snapshot(self, client):
         for base in range(63):
             await samples.apply(client, base, acme=base + 1)
-        wanted = applying.Wanted(
+        wanted = applying.ApplyRequest(
             documents={}, base=63, operator='ann', apply_id='1'
         )
         failed = await applying.apply(NoObjects(client, None), wanted)
--- a/tests/platform/store_server.py
+++ b/tests/platform/store_server.py
@@ -41,7 +41,7 @@
         self.fault = Fault.NONE
 
         #: Share of the calls that the trouble hits.
-        self.share: float = 1
+        self.fault_probability: float = 1
         self.delay_s: float = 0
         self.calls: list[str] = []
 
@@ -60,7 +60,7 @@
         self.calls.append(req.path)
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        is_hit = self.rng.random() < self.share
+        is_hit = self.rng.random() < self.fault_probability
         fault = self.fault if is_hit else Fault.NONE
         match fault:
             case Fault.BUSY:
--- a/tests/platform/test_client_http.py
+++ b/tests/platform/test_client_http.py
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         body = samples.configuration(7)
-        self.table: routes.RoutingTable | None = configuration.decode(
+        self.routing_table: routes.RoutingTable | None = configuration.decode(
             body
         ).unwrap()
         self.draining = False
@@ -161,7 +161,7 @@
             self.assertEqual(
                 503, (await rig.call('POST', JOB, samples.job()))[0]
             )
-            rig.table = None
+            rig.routing_table = None
             self.assertEqual(503, (await rig.call('GET', '/jobs/'))[0])
             self.assertEqual([], rig.waits)
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -58,9 +58,9 @@
         cfg = settings.decode(samples.SETTINGS.encode()).ok_value
         self.assertEqual(('z1', 'z2'), cfg.zones)
         self.assertEqual(1, cfg.cores)
-        self.assertEqual(2, cfg.bounds.version_s)
-        self.assertEqual(0.05, cfg.bounds.stop_s)
-        self.assertEqual('127.0.0.1:8166', str(cfg.peers))
+        self.assertEqual(2, cfg.bounds.config_apply_s)
+        self.assertEqual(0.05, cfg.bounds.stop_timeout_s)
+        self.assertEqual('127.0.0.1:8166', str(cfg.peer_listener))
 
     def test_missing_field_is_named(self) -> None:
         """Guards against an error that does not say what to mend."""
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -154,7 +154,7 @@
         """Guards against room that stays taken by what cannot run."""
 
         async def scenario(rig: Rig) -> None:
-            rig.server.move(1)
+            rig.server.set_address(1)
             answer = await rig.stop()
             self.assertTrue(answer.unsent)
 
--- a/tests/platform/worker_server.py
+++ b/tests/platform/worker_server.py
@@ -46,10 +46,10 @@
             web.Server(self.handle, access_log=None), host, 0
         )
         port: int = server.sockets[0].getsockname()[1]
-        self.move(port, host)
+        self.set_address(port, host)
         return port
 
-    def move(self, port: int, host: str = '127.0.0.1') -> None:
+    def set_address(self, port: int, host: str = '127.0.0.1') -> None:
         """List another address, such as that of a relay."""
         self.model.worker = dataclasses.replace(
             self.model.worker, address=deployment.Address(host=host, port=port)
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -19,7 +19,7 @@
 
 def make_list() -> worker_list.WorkerList:
     return worker_list.WorkerList(
-        worker_id=worker_entries.worker_id, decode=worker_entries.decode
+        worker_id=worker_entries.parse_worker_id, decode=worker_entries.decode
     )
 
 
--- a/tests/process/node/test_policy.py
+++ b/tests/process/node/test_policy.py
@@ -58,7 +58,7 @@
     def test_slow_stops_are_not_retried_early(self) -> None:
         """Guards against sending a stop again while the first is pending."""
         bounds = dataclasses.replace(
-            samples.make_deployment().bounds, stop_s=0.5
+            samples.make_deployment().bounds, stop_timeout_s=0.5
         )
         calls = policy.Policy().fit(bounds).shard.calls
         self.assertThat(calls.stop_retry_s, matchers.GreaterThan(0.5))
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -11,7 +11,7 @@
 
 REFUSED = work.Refused(problem=executions.cancelled())
 UNKNOWN = work.OutcomeUnknown(
-    problem=problems.doubt(code='reset', status=504, detail='Reset.')
+    problem=problems.outcome_unknown(code='reset', status=504, detail='Reset.')
 )
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -171,7 +171,7 @@
         self._fleet.store.fault = self._rng.choice(
             [each for each in _Fault if each is not _Fault.NONE]
         )
-        self._fleet.store.share = self._rng.choice((0.3, 1))
+        self._fleet.store.fault_probability = self._rng.choice((0.3, 1))
         kind = f'store {self._fleet.store.fault.value}'
         await self._hurt('store', kind, for_s)
         self._fleet.store.fault = _Fault.NONE
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -58,7 +58,7 @@
         """Open the server and its relay, and begin to beat."""
         port = await self.server.listen()
         self.relay = relay_server.Relay(host='127.0.0.1', port=port)
-        self.server.move(await self.relay.listen('127.0.0.1', 0))
+        self.server.set_address(await self.relay.listen('127.0.0.1', 0))
         self._beating = asyncio.create_task(self._beat())
 
     def crash(self) -> None:
--- a/tests/version/samples.py
+++ b/tests/version/samples.py
@@ -91,7 +91,7 @@
 
 async def apply(client, base, operator='ann', **weights):
     """Make version ``base + 1`` with these weights."""
-    wanted = applying.Wanted(
+    wanted = applying.ApplyRequest(
         documents=documents(**weights),
         base=base,
         operator=operator,
