--- a/sardineproxy/platform/__init__.py
+++ b/sardineproxy/platform/__init__.py
@@ -1,5 +1,5 @@
 """Adapter to the users' platform: its names, formats and calls.
 
-Nothing in here decides. Each module decodes one interface of the platform
-into the project's types, or encodes them for it.
+The modules make no decisions: each one translates between one interface of
+the platform and the project's types.
 """
--- a/sardineproxy/platform/configuration.py
+++ b/sardineproxy/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration."""
+"""Decodes configuration versions, which operators write to the store."""
 
 import json
 from typing import Any, Mapping
@@ -9,7 +9,7 @@
 from sardineproxy.platform import fields
 from sardineproxy.version import routes
 
-#: Table of what the operator writes, and the row of the newest version.
+#: Table that operators write to, and the key of the newest version's row.
 TABLE = 'op'
 ROW_KEY = 'op/config'
 
@@ -17,7 +17,7 @@
 
 
 def decode(body: bytes) -> result.Result[routes.RoutingTable, str]:
-    """Decode a version; the error is one sentence."""
+    """Decode a configuration version; the error is one sentence."""
     try:
         document = json.loads(body)
     except ValueError as exc:
@@ -39,15 +39,15 @@
 
 def _to_route(document: Any) -> routes.Route:
     if not isinstance(document, dict):
-        raise fields.FormatError('route: expected a table')
+        raise fields.FormatError('route: expected an object')
     name = fields.get_string(document, 'name')
     try:
-        return _read_route(name, document)
+        return _decode_route(name, document)
     except fields.FormatError as exc:
         raise fields.FormatError(f'route {name}: {exc}') from exc
 
 
-def _read_route(name: str, document: Mapping[str, Any]) -> routes.Route:
+def _decode_route(name: str, document: Mapping[str, Any]) -> routes.Route:
     return routes.Route(
         route=ids.RouteId(name),
         host=fields.get_string(document, 'host'),
--- a/sardineproxy/platform/http_calls.py
+++ b/sardineproxy/platform/http_calls.py
@@ -1,4 +1,4 @@
-"""One HTTP call to the platform, with bounds, as a value."""
+"""HTTP calls to the platform, with limits on time, size and connections."""
 
 import asyncio
 import dataclasses
@@ -11,16 +11,16 @@
 
 from sardineproxy import deployment
 
-#: Largest answer that is read, in bytes. A page of the store has 1 MB of
-#: contents, which are a third longer in base64.
+#: Largest response body that is accepted, in bytes. A page of the store has
+#: up to 1 MB of row contents, and base64 adds a third.
 MAX_RESPONSE_BYTES = 4_194_304
 
-#: Most connections to one server of the platform. The sheets allow 64 to a
-#: worker from all entry VMs together.
+#: Most connections to one server of the platform. The platform allows 64
+#: connections to a worker from all entry VMs together.
 MAX_CONNECTIONS = 8
 
-#: Idle connections are closed after this time, in seconds. Workers keep
-#: theirs for 7 s.
+#: Idle connections are closed after this time, in seconds; it is shorter than
+#: the 7 s after which workers close theirs.
 KEEPALIVE_S = 6
 
 _CONTENT_TYPE = 'application/json'
@@ -28,27 +28,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
 
-    #: Decoded JSON object, empty if the answer has none.
+    #: Decoded JSON object of the body; empty if there is no body.
     document: Mapping[str, Any]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NoResponse:
-    """No whole answer came."""
+    """No complete response was received."""
 
     #: True if no connection was established, so nothing was sent.
     unsent: bool
 
-    #: Cause in a few words.
+    #: Description of the failure, for logs.
     cause: str
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return a session for all calls of a process."""
+    """Return the session for all calls of a process."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
             limit=0,
@@ -67,7 +67,7 @@
 def make_url(
     address: deployment.Address, path: str, **query: str | int
 ) -> yarl.URL:
-    """Return the URL of a call; those of workers are used again and again."""
+    """Return the URL of a call, cached because worker URLs are reused."""
     return yarl.URL.build(
         scheme='http',
         host=address.host,
@@ -86,17 +86,21 @@
     document: Mapping[str, Any] | None = None,
     headers: Mapping[str, str] | None = None,
 ) -> Response | NoResponse:
-    """Send one request and read its answer."""
+    """Send one request and read the response."""
     body = None if document is None else json.dumps(document).encode()
-    sent = dict(headers or {})
+    request_headers = dict(headers or {})
     if body is not None:
-        sent['Content-Type'] = _CONTENT_TYPE
+        request_headers['Content-Type'] = _CONTENT_TYPE
     try:
         async with asyncio.timeout(timeout_s):
             async with session.request(
-                method, url, data=body, headers=sent, allow_redirects=False
+                method,
+                url,
+                data=body,
+                headers=request_headers,
+                allow_redirects=False,
             ) as reply:
-                return await _read(reply)
+                return await _read_response(reply)
     except aiohttp.ClientConnectorError as exc:
         return NoResponse(unsent=True, cause=f'not connected: {exc.strerror}')
     except TimeoutError:
@@ -105,7 +109,7 @@
         return NoResponse(unsent=False, cause=f'{type(exc).__name__}: {exc}')
 
 
-async def _read(reply: aiohttp.ClientResponse) -> Response:
+async def _read_response(reply: aiohttp.ClientResponse) -> Response:
     length = reply.content_length
     if length is not None and length > MAX_RESPONSE_BYTES:
         raise ValueError(f'answer of {length} bytes is too large')
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -9,13 +9,13 @@
 from sardineproxy import deployment, ids
 from sardineproxy.platform import fields
 
-#: Variable that holds the path of the settings file.
+#: Environment variable with the path of the settings file.
 PATH_ENV_VARIABLE = 'SARDINEPROXY_CONFIG'
 
 MAX_SETTINGS_BYTES = 262_144
 
-#: Time for which states are asked for if the settings do not say, in seconds.
-DEFAULT_STATUS_S = 120
+#: Default of ``bounds.status_s``, in seconds.
+DEFAULT_STATUS_RETENTION_S = 120
 
 _MS_PER_S = 1000
 
@@ -25,18 +25,20 @@
     try:
         body = path.read_bytes()
     except OSError as exc:
-        return result.Err(f'cannot read settings {path}: {exc.strerror}')
+        return result.Err(f'cannot read settings file {path}: {exc.strerror}')
     if len(body) > MAX_SETTINGS_BYTES:
-        return result.Err(f'settings {path} have {len(body)} bytes')
+        return result.Err(
+            f'settings file {path} is too large: {len(body)} bytes'
+        )
     return decode(body)
 
 
 def decode(body: bytes) -> result.Result[deployment.Deployment, str]:
-    """Decode the text of a settings file; unknown fields are ignored."""
+    """Decode the contents of a settings file; unknown fields are ignored."""
     try:
         document = tomllib.loads(body.decode())
     except ValueError as exc:
-        return result.Err(f'settings are not valid TOML: {exc}')
+        return result.Err(f'settings file is not valid TOML: {exc}')
     try:
         return result.Ok(_to_deployment(document))
     except fields.FormatError as exc:
@@ -60,7 +62,8 @@
         seeds=_seeds(document),
         store=fields.parse_address(fields.get_string(store, 'address')),
         bounds=_bounds(fields.get_object(document, 'bounds')),
-        # The share is of one core, which runs ``cores`` times as fast.
+        # ``cpu_share`` is a share of one core, which runs ``cores`` times as
+        # fast.
         cores=fields.get_number(limits, 'cpu_share')
         * fields.get_number(limits, 'cores'),
     )
@@ -69,7 +72,10 @@
 def _peer_listener(
     document: Mapping[str, Any], listeners: Mapping[str, Any], host: str
 ) -> deployment.Address:
-    """Return the control listener, whose peers the seeds name, if served."""
+    """Return the address of the listener for other entry VMs.
+
+    The control listener if this VM has one: the seeds are control listeners.
+    """
     if 'control' in listeners:
         return fields.parse_address(fields.get_string(listeners, 'control'))
     ports = fields.get_list(document, 'port_range')
@@ -94,7 +100,7 @@
         config_apply_s=fields.get_number(document, 'config_apply_ms')
         / _MS_PER_S,
         status_retention_s=fields.get_number(
-            document, 'status_s', DEFAULT_STATUS_S
+            document, 'status_s', DEFAULT_STATUS_RETENTION_S
         ),
         distance_factor=fields.get_number(document, 'remote_factor', 1),
     )
--- a/sardineproxy/platform/store_http.py
+++ b/sardineproxy/platform/store_http.py
@@ -11,22 +11,23 @@
 from sardineproxy.platform import fields, http_calls
 from sardineproxy.process import store
 
-#: Longest wait for an answer beyond the wait that was asked for, in seconds.
-#: The slowest store of the sheets takes 95 times 4 ms.
+#: Timeout of a call, in seconds, in addition to the time for which a feed may
+#: wait for changes. The slowest store that the platform specifies takes 95
+#: times 4 ms.
 RESPONSE_TIMEOUT_S = 0.6
 
 #: Most rows that the store returns in one page.
 PAGE_ROWS = 500
 
-#: Most pages of one table that are read, as a bound on memory.
+#: Most pages of one table that are read, to limit memory use.
 MAX_PAGES = 64
 
 _MS_PER_S = 1000
 
 _OK = 200
 _GONE = 410
-_CONDITION_FAILED = 412
-_TOO_MANY = 429
+_PRECONDITION_FAILED = 412
+_TOO_MANY_REQUESTS = 429
 _UNAVAILABLE = 503
 
 _Error = store.StoreError
@@ -44,56 +45,56 @@
         self._address = address
 
     def set_address(self, address: deployment.Address) -> None:
-        """Send calls to another address from now on."""
+        """Send subsequent calls to another address."""
         self._address = address
 
     async def read(
         self, table: str, *, part: str = ''
     ) -> result.Result[store.Rows, _Error]:
         """Return all rows of a part of a table, read page by page."""
-        found: list[store.Row] = []
+        rows: list[store.Row] = []
         query: dict[str, str | int] = {'table': table, 'part': part}
         for _ in range(MAX_PAGES):
             answer = await self._get('/v1/rows-get', query, wait_s=0)
             page = _decode_rows(table, answer)
             if isinstance(page, result.Err):
                 return page
-            found.extend(page.ok_value.rows)
+            rows.extend(page.ok_value.rows)
             assert isinstance(answer, http_calls.Response)
             if not answer.document.get('has_more') or not page.ok_value.rows:
                 return result.Ok(
                     store.Rows(
-                        rows=tuple(found), revision=page.ok_value.revision
+                        rows=tuple(rows), revision=page.ok_value.revision
                     )
                 )
-            # The lowest key that follows the last one of this page.
-            query['from'] = f'{_short_key(found[-1].key)}\x00'
-        return _failed(_Kind.INVALID, f'table {table} is too large')
+            # The smallest key after the last one of this page.
+            query['from'] = f'{_strip_table(rows[-1].key)}\x00'
+        return _error(_Kind.INVALID, f'table {table} is too large')
 
     async def get(
         self, key: str, *, part: str = ''
     ) -> result.Result[store.Row | None, _Error]:
-        """Return one row, None if there is none."""
-        table, _, short = key.partition('/')
+        """Return a row, None if it does not exist."""
+        table, _, key_in_table = key.partition('/')
         answer = await self._get(
             '/v1/rows-get',
             {
                 'table': table,
                 'part': part,
-                'from': short,
-                'target': f'{short}\x00',
+                'from': key_in_table,
+                'target': f'{key_in_table}\x00',
             },
             wait_s=0,
         )
-        found = _decode_rows(table, answer)
-        if isinstance(found, result.Err):
-            return found
-        return result.Ok(next(iter(found.ok_value.rows), None))
+        page = _decode_rows(table, answer)
+        if isinstance(page, result.Err):
+            return page
+        return result.Ok(next(iter(page.ok_value.rows), None))
 
     async def changes(
         self, table: str, *, after: int, wait_s: float
     ) -> result.Result[store.Rows, _Error]:
-        """Return what changed after a revision, in order."""
+        """Return the rows that changed after a revision, in order."""
         answer = await self._get(
             '/v1/rows-feed',
             {
@@ -112,19 +113,20 @@
         writes: tuple[store.Write, ...],
         removals: tuple[store.Removal, ...] = (),
     ) -> result.Result[int, _Error]:
-        """Make all changes if all conditions hold; return the new revision."""
+        """Apply all changes if all conditions hold; return the new revision."""
         document = {
             'expected': [
-                {**_place(held), 'ver': held.revision} for held in conditions
+                {**_encode_key(condition), 'ver': condition.revision}
+                for condition in conditions
             ],
             'writes': [
                 {
-                    **_place(write),
+                    **_encode_key(write),
                     'value': base64.b64encode(write.body).decode(),
                 }
                 for write in writes
             ],
-            'remove': [_place(removal) for removal in removals],
+            'remove': [_encode_key(removal) for removal in removals],
         }
         answer = await http_calls.send(
             self._session,
@@ -146,18 +148,18 @@
         )
 
 
-def _failed(kind: store.ErrorKind, detail: str) -> result.Err[_Error]:
+def _error(kind: store.ErrorKind, detail: str) -> result.Err[_Error]:
     return result.Err(_Error(kind=kind, detail=detail))
 
 
-def _place(
+def _encode_key(
     row: store.Condition | store.Write | store.Removal,
 ) -> dict[str, str]:
-    table, _, rest = row.key.partition('/')
-    return {'table': table, 'part': row.part, 'key': rest}
+    table, _, key_in_table = row.key.partition('/')
+    return {'table': table, 'part': row.part, 'key': key_in_table}
 
 
-def _short_key(key: str) -> str:
+def _strip_table(key: str) -> str:
     return key.partition('/')[2]
 
 
@@ -165,10 +167,10 @@
     table: str, answer: http_calls.Response | http_calls.NoResponse
 ) -> result.Result[store.Rows, _Error]:
     if isinstance(answer, http_calls.NoResponse):
-        return _failed(_Kind.UNAVAILABLE, f'reading {table}: {answer.cause}')
+        return _error(_Kind.UNAVAILABLE, f'reading {table}: {answer.cause}')
     if answer.status != _OK:
-        kind = _KINDS_OF_READS.get(answer.status, _Kind.INVALID)
-        return _failed(kind, f'reading {table}: status {answer.status}')
+        kind = _READ_ERROR_KINDS.get(answer.status, _Kind.INVALID)
+        return _error(kind, f'reading {table}: status {answer.status}')
     try:
         return result.Ok(
             store.Rows(
@@ -180,19 +182,19 @@
             )
         )
     except (fields.FormatError, binascii.Error) as exc:
-        return _failed(_Kind.INVALID, f'reading {table}: {exc}')
+        return _error(_Kind.INVALID, f'reading {table}: {exc}')
 
 
-_KINDS_OF_READS = {  # noqa: WPS407
+_READ_ERROR_KINDS = {  # noqa: WPS407
     _GONE: _Kind.HISTORY_LOST,
-    _TOO_MANY: _Kind.UNAVAILABLE,
+    _TOO_MANY_REQUESTS: _Kind.UNAVAILABLE,
     _UNAVAILABLE: _Kind.UNAVAILABLE,
 }
 
 
 def _decode_row(table: str, row: Any) -> store.Row:
     if not isinstance(row, dict):
-        raise fields.FormatError(f'row: expected a table, found {row!r:.60}')
+        raise fields.FormatError(f'row: expected an object, found {row!r:.60}')
     key = fields.get_string(row, 'key')
     body = None
     if not fields.get_boolean(row, 'tombstone'):
@@ -209,16 +211,16 @@
 ) -> result.Result[int, _Error]:
     if isinstance(answer, http_calls.NoResponse):
         kind = _Kind.UNAVAILABLE if answer.unsent else _Kind.UNKNOWN
-        return _failed(kind, f'writing: {answer.cause}')
+        return _error(kind, f'writing: {answer.cause}')
     if answer.status == _OK:
         revision = answer.document.get('ver')
         if isinstance(revision, int):
             return result.Ok(revision)
-        return _failed(_Kind.UNKNOWN, 'writing: the answer has no revision')
+        return _error(_Kind.UNKNOWN, 'writing: the answer has no revision')
     kinds = {
-        _CONDITION_FAILED: _Kind.CONFLICT,
-        _TOO_MANY: _Kind.UNAVAILABLE,
+        _PRECONDITION_FAILED: _Kind.CONFLICT,
+        _TOO_MANY_REQUESTS: _Kind.UNAVAILABLE,
         _UNAVAILABLE: _Kind.UNAVAILABLE,
     }
     kind = kinds.get(answer.status, _Kind.INVALID)
-    return _failed(kind, f'writing: status {answer.status}')
+    return _error(kind, f'writing: status {answer.status}')
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -13,7 +13,7 @@
 from sardineproxy.process.stored_jobs import job_manager
 from sardineproxy.request import jobs
 
-#: Largest body of a job, in bytes; the sheets say 262,144.
+#: Largest body of a job, in bytes, as the platform specifies it.
 MAX_BODY_BYTES = 262_144
 
 #: Longest payload, in bytes.
@@ -22,18 +22,18 @@
 MAX_STEPS = 64
 MAX_TASKS = 10_000
 
-#: Header with the time that the client waits for an answer, in milliseconds.
+#: Header with the time that the client waits for a response, in milliseconds.
 DEADLINE_HEADER = 'Deadline-Ms'
 
 _JOB_ID = re.compile('[0-9a-f]{16}')
 
 _MS_PER_S = 1000
 
-#: Fields of a job or a step that ask for what is not built. Others are
-#: permissions that need not be used: ``allow_duplicates`` and
-#: ``checkpointable``.
-_JOB_FEATURES = ('daemon', 'times')
-_STEP_FEATURES = (
+#: Fields of a job or a step that request features that are not implemented.
+#: ``allow_duplicates`` and ``checkpointable`` are not listed: they permit
+#: something that the scheduler need not use.
+_UNSUPPORTED_JOB_FIELDS = ('daemon', 'times')
+_UNSUPPORTED_STEP_FIELDS = (
     'gang',
     'same_rack',
     'target_ms',
@@ -45,78 +45,85 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Malformed:
-    """The body is no job."""
+    """The body is not a valid job."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unsupported:
-    """The job asks for a feature that is not built."""
+    """The job requests a feature that is not implemented."""
 
     feature: str
 
 
 def decode_job(
-    job: str, body: bytes
+    name: str, body: bytes
 ) -> result.Result[jobs.Job, Malformed | Unsupported]:
-    """Decode the body of a job that has the id ``job``."""
+    """Decode the body of a request to run or store the job ``name``."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as exc:
         return result.Err(Malformed(detail=f'not JSON: {exc}'))
-    name = decode_job_id(job)
-    if name is None or not isinstance(document, dict):
-        return result.Err(Malformed(detail='not a job'))
+    job_id = decode_job_id(name)
+    if job_id is None or not isinstance(document, dict):
+        return result.Err(
+            Malformed(detail='job id is malformed or body is no JSON object')
+        )
     try:
-        feature = _unsupported(document)
+        feature = _find_unsupported_feature(document)
         if feature is not None:
             return result.Err(Unsupported(feature=feature))
-        return result.Ok(_to_job(name, document))
+        return result.Ok(_to_job(job_id, document))
     except fields.FormatError as exc:
         return result.Err(Malformed(detail=str(exc)))
 
 
-def _unsupported(document: Mapping[str, Any]) -> str | None:
-    for feature in _JOB_FEATURES:
+def _find_unsupported_feature(document: Mapping[str, Any]) -> str | None:
+    for feature in _UNSUPPORTED_JOB_FIELDS:
         if document.get(feature):
             return feature
     for step in fields.get_list(document, 'steps'):
-        for feature in _STEP_FEATURES:
+        for feature in _UNSUPPORTED_STEP_FIELDS:
             if isinstance(step, dict) and step.get(feature):
                 return feature
     return None
 
 
-def _to_job(job: ids.JobId, document: Mapping[str, Any]) -> jobs.Job:
+def _to_job(job_id: ids.JobId, document: Mapping[str, Any]) -> jobs.Job:
     payload = fields.get_string(document, 'spec')
     if len(payload.encode()) > MAX_PAYLOAD_BYTES:
         raise fields.FormatError('spec is too long')
     steps = tuple(
-        _to_step(position, step)
-        for position, step in enumerate(fields.get_list(document, 'steps'))
+        _to_step(index, step)
+        for index, step in enumerate(fields.get_list(document, 'steps'))
     )
-    tasks = sum(step.count for step in steps)
-    if not 0 < len(steps) <= MAX_STEPS or not 0 < tasks <= MAX_TASKS:
-        raise fields.FormatError(f'{len(steps)} steps with {tasks} tasks')
+    task_count = sum(step.count for step in steps)
+    if not 0 < len(steps) <= MAX_STEPS or not 0 < task_count <= MAX_TASKS:
+        raise fields.FormatError(
+            f'{len(steps)} steps with {task_count} tasks are out of range'
+        )
     return jobs.Job(
-        job_id=job,
+        job_id=job_id,
         payload=payload,
         steps=steps,
         stored=not fields.get_boolean(document, 'burstable'),
     )
 
 
-def _to_step(position: int, document: Any) -> jobs.Step:
+def _to_step(index: int, document: Any) -> jobs.Step:
     if not isinstance(document, dict):
-        raise fields.FormatError('step: expected a table')
+        raise fields.FormatError('step: expected an object')
     after = document.get('after', [])
-    is_earlier = isinstance(after, list) and all(
-        isinstance(earlier, int) and 0 <= earlier < position
-        for earlier in after
+    is_valid = isinstance(after, list) and all(
+        isinstance(predecessor, int) and 0 <= predecessor < index
+        for predecessor in after
     )
-    if not is_earlier:
-        raise fields.FormatError(f'after: {after!r:.60} of step {position}')
+    if not is_valid:
+        raise fields.FormatError(
+            f'after: expected indices of earlier steps, found {after!r:.60} '
+            f'in step {index}'
+        )
     return jobs.Step(
         count=fields.get_integer(document, 'count', 1),
         resources=worker_entries.decode_resources(document),
@@ -129,12 +136,12 @@
 
 
 def decode_job_id(name: str) -> ids.JobId | None:
-    """Return the id of a job, None if it cannot be one."""
+    """Return ``name`` as a job id, None if it is not a valid one."""
     return ids.JobId(name) if _JOB_ID.fullmatch(name) else None
 
 
 def decode_wait_s(header: str | None) -> float | None:
-    """Return how long the client waits, in seconds; None if not said."""
+    """Return how long the client waits, in seconds; None if not stated."""
     if header is None or not header.isdecimal():
         return None
     return int(header) / _MS_PER_S
@@ -142,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """Status, body and headers of an answer."""
+    """Status, body and headers of a response to a client."""
 
     status: int
     body: bytes = b''
@@ -150,7 +157,7 @@
 
 
 def encode_outcome(outcome: jobs.Outcome) -> Reply:
-    """Encode the final answer to a job."""
+    """Encode the response to a job that ran without being stored."""
     match outcome:
         case jobs.Completed():
             return Reply(status=200, body=b'{"state":"completed"}')
@@ -162,8 +169,8 @@
             return Reply(status=504)
 
 
-#: States of a stored job that a client is told.
-_STATES = frozenset(
+#: States of a stored job that are reported to clients.
+_REPORTED_STATES = frozenset(
     (
         job_manager.JobReply.QUEUED,
         job_manager.JobReply.RUNNING,
@@ -173,14 +180,14 @@
     )
 )
 
-#: When to come back if a stored job's keeper does not answer, in seconds; it
-#: is replaced within a second.
+#: ``Retry-After`` if a stored job's manager does not respond, in seconds; the
+#: manager is replaced within a second.
 NO_MANAGER_RETRY_S = 1.0
 
 
-def encode_acceptance(answer: job_manager.JobReply) -> Reply:
-    """Encode the answer to a job that is to be stored."""
-    match answer:
+def encode_acceptance(job_reply: job_manager.JobReply) -> Reply:
+    """Encode the response to a request to store a job."""
+    match job_reply:
         case job_manager.JobReply.ACCEPTED:
             return Reply(status=200, body=b'{"state":"queued"}')
         case job_manager.JobReply.UNKNOWN:
@@ -189,35 +196,37 @@
             return make_refusal(NO_MANAGER_RETRY_S)
 
 
-def encode_state(answer: job_manager.JobReply) -> Reply:
-    """Encode the answer to a question for a stored job, or its cancelling."""
-    if answer in _STATES:
-        return Reply(status=200, body=b'{"state":"%s"}' % answer.value.encode())
-    if answer is job_manager.JobReply.ABSENT:
+def encode_state(job_reply: job_manager.JobReply) -> Reply:
+    """Encode the response to a query or cancellation of a stored job."""
+    if job_reply in _REPORTED_STATES:
+        return Reply(
+            status=200, body=b'{"state":"%s"}' % job_reply.value.encode()
+        )
+    if job_reply is job_manager.JobReply.ABSENT:
         return NO_JOB
-    if answer is job_manager.JobReply.UNKNOWN:
+    if job_reply is job_manager.JobReply.UNKNOWN:
         return Reply(status=504)
     return make_refusal(NO_MANAGER_RETRY_S)
 
 
 def make_refusal(retry_after_s: float) -> Reply:
-    """Encode that the request was not accepted and never runs."""
+    """Encode that the request was refused and will not run."""
     return Reply(
         status=503,
         headers={'Retry-After': str(max(1, math.ceil(retry_after_s)))},
     )
 
 
-def encode_pending(waiting: int) -> Reply:
-    """Encode the number of a route's jobs that wait for a first start."""
-    return Reply(status=200, body=b'{"pending":%d}' % waiting)
+def encode_pending(count: int) -> Reply:
+    """Encode the number of a route's jobs that have not started."""
+    return Reply(status=200, body=b'{"pending":%d}' % count)
 
 
-#: No route has this host and path.
+#: No route matches the host and path.
 NO_ROUTE = Reply(status=404)
 
-#: No such job is known.
+#: The job does not exist or its state is no longer stored.
 NO_JOB = Reply(status=410)
 
-#: The request is no job.
+#: The request is not a valid job.
 MALFORMED = Reply(status=400)
--- a/sardineproxy/platform/worker_entries.py
+++ b/sardineproxy/platform/worker_entries.py
@@ -1,4 +1,4 @@
-"""Decodes the workers' entries in the platform's store."""
+"""Decodes the entries that workers register in the platform's store."""
 
 import json
 from typing import Any, Mapping
@@ -11,7 +11,8 @@
 from sardineproxy.process.shards import workers
 from sardineproxy.request import jobs
 
-#: Table in which workers register themselves, one row each under its id.
+#: Table in which workers register themselves, one row each, with the worker
+#: id as its key.
 TABLE = 'servers'
 
 _STATES = {  # noqa: WPS407
@@ -21,12 +22,12 @@
 
 
 def parse_worker_id(row: store.Row) -> ids.WorkerId:
-    """Return whose entry a row of the table is."""
+    """Return the id of the worker that a row belongs to."""
     return ids.WorkerId(row.key.partition('/')[2])
 
 
 def decode(row: store.Row) -> result.Result[workers.Worker, str]:
-    """Decode an entry; other writers may have left malformed ones."""
+    """Decode an entry; other programs may have written malformed ones."""
     try:
         document = json.loads(row.body or b'')
     except ValueError as exc:
--- a/sardineproxy/platform/worker_http.py
+++ b/sardineproxy/platform/worker_http.py
@@ -1,4 +1,4 @@
-"""Client of a worker's calls."""
+"""HTTP client of the workers."""
 
 from typing import Any, Mapping
 
@@ -9,7 +9,7 @@
 
 _MS_PER_S = 1000
 
-#: Most ends that a worker lists in one report.
+#: Most finished runs that a worker lists in one report.
 MAX_LISTED_RESULTS = 500
 
 _OK = 200
@@ -63,7 +63,7 @@
             },
             timeout_s,
         )
-        return _decode_order(answer)
+        return _decode_outcome(answer)
 
     async def stop(
         self,
@@ -74,19 +74,19 @@
         fence: int,
         timeout_s: float,
     ) -> workers.Accepted | workers.Refused | workers.Unanswered:
-        """Order the stop of a run; it never starts there afterwards."""
+        """Order the stop of a run, which must not start afterwards either."""
         answer = await self._post(
             worker,
             '/v1/run-stop',
             {'task': task, 'run': run, 'fence': fence},
             timeout_s,
         )
-        return _decode_order(answer)
+        return _decode_outcome(answer)
 
     async def poll(
         self, worker: workers.Worker, poll: workers.Poll, *, timeout_s: float
     ) -> workers.Report | workers.Refused | workers.Unanswered:
-        """Ask for a report, and extend the lease of what runs."""
+        """Request a report, and extend the lease of the worker's runs."""
         document: dict[str, Any] = {
             'fence': poll.fence,
             'acked_through': poll.acked,
@@ -96,14 +96,14 @@
         if poll.wait_s:
             document['wait_ms'] = int(poll.wait_s * _MS_PER_S)
         answer = await self._post(worker, '/v1/hold', document, timeout_s)
-        accepted = _decode_order(answer)
-        if not isinstance(accepted, workers.Accepted):
-            return accepted
+        outcome = _decode_outcome(answer)
+        if not isinstance(outcome, workers.Accepted):
+            return outcome
         assert isinstance(answer, http_calls.Response)
         try:
             return _decode_report(answer.document)
         except (fields.FormatError, KeyError) as exc:
-            return _not_understood(f'report: {exc}')
+            return _malformed_response(f'report: {exc}')
 
     async def _post(
         self,
@@ -122,7 +122,7 @@
         )
 
 
-def _decode_order(
+def _decode_outcome(
     answer: _Response,
 ) -> workers.Accepted | workers.Refused | workers.Unanswered:
     if isinstance(answer, http_calls.NoResponse):
@@ -131,7 +131,7 @@
         clock_ms = answer.document.get('clock_ms')
         if isinstance(clock_ms, int):
             return workers.Accepted(clock_ms=clock_ms)
-        return _not_understood('the answer has no clock')
+        return _malformed_response('the answer has no clock')
     if answer.status == _CONFLICT:
         reason = answer.document.get('reason')
         refusal = _REFUSALS.get(str(reason), workers.Refusal.NOT_DONE)
@@ -143,19 +143,22 @@
     )
 
 
-def _not_understood(detail: str) -> workers.Unanswered:
-    """Return an answer of which nothing is known but that it came."""
+def _malformed_response(detail: str) -> workers.Unanswered:
+    """Return the outcome of a call whose response cannot be decoded.
+
+    The worker may have executed the order, as if it had not responded.
+    """
     return workers.Unanswered(unsent=False, cause=detail)
 
 
 def _decode_report(document: Mapping[str, Any]) -> workers.Report:
-    ended = fields.get_list(document, 'finished')
+    finished = fields.get_list(document, 'finished')
     return workers.Report(
         clock_ms=fields.get_integer(document, 'clock_ms'),
         started_ms=fields.get_integer(document, 'born', 0),
         active=tuple(
             workers.ActiveRun(task=row[0], run=row[1], percent=row[3])
-            for row in map(_check_running, fields.get_list(document, 'running'))
+            for row in map(_check_active, fields.get_list(document, 'running'))
         ),
         finished=tuple(
             workers.FinishedRun(
@@ -164,13 +167,13 @@
                 run=row[2],
                 result=_RESULTS[row[3]],
             )
-            for row in map(_check_finished, ended)
+            for row in map(_check_finished, finished)
         ),
-        is_complete=len(ended) < MAX_LISTED_RESULTS,
+        is_complete=len(finished) < MAX_LISTED_RESULTS,
     )
 
 
-def _check_running(row: Any) -> list[Any]:
+def _check_active(row: Any) -> list[Any]:
     _check_row(row, (str, int, str, (int, float)))
     return row
 
@@ -180,7 +183,7 @@
     return row
 
 
-def _check_row(row: Any, kinds: tuple[Any, ...]) -> None:
-    is_row = isinstance(row, list) and len(row) >= len(kinds)
-    if not is_row or not all(map(isinstance, row, kinds)):
+def _check_row(row: Any, types: tuple[Any, ...]) -> None:
+    is_row = isinstance(row, list) and len(row) >= len(types)
+    if not is_row or not all(map(isinstance, row, types)):
         raise fields.FormatError(f'malformed row {row!r:.80}')
