--- a/sardineproxy/__main__.py
+++ b/sardineproxy/__main__.py
@@ -1,4 +1,4 @@
-"""Run a program: ``python -m sardineproxy NAME [flags]``."""
+"""Runs a program: ``python -m sardineproxy NAME [flags]``."""
 
 import importlib
 import signal
@@ -7,7 +7,7 @@
 
 from sardineproxy import exit_status
 
-#: Modules whose ``main(argv) -> ExitStatus`` is a program.
+#: Modules by program name; each has a function ``main(argv) -> ExitStatus``.
 PROGRAMS = types.MappingProxyType(
     {
         'entry': 'sardineproxy.process.core',
@@ -26,13 +26,13 @@
     """Run the program that ``argv[1]`` names with the remaining arguments."""
     name = argv[1] if len(argv) > 1 else ''
     if name not in PROGRAMS:
-        accepted = ', '.join(PROGRAMS)
+        names = ', '.join(PROGRAMS)
         sys.stderr.write(
-            f'Unknown program "{name}"; expected one of: {accepted}.\n'
+            f'Unknown program "{name}"; expected one of: {names}.\n'
         )
         return exit_status.ExitStatus.USAGE
-    # Programs that read their settings again on this signal install a handler
-    # once they run; until then it must not end them.
+    # Programs that reload their settings on SIGHUP install a handler during
+    # startup; an earlier signal must not terminate them.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     module = importlib.import_module(PROGRAMS[name])
     return module.main([f'sardineproxy-{name}', *argv[2:]])
--- a/sardineproxy/background.py
+++ b/sardineproxy/background.py
@@ -1,49 +1,49 @@
-"""Tasks that run beside their owner and end with it."""
+"""Background tasks that are cancelled when their owner closes."""
 
 import asyncio
 from typing import Any, Coroutine
 
-#: Key of the loop's error context that marks an error which ends the process.
+#: Key in the event loop's exception context of errors that end the process.
 FATAL = 'fatal'
 
 
 class Tasks:
-    """A set of tasks; one that fails is a broken invariant.
+    """A set of background tasks, none of which may raise an exception.
 
-    The failure is handed to the loop's exception handler, marked as fatal.
+    An exception is passed to the event loop's exception handler as fatal.
     """
 
     def __init__(self) -> None:
-        """Start without tasks."""
+        """Create an empty set."""
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run ``work`` until it ends or the set is closed."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run ``coroutine`` until it returns or the set is closed."""
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._handle_done)
 
     def cancel_all(self) -> None:
-        """Cancel all tasks without waiting for their end."""
+        """Cancel all tasks without waiting until they have ended."""
         for task in self._tasks:
             task.cancel()
 
     async def close(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         tasks = list(self._tasks)
         self.cancel_all()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _end(self, task: asyncio.Task[None]) -> None:
+    def _handle_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
-        failure = task.exception()
-        if failure is not None:
+        exception = task.exception()
+        if exception is not None:
             task.get_loop().call_exception_handler(
                 {
-                    'message': f'Task failed: {task.get_coro()}',
-                    'exception': failure,
+                    'message': f'Background task failed: {task.get_coro()}',
+                    'exception': exception,
                     FATAL: True,
                 }
             )
--- a/sardineproxy/clock.py
+++ b/sardineproxy/clock.py
@@ -1,4 +1,4 @@
-"""Time and random numbers, passed in at construction."""
+"""Clocks and random number generators, passed to objects as dependencies."""
 
 import random
 import time
@@ -6,13 +6,16 @@
 
 
 class Clock(Protocol):
-    """Source of the present time."""
+    """Source of the current time."""
 
     def now(self) -> float:
         """Return monotonic seconds."""
 
     def wall(self) -> float:
-        """Return seconds since the epoch, for logs and dumps only."""
+        """Return seconds since the Unix epoch.
+
+        For logs, dumps and times in stored rows; not for measuring durations.
+        """
 
 
 class SystemClock:
@@ -23,27 +26,27 @@
         return time.monotonic()
 
     def wall(self) -> float:
-        """Return seconds since the epoch."""
+        """Return seconds since the Unix epoch."""
         return time.time()
 
 
 class BootClock:
-    """Clock that also counts the time in which the machine was suspended."""
+    """Clock that also advances while the machine is suspended."""
 
     def now(self) -> float:
-        """Return seconds since the machine started."""
+        """Return seconds since the machine booted."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """Return seconds since the epoch."""
+        """Return seconds since the Unix epoch."""
         return time.time()
 
 
 class ManualClock:
-    """Clock that moves only when a test moves it."""
+    """Clock that advances only when a test advances it."""
 
     def __init__(self, *, start: float = 0) -> None:
-        """Start at ``start`` seconds."""
+        """Create a clock that shows ``start`` seconds."""
         self._now = start
 
     def now(self) -> float:
@@ -55,10 +58,10 @@
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward."""
+        """Advance the clock."""
         self._now += seconds
 
 
 def new_random(seed: int | None = None) -> random.Random:
-    """Return a generator of random numbers, seeded by the system if None."""
+    """Return a random number generator, seeded by the system if None."""
     return random.Random(seed)
--- a/sardineproxy/command_line.py
+++ b/sardineproxy/command_line.py
@@ -1,4 +1,4 @@
-"""Flags and their parsing, shared by the programs."""
+"""Command-line flags and their parsing, shared by the programs."""
 
 import dataclasses
 import sys
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Help:
-    """The person asked for help."""
+    """The command line has ``--help``."""
 
     text: str
 
@@ -19,38 +19,41 @@
 def read(
     values: flags.FlagValues, argv: list[str], usage: str
 ) -> result.Result[Help | None, str]:
-    """Read ``argv`` into ``values``; the error is one sentence."""
+    """Parse ``argv`` into ``values``; the error is one sentence."""
     try:
-        rest = values(argv)
+        remaining = values(argv)
     except flags.Error as exc:
         return result.Err(f'{exc}; see --help.')
     if values.help:
         return result.Ok(Help(text=usage + values.get_help()))
-    if len(rest) > 1:
-        return result.Err(f'unexpected argument "{rest[1]}"; see --help.')
+    if len(remaining) > 1:
+        return result.Err(f'unexpected argument "{remaining[1]}"; see --help.')
     return result.Ok(None)
 
 
 def new_flags() -> flags.FlagValues:
-    """Return an empty set of flags that knows only ``--help``."""
+    """Return a set of flags that contains only ``--help``."""
     values = flags.FlagValues()
     flags.DEFINE_bool('help', False, 'Show this help.', flag_values=values)
     return values
 
 
 def parse(
-    values: flags.FlagValues, argv: list[str], about: str
+    values: flags.FlagValues, argv: list[str], description: str
 ) -> exit_status.ExitStatus | None:
-    """Parse ``argv``; return a status if the program must end at once."""
+    """Parse ``argv`` and print errors or help.
+
+    Returns the status to exit with, None if the program is to run.
+    """
     try:
-        rest = values(argv)
+        remaining = values(argv)
     except flags.Error as exc:
         sys.stderr.write(f'{exc}\n')
         return exit_status.ExitStatus.USAGE
     if values.help:
-        sys.stdout.write(f'{about}\n\n{values.get_help()}\n')
+        sys.stdout.write(f'{description}\n\n{values.get_help()}\n')
         return exit_status.ExitStatus.SUCCESS
-    if len(rest) > 1:
-        sys.stderr.write(f'Unexpected argument "{rest[1]}".\n')
+    if len(remaining) > 1:
+        sys.stderr.write(f'Unexpected argument "{remaining[1]}".\n')
         return exit_status.ExitStatus.USAGE
     return None
--- a/sardineproxy/deployment.py
+++ b/sardineproxy/deployment.py
@@ -1,4 +1,4 @@
-"""Where a dispatch process runs: its addresses, limits and time bounds."""
+"""Deployment of a dispatch process: addresses, limits and time bounds."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -19,9 +19,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Bounds:
-    """Times that the platform grants, in seconds."""
+    """Time bounds that the platform sets, in seconds, and a ratio."""
 
-    #: Longest lease that a worker accepts for what runs on it.
+    #: Longest lease that a worker accepts for its runs.
     lease_s: float
 
     #: Longest time that a worker takes to stop a run.
@@ -30,20 +30,20 @@
     #: Time from SIGTERM to SIGKILL.
     shutdown_grace_s: float
 
-    #: Time within which a configuration version must be in force.
+    #: Time within which a new configuration version must be applied.
     config_apply_s: float
 
-    #: Time for which the state of a stored job is asked for after its end.
+    #: Time for which clients may query the state of a finished stored job.
     status_retention_s: float
 
-    #: A task takes this many times as long on racks without its data; no
-    #: time.
+    #: Ratio of a task's run time on racks without its data to that on the rack
+    #: with its data.
     distance_factor: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Deployment:
-    """What the settings say about this entry VM and its surroundings."""
+    """Settings of this entry VM and its surroundings."""
 
     vm: ids.VmId
     zone: ids.ZoneId
@@ -54,17 +54,19 @@
     #: Listener for clients.
     client_listener: Address
 
-    #: Listener for the balancer's readiness checks.
+    #: Listener for the load balancer's readiness checks.
     readiness_listener: Address
 
     #: Listener for other entry VMs.
     peer_listener: Address
 
-    #: Peer listeners that may answer while the store cannot be read.
+    #: Peer listeners to connect to while no members are known, for example
+    #: because the store cannot be read.
     seeds: tuple[Address, ...]
 
+    #: Address of the platform's metadata store.
     store: Address
     bounds: Bounds
 
-    #: Processor share of this VM, in cores.
+    #: CPU share of this VM, in cores.
     cores: float
--- a/sardineproxy/exit_status.py
+++ b/sardineproxy/exit_status.py
@@ -1,23 +1,23 @@
-"""Exit statuses of all programs."""
+"""Exit statuses of the programs."""
 
 import enum
 
 
 class ExitStatus(enum.IntEnum):
-    """Status with which a program ends."""
+    """Exit status of a program."""
 
     SUCCESS = 0
 
-    #: The program ran and its task failed.
+    #: The operation failed.
     ERROR = 1
 
-    #: The command line is wrong.
+    #: The command line is invalid.
     USAGE = 2
 
-    #: Settings or contracts are wrong; nothing was started or changed.
+    #: Settings or contracts are invalid; nothing was started or changed.
     INVALID_INPUT = 3
 
-    #: Another operator's change came first.
+    #: Another operator made a change first.
     CONFLICT = 4
 
     #: The platform or a process could not be reached.
--- a/sardineproxy/ids.py
+++ b/sardineproxy/ids.py
@@ -1,4 +1,4 @@
-"""Types of the identifiers that the parts share."""
+"""Types of identifiers that several packages use."""
 
 from typing import NewType
 
@@ -8,25 +8,27 @@
 ZoneId = NewType('ZoneId', str)
 RegionId = NewType('RegionId', str)
 
-#: Random hexadecimal name of one run of an entry process.
+#: Random hexadecimal id of one execution of an entry process.
 Incarnation = NewType('Incarnation', str)
 
-#: Idempotency key, or the id that an entry process gives to a keyless request.
+#: Idempotency key, or the id that an entry process assigns to a request without
+#: one.
 RequestId = NewType('RequestId', str)
 
 #: Number of a configuration version; the first is 1.
 VersionNumber = NewType('VersionNumber', int)
 
-#: A client's name of a job.
+#: Id of a job, chosen by the client.
 JobId = NewType('JobId', str)
 
-#: Name of one life of a worker in the platform's list.
+#: Id of a worker instance in the platform's list of workers.
 WorkerId = NewType('WorkerId', str)
 
-#: The workers of one availability zone that one entry VM dispatches to.
+#: Id of a shard: the workers of one availability zone, which one entry VM
+#: dispatches to.
 ShardId = NewType('ShardId', str)
 
-#: Name of a service, a pool of workers that run the same tasks.
+#: Name of a service: a pool of workers that run the same tasks.
 ServiceId = NewType('ServiceId', str)
 
 #: Name of a route in the configuration.
--- a/sardineproxy/json_text.py
+++ b/sardineproxy/json_text.py
@@ -1,4 +1,4 @@
-"""Bounded parser of JSON with comments, for files and requests."""
+"""Parser of JSON with comments and limits, for files and requests."""
 
 import json
 import re
@@ -22,8 +22,9 @@
 ) -> result.Result[Document, str]:
     """Parse one JSON object, with comments unless ``comments`` is False.
 
-    Refuses duplicate keys, NaN, infinities, deep nesting and texts of more
-    than ``max_bytes``. The error is one sentence that names the place.
+    Rejects duplicate keys, NaN, infinities, deep nesting and texts of more
+    than ``max_bytes``. The error is one sentence; that of invalid syntax states
+    the line and column.
     """
     size = len(text.encode())
     if size > max_bytes:
@@ -32,8 +33,8 @@
     try:
         parsed = load(
             blank_comments(text) if comments else text,
-            object_pairs_hook=_without_duplicates,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_reject_duplicates,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as exc:
         return result.Err(f'not valid JSON: {exc}')
@@ -47,13 +48,13 @@
 
 
 def blank_comments(text: str) -> str:
-    """Replace comments by spaces.
+    """Replace comments and trailing commas by spaces.
 
-    ``jsonc`` removes them with their line ends, so its errors would name
-    another line than the one in the file.
+    ``jsonc`` removes comments with their line ends, so its errors would state
+    other line numbers than those of the file.
     """
-    without = _COMMENT.sub(_blank, text)
-    return _TRAILING_COMMA.sub(_blank, without)
+    without_comments = _COMMENT.sub(_blank, text)
+    return _TRAILING_COMMA.sub(_blank, without_comments)
 
 
 def _blank(match: re.Match[str]) -> str:
@@ -61,27 +62,27 @@
 
 
 def _is_too_deep(document: Any) -> bool:
-    """Tell whether arrays and objects nest deeper than ``MAX_DEPTH``."""
+    """Return whether arrays and objects nest deeper than ``MAX_DEPTH``."""
     level = [document]
     for _ in range(MAX_DEPTH):
-        level = [inner for outer in level for inner in _members(outer)]
-    return any(isinstance(member, (dict, list)) for member in level)
+        level = [inner for outer in level for inner in _list_elements(outer)]
+    return any(isinstance(element, (dict, list)) for element in level)
 
 
-def _members(outer: Any) -> list[Any]:
+def _list_elements(outer: Any) -> list[Any]:
     if isinstance(outer, dict):
         return list(outer.values())
     return outer if isinstance(outer, list) else []
 
 
-def _without_duplicates(pairs: list[tuple[str, Any]]) -> Document:
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> Document:
     document: Document = {}
-    for key, member in pairs:
+    for key, element in pairs:
         if key in document:
             raise ValueError(f'key "{key}" occurs twice')
-        document[key] = member
+        document[key] = element
     return document
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f'{name} is not a JSON number')
--- a/sardineproxy/logs.py
+++ b/sardineproxy/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, with a fixed prefix for each part."""
+"""Logging: one JSON object per line, with a message prefix per subsystem."""
 
 import asyncio
 import collections
@@ -12,43 +12,43 @@
 
 
 class _PrefixAdapter(logging.LoggerAdapter):
-    """Puts a part's prefix before each message."""
+    """Adds the prefix of a subsystem to each message."""
 
     def process(
         self, msg: Any, kwargs: MutableMapping[str, Any]
     ) -> tuple[Any, MutableMapping[str, Any]]:
-        """Return the prefixed message; ``extra`` fields stay as given."""
+        """Return the prefixed message; keep the caller's ``extra`` fields."""
         assert self.extra is not None
         return f'{self.extra["prefix"]}: {msg}', kwargs
 
 
 def get_logger(prefix: str) -> logging.LoggerAdapter:
-    """Return the logger of one part, such as ``peer``."""
+    """Return the logger of a subsystem, such as ``peer``."""
     return _PrefixAdapter(
         logging.getLogger(f'sardineproxy.{prefix}'), {'prefix': prefix}
     )
 
 
-#: Most bytes of lines that wait for a slow reader of the logs.
+#: Buffer limit, in bytes, while the reader of the logs is slow.
 MAX_PENDING_BYTES = 262_144
 
-#: Most lines below the level WARNING in a second, and in one burst.
+#: Rate limit and burst of lines below the level WARNING.
 LINES_PER_S = 400
 LINES_BURST = 800
 
-#: Pause before pending lines are offered again, in seconds.
+#: Delay before pending lines are written again, in seconds.
 FLUSH_RETRY_S = 0.05
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor without ever waiting for it.
+    """Writes lines to a file descriptor without ever blocking.
 
-    Lines over the bounds are dropped; their number is logged as soon as
-    lines are taken again.
+    Lines that exceed the limits are dropped; their number is logged before the
+    next line that is accepted.
     """
 
     def __init__(self, *, fd: int, loop: asyncio.AbstractEventLoop) -> None:
-        """Use a descriptor, which becomes non-blocking."""
+        """Write to ``fd``, which is made non-blocking."""
         super().__init__()
         self._fd = fd
         self._loop = loop
@@ -56,13 +56,13 @@
         self._pending_bytes = 0
         self._is_scheduled = False
         self._dropped = 0
-        self._lines = float(LINES_BURST)
-        self._counted_at = time.monotonic()
+        self._tokens = float(LINES_BURST)
+        self._refilled_at = time.monotonic()
         os.set_blocking(fd, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line, or count it as dropped."""
-        if not self._has_room(record):
+        """Queue a line, or drop and count it."""
+        if not self._accepts(record):
             self._dropped += 1
             return
         if self._dropped:
@@ -74,23 +74,23 @@
             self._loop.call_soon(self._flush)
 
     def close(self) -> None:
-        """Write what is pending as far as the reader takes it."""
+        """Write pending lines as far as possible without blocking."""
         self._flush()
         super().close()
 
-    def _has_room(self, record: logging.LogRecord) -> bool:
+    def _accepts(self, record: logging.LogRecord) -> bool:
         now = time.monotonic()
-        self._lines = min(
-            LINES_BURST, self._lines + (now - self._counted_at) * LINES_PER_S
+        self._tokens = min(
+            LINES_BURST, self._tokens + (now - self._refilled_at) * LINES_PER_S
         )
-        self._counted_at = now
+        self._refilled_at = now
         if self._pending_bytes > MAX_PENDING_BYTES:
             return False
         if record.levelno >= logging.WARNING:
             return True
-        if self._lines < 1:
+        if self._tokens < 1:
             return False
-        self._lines -= 1
+        self._tokens -= 1
         return True
 
     def _queue(self, record: logging.LogRecord) -> None:
@@ -100,19 +100,19 @@
 
     def _flush(self) -> None:
         self._is_scheduled = False
-        text = b''.join(self._pending)
+        pending = b''.join(self._pending)
         self._pending.clear()
         try:
-            written = os.write(self._fd, text) if text else 0
+            written = os.write(self._fd, pending) if pending else 0
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads the logs any more; there is nowhere to say so.
-            written = len(text)
-        rest = text[written:]
-        self._pending_bytes = len(rest)
-        if rest:
-            self._pending.append(rest)
+            # The reader of the logs is gone, so the error cannot be logged.
+            written = len(pending)
+        remaining = pending[written:]
+        self._pending_bytes = len(remaining)
+        if remaining:
+            self._pending.append(remaining)
             self._is_scheduled = True
             self._loop.call_later(FLUSH_RETRY_S, self._flush)
 
@@ -123,21 +123,21 @@
             'name': 'sardineproxy.logs',
             'levelno': logging.WARNING,
             'levelname': 'WARNING',
-            'msg': 'logs: Lines dropped.',
+            'msg': 'logs: Lines dropped: too many lines or a slow reader.',
             'count': count,
         }
     )
 
 
 def configure(*, stream: TextIO | None = None) -> None:
-    """Send all logs to ``stream``, by default standard error."""
+    """Write all logs to ``stream``, by default standard error."""
     _install(logging.StreamHandler(stream or sys.stderr))
 
 
 def configure_bounded(
     *, fd: int, loop: asyncio.AbstractEventLoop
 ) -> BoundedHandler:
-    """Send all logs to a descriptor without waiting for its reader."""
+    """Write all logs to a file descriptor without ever blocking."""
     handler = BoundedHandler(fd=fd, loop=loop)
     _install(handler)
     return handler
--- a/sardineproxy/problems.py
+++ b/sardineproxy/problems.py
@@ -1,4 +1,4 @@
-"""Typed refusals and failures that callers receive (RFC 9457)."""
+"""Problem details of refusals and failures, sent to callers (RFC 9457)."""
 
 import dataclasses
 
@@ -9,24 +9,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Problem:
-    """A refusal or failure that a program can branch on."""
+    """A refusal or failure in machine-readable form."""
 
-    #: Stable name of the cause, such as ``rate_limited``.
+    #: Stable identifier of the cause, such as ``rate_limited``.
     code: str
 
     #: What the caller may conclude about its request.
     verdict: verdicts.Verdict
 
-    #: HTTP status code of the answer.
+    #: HTTP status code of the response.
     status: int
 
-    #: One sentence for a person.
+    #: One sentence in plain English.
     detail: str
 
-    #: Seconds after which to try again, or None if trying again is no use.
+    #: Seconds after which to retry, or None if a retry cannot succeed.
     retry_after_s: float | None = None
 
-    #: False if asking again with the same key may give a better verdict.
+    #: False if a retry with the same key may return a more definite verdict.
     final: bool = True
 
 
@@ -37,7 +37,7 @@
     detail: str,
     retry_after_s: float | None = None,
 ) -> Problem:
-    """Return a problem that says for certain that nothing was run."""
+    """Return a problem of a request that certainly did not run."""
     return Problem(
         code=code,
         verdict=verdicts.Verdict.NOT_RUN,
@@ -55,7 +55,7 @@
     retry_after_s: float | None = None,
     final: bool = True,
 ) -> Problem:
-    """Return a problem that leaves open whether the request ran."""
+    """Return a problem of a request that may or may not have run."""
     return Problem(
         code=code,
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
--- a/sardineproxy/verdicts.py
+++ b/sardineproxy/verdicts.py
@@ -1,4 +1,4 @@
-"""What is known about whether a request ran."""
+"""Verdicts: whether a request ran, as far as is known."""
 
 import enum
 
@@ -9,11 +9,12 @@
     #: Nothing of the request was written to any endpoint's connection.
     NOT_RUN = 'not_run'
 
-    #: The endpoint's whole answer is at hand.
+    #: The endpoint's complete response was received.
     RAN = 'ran'
 
-    #: The endpoint's whole answer is at hand and has an error status.
+    #: The endpoint's complete response was received and has an error status.
     RAN_AND_FAILED = 'ran_and_failed'
 
-    #: A byte may have left and no whole answer came back.
+    #: Bytes of the request may have been sent, and no complete response was
+    #: received.
     MAY_HAVE_RUN = 'may_have_run'
