--- a/sardineproxy/operator/applying.py
+++ b/sardineproxy/operator/applying.py
@@ -1,4 +1,4 @@
-"""Make a new configuration version, if nobody else made one first."""
+"""Makes a new configuration version unless another operator made one first."""
 
 import dataclasses
 
@@ -8,13 +8,13 @@
 from sardineproxy.process import platform, store
 from sardineproxy.version import codec, fetching, versions
 
-#: Reads of the newest version before giving up because it keeps changing.
+#: Attempts to read the newest version, which may change during each of them.
 MAX_READS = 5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ApplyRequest:
-    """What one run of ``apply`` asks for."""
+    """Contracts that an ``apply`` command sets, and the version they change."""
 
     documents: versions.Documents
     base: int
@@ -23,8 +23,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Newest:
-    """The newest version, and the revision of the head's row."""
+class NewestVersion:
+    """The newest version, and the revision of the row of its head."""
 
     head: versions.Head | None
     revision: int
@@ -33,35 +33,38 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Applied:
-    """This run made the version."""
+    """This command made the version."""
 
     head: versions.Head
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unchanged:
-    """The base has exactly the wanted contracts."""
+    """The base already has exactly the requested contracts."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AlreadyApplied:
-    """The newest version was made from the base with the wanted contracts."""
+    """The newest version has the requested contracts and follows the base.
+
+    It was made by an earlier attempt or by another operator.
+    """
 
     head: versions.Head
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Lost:
-    """Another change came first; nothing of this run was written."""
+class Conflict:
+    """Another change was made first; this command wrote nothing."""
 
-    #: The change that was made from the base, if it could be read.
-    winner: versions.Head | None
+    #: The change that was made from the base, None if it is missing.
+    first_change: versions.Head | None
     newest: versions.Head
 
-    #: Whether the winner had exactly the wanted contracts.
-    was_wanted: bool
+    #: Whether ``first_change`` has exactly the requested contracts.
+    had_same_contracts: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -71,35 +74,39 @@
     newest: int
 
 
-Outcome = Applied | Unchanged | AlreadyApplied | Lost | NoSuchBase
-Applying = result.Result[Outcome, store.StoreError]
+Outcome = Applied | Unchanged | AlreadyApplied | Conflict | NoSuchBase
+ApplyResult = result.Result[Outcome, store.StoreError]
 
 
 async def read_newest(
     client: platform.Platform,
-) -> result.Result[Newest, store.StoreError]:
-    """Return the newest version by strict reads."""
-    reads = 0
-    while reads < MAX_READS:
-        reads += 1
-        newest = await _read_once(client)
+) -> result.Result[NewestVersion, store.StoreError]:
+    """Return the newest version, read with strict consistency."""
+    attempts = 0
+    while attempts < MAX_READS:
+        attempts += 1
+        newest = await _try_read_newest(client)
         if isinstance(newest, result.Err):
             return newest
         if newest.ok_value is not None:
             return result.Ok(newest.ok_value)
-    return _invalid('the newest version changes faster than it can be read')
+    return _invalid_data(
+        'the newest version changes faster than it can be read'
+    )
 
 
-async def apply(client: platform.Platform, wanted: ApplyRequest) -> Applying:
+async def apply(
+    client: platform.Platform, request: ApplyRequest
+) -> ApplyResult:
     """Make version ``base + 1`` if the newest version is ``base``."""
     newest = await read_newest(client)
     if isinstance(newest, result.Err):
         return newest
-    if newest.ok_value.snapshot.number != wanted.base:
-        return await _judge(client, wanted, newest.ok_value)
-    if newest.ok_value.snapshot.documents == wanted.documents:
-        return result.Ok(Unchanged(number=wanted.base))
-    written = await _write(client, wanted, newest.ok_value)
+    if newest.ok_value.snapshot.number != request.base:
+        return await _classify_mismatch(client, request, newest.ok_value)
+    if newest.ok_value.snapshot.documents == request.documents:
+        return result.Ok(Unchanged(number=request.base))
+    written = await _write_version(client, request, newest.ok_value)
     if isinstance(written, result.Ok):
         return result.Ok(Applied(head=written.ok_value))
     if written.err_value.kind is not store.ErrorKind.CONFLICT:
@@ -107,21 +114,23 @@
     newest = await read_newest(client)
     if isinstance(newest, result.Err):
         return newest
-    if newest.ok_value.snapshot.number == wanted.base:
+    if newest.ok_value.snapshot.number == request.base:
         return written
-    return await _judge(client, wanted, newest.ok_value)
+    return await _classify_mismatch(client, request, newest.ok_value)
 
 
-async def _read_once(
+async def _try_read_newest(
     client: platform.Platform,
-) -> result.Result[Newest | None, store.StoreError]:
+) -> result.Result[NewestVersion | None, store.StoreError]:
     """Return the newest version, or None if it changed during the read."""
     read = await fetching.read_head(client, strict=True)
     if isinstance(read, result.Err):
         return read
     head, revision = read.ok_value.head, read.ok_value.revision
     if head is None:
-        return result.Ok(Newest(head=None, revision=0, snapshot=versions.EMPTY))
+        return result.Ok(
+            NewestVersion(head=None, revision=0, snapshot=versions.EMPTY)
+        )
     fetched = await fetching.catch_up(
         client, base=versions.EMPTY, head=head, strict=True
     )
@@ -131,33 +140,33 @@
     if snapshot.number > head.number:
         return result.Ok(None)
     if snapshot.number < head.number:
-        return _invalid(
-            f'version {head.number} cannot be read: {fetched.ok_value.fault}'
+        return _invalid_data(
+            f'cannot read version {head.number}: {fetched.ok_value.fault}'
         )
-    return _agree(head, revision, snapshot)
+    return _verify_digest(head, revision, snapshot)
 
 
-async def _write(
-    client: platform.Platform, wanted: ApplyRequest, newest: Newest
+async def _write_version(
+    client: platform.Platform, request: ApplyRequest, newest: NewestVersion
 ) -> result.Result[versions.Head, store.StoreError]:
     head = versions.Head(
-        number=ids.VersionNumber(wanted.base + 1),
-        digest=versions.compute_digest(wanted.documents),
-        operator=wanted.operator,
-        apply_id=wanted.apply_id,
+        number=ids.VersionNumber(request.base + 1),
+        digest=versions.compute_digest(request.documents),
+        operator=request.operator,
+        apply_id=request.apply_id,
     )
     changed, removed = versions.diff_documents(
-        newest.snapshot.documents, wanted.documents
+        newest.snapshot.documents, request.documents
     )
     body = codec.encode_change(
         versions.Change(head=head, documents=changed, removed=removed)
     )
     if len(body) > codec.MAX_CHANGE_BYTES:
-        return _invalid(
+        return _invalid_data(
             f'the change has {len(body)} bytes, at most '
             f'{codec.MAX_CHANGE_BYTES} are accepted; apply it in parts'
         )
-    stored = await _store_snapshot(client, head, wanted.documents)
+    stored = await _store_snapshot(client, head, request.documents)
     if isinstance(stored, result.Err):
         return stored
     written = await client.transact(
@@ -177,10 +186,10 @@
     head: versions.Head,
     documents: versions.Documents,
 ) -> result.Result[None, store.StoreError]:
-    """Write the snapshot object before its version exists.
+    """Write the snapshot object, if the version needs one, before the version.
 
-    A version whose operator fails after the transaction then still has its
-    snapshot.
+    The version then has its snapshot even if the command is interrupted after
+    the transaction.
     """
     if head.number % fetching.SNAPSHOT_EVERY:
         return result.Ok(None)
@@ -191,7 +200,8 @@
         fetching.snapshot_name(head.number, head.digest),
         codec.encode_snapshot(snapshot),
     )
-    # No version refers to the object yet, so its fate changes nothing.
+    # No version refers to the object yet, so it does not matter whether a
+    # failed write took effect.
     return stored.map_err(
         lambda error: store.StoreError(
             kind=store.ErrorKind.UNAVAILABLE, detail=error.detail
@@ -199,41 +209,44 @@
     )
 
 
-async def _judge(
-    client: platform.Platform, wanted: ApplyRequest, newest: Newest
-) -> Applying:
-    """Tell an earlier run of the same apply from another operator's."""
+async def _classify_mismatch(
+    client: platform.Platform, request: ApplyRequest, newest: NewestVersion
+) -> ApplyResult:
+    """Return why the newest version is not the base of the request."""
     head = newest.head
-    if head is None or head.number < wanted.base:
+    if head is None or head.number < request.base:
         return result.Ok(NoSuchBase(newest=newest.snapshot.number))
-    digest = versions.compute_digest(wanted.documents)
-    if head.number == wanted.base + 1 and head.digest == digest:
+    digest = versions.compute_digest(request.documents)
+    if head.number == request.base + 1 and head.digest == digest:
         return result.Ok(AlreadyApplied(head=head))
-    winner = await fetching.read_change(client, wanted.base + 1)
-    if isinstance(winner, result.Err):
-        return winner
-    found = winner.ok_value
+    read = await fetching.read_change(client, request.base + 1)
+    if isinstance(read, result.Err):
+        return read
+    change = read.ok_value
     return result.Ok(
-        Lost(
-            winner=None if found is None else found.head,
+        Conflict(
+            first_change=None if change is None else change.head,
             newest=head,
-            was_wanted=found is not None and found.head.digest == digest,
+            had_same_contracts=change is not None
+            and change.head.digest == digest,
         )
     )
 
 
-def _agree(
+def _verify_digest(
     head: versions.Head, revision: int, snapshot: versions.Snapshot
-) -> result.Result[Newest | None, store.StoreError]:
+) -> result.Result[NewestVersion | None, store.StoreError]:
     if head.digest != snapshot.digest:
-        return _invalid(
+        return _invalid_data(
             f'the head states digest {head.digest} for version '
-            f'{head.number}, its changes lead to {snapshot.digest}'
+            f'{head.number}, but its changes result in {snapshot.digest}'
         )
-    return result.Ok(Newest(head=head, revision=revision, snapshot=snapshot))
+    return result.Ok(
+        NewestVersion(head=head, revision=revision, snapshot=snapshot)
+    )
 
 
-def _invalid(detail: str) -> result.Err[store.StoreError]:
+def _invalid_data(detail: str) -> result.Err[store.StoreError]:
     return result.Err(
         store.StoreError(kind=store.ErrorKind.INVALID, detail=detail)
     )
--- a/sardineproxy/operator/core.py
+++ b/sardineproxy/operator/core.py
@@ -1,4 +1,4 @@
-"""Program: the operator's commands, ``sardineproxyctl``."""
+"""The program ``sardineproxyctl``, with which operators manage versions."""
 
 import asyncio
 import types
@@ -37,27 +37,27 @@
     argv: list[str], env: environment.Environment | None = None
 ) -> exit_status.ExitStatus:
     """Run the command that ``argv`` names."""
-    env = env or environment.of_process()
+    env = env or environment.from_process()
     values = options.make_flags()
     try:
-        rest = values(argv)[1:]
+        arguments = values(argv)[1:]
     except flags.Error as exc:
-        return _refuse(env, str(exc))
+        return _report_usage_error(env, str(exc))
     if values.help:
         env.stdout.write(options.help_text(values))
         return exit_status.ExitStatus.SUCCESS
-    name = rest[0] if rest else ''
+    name = arguments[0] if arguments else ''
     if name not in _COMMANDS:
-        accepted = ', '.join(_COMMANDS)
-        return _refuse(env, f'Expected one of the commands {accepted}')
-    parsed = options.parse(name, rest[1:], values)
+        names = ', '.join(_COMMANDS)
+        return _report_usage_error(env, f'Expected one of the commands {names}')
+    parsed = options.parse(name, arguments[1:], values)
     if parsed.is_err():
-        return _refuse(env, parsed.unwrap_err())
+        return _report_usage_error(env, parsed.unwrap_err())
     try:
         return asyncio.run(_run(_COMMANDS[name], env, parsed.unwrap()))
     except KeyboardInterrupt:
-        env.complain(
-            'Interrupted; an apply may have taken effect, run it again.'
+        env.print_error(
+            'Interrupted; an apply command may have taken effect, run it again.'
         )
         return exit_status.ExitStatus.UNKNOWN
 
@@ -68,8 +68,8 @@
     return await command(env, opts)
 
 
-def _refuse(
+def _report_usage_error(
     env: environment.Environment, reason: str
 ) -> exit_status.ExitStatus:
-    env.complain(f'{reason}; see --help.')
+    env.print_error(f'{reason}; see --help.')
     return exit_status.ExitStatus.USAGE
--- a/sardineproxy/operator/environment.py
+++ b/sardineproxy/operator/environment.py
@@ -1,4 +1,4 @@
-"""What the outside gives to the operator's program."""
+"""Standard streams and random numbers of the operator's program."""
 
 import dataclasses
 import random
@@ -10,29 +10,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Environment:
-    """Streams and random numbers of one run."""
+    """Streams and random numbers of one command."""
 
     stdin: TextIO
     stdout: TextIO
     stderr: TextIO
     rng: random.Random
 
-    def say(self, line: str) -> None:
-        """Print one line of the command's result."""
+    def print_result(self, line: str) -> None:
+        """Print one line of the command's output."""
         self.stdout.write(f'{line}\n')
 
-    def complain(self, line: str) -> None:
-        """Print one line about a failure.
+    def print_error(self, line: str) -> None:
+        """Print one line that describes a failure.
 
-        Parts of it may come from a server, so control characters are shown
-        as question marks.
+        Control characters are replaced by question marks because parts of the
+        line may come from a server.
         """
-        shown = ''.join(char if char.isprintable() else '?' for char in line)
-        self.stderr.write(f'{shown}\n')
+        printable = ''.join(
+            char if char.isprintable() else '?' for char in line
+        )
+        self.stderr.write(f'{printable}\n')
 
 
-def of_process() -> Environment:
-    """Return the environment of this process."""
+def from_process() -> Environment:
+    """Return the streams of this process and a randomly seeded generator."""
     return Environment(
         stdin=sys.stdin,
         stdout=sys.stdout,
--- a/sardineproxy/operator/fleet.py
+++ b/sardineproxy/operator/fleet.py
@@ -1,4 +1,4 @@
-"""Commands that ask entry VMs."""
+"""Commands that query entry VMs."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _InForce:
+class _ActiveVersion:
     vm: str
     number: int
     digest: str
@@ -28,7 +28,7 @@
 async def versions(
     env: environment.Environment, opts: options.Options
 ) -> _Status:
-    """Show which version is in force on each entry VM."""
+    """Show the active version of each entry VM."""
     async with aiohttp.ClientSession() as session:
         answers = await asyncio.gather(
             *(
@@ -36,17 +36,17 @@
                 for address in opts.admin
             )
         )
-    found: list[_InForce] = []
+    active: list[_ActiveVersion] = []
     for address, answer in zip(opts.admin, answers):
-        in_force = answer.and_then(_to_in_force)
-        if isinstance(in_force, result.Err):
-            env.complain(f'{address}: {in_force.err_value}')
+        version = answer.and_then(_to_active_version)
+        if isinstance(version, result.Err):
+            env.print_error(f'{address}: {version.err_value}')
             continue
-        found.append(in_force.ok_value)
-        env.say(_in_force_line(in_force.ok_value))
-    if len(found) < len(opts.admin):
+        active.append(version.ok_value)
+        env.print_result(_format_active_version(version.ok_value))
+    if len(active) < len(opts.admin):
         return _Status.UNAVAILABLE
-    return _compare(env, found)
+    return _compare(env, active)
 
 
 async def state(env: environment.Environment, opts: options.Options) -> _Status:
@@ -54,9 +54,9 @@
     async with aiohttp.ClientSession() as session:
         answer = await _read_state(session, opts.admin[0], opts.timeout_s)
     if isinstance(answer, result.Err):
-        env.complain(f'{opts.admin[0]}: {answer.err_value}')
+        env.print_error(f'{opts.admin[0]}: {answer.err_value}')
         return _Status.UNAVAILABLE
-    env.say(json.dumps(answer.ok_value, indent=2, sort_keys=True))
+    env.print_result(json.dumps(answer.ok_value, indent=2, sort_keys=True))
     return _Status.SUCCESS
 
 
@@ -76,14 +76,14 @@
     except (aiohttp.ClientError, TimeoutError, OSError) as exc:
         return result.Err(f'no answer: {exc or type(exc).__name__}')
     if status != 200:
-        return result.Err(f'answered with status {status}')
+        return result.Err(f'response has status {status}')
     return json_text.parse_object(
         body.decode(errors='replace'), max_bytes=MAX_STATE_BYTES, comments=False
     )
 
 
 async def _read_bounded(reply: aiohttp.ClientResponse) -> bytes:
-    """Return the answer, cut one byte over the bound."""
+    """Return the response body, truncated one byte after the limit."""
     body = bytearray()
     async for chunk in reply.content.iter_chunked(65_536):
         body += chunk
@@ -92,13 +92,15 @@
     return bytes(body[: MAX_STATE_BYTES + 1])
 
 
-def _to_in_force(document: dict[str, Any]) -> result.Result[_InForce, str]:
+def _to_active_version(
+    document: dict[str, Any],
+) -> result.Result[_ActiveVersion, str]:
     config = document.get('config')
     if not isinstance(config, dict):
-        return result.Err('answered without "config"')
+        return result.Err('state dump has no "config"')
     number, digest = config.get('number'), config.get('digest')
     return result.Ok(
-        _InForce(
+        _ActiveVersion(
             vm=str(document.get('vm')),
             number=number if isinstance(number, int) else 0,
             digest=digest if isinstance(digest, str) else '',
@@ -106,19 +108,23 @@
     )
 
 
-def _in_force_line(in_force: _InForce) -> str:
-    if not in_force.number:
-        return f'{in_force.vm}  no version yet'
-    return f'{in_force.vm}  {in_force.number}  {in_force.digest}'
+def _format_active_version(version: _ActiveVersion) -> str:
+    if not version.number:
+        return f'{version.vm}  no version yet'
+    return f'{version.vm}  {version.number}  {version.digest}'
 
 
-def _compare(env: environment.Environment, found: list[_InForce]) -> _Status:
-    numbers = sorted({member.number for member in found})
-    identities = {(member.number, member.digest) for member in found}
+def _compare(
+    env: environment.Environment, active: list[_ActiveVersion]
+) -> _Status:
+    numbers = sorted({version.number for version in active})
+    identities = {(version.number, version.digest) for version in active}
     if len(identities) > len(numbers):
-        env.complain('VMs have the same version number with other contracts.')
+        env.print_error(
+            'VMs have different contracts under the same version number.'
+        )
         return _Status.ERROR
     if len(numbers) > 1:
-        listed = ', '.join(str(number) for number in numbers)
-        env.say(f'Versions in force: {listed}.')
+        joined = ', '.join(str(number) for number in numbers)
+        env.print_result(f'Versions in force: {joined}.')
     return _Status.SUCCESS
--- a/sardineproxy/operator/options.py
+++ b/sardineproxy/operator/options.py
@@ -1,4 +1,4 @@
-"""Command line of the operator's program."""
+"""Command line of ``sardineproxyctl``."""
 
 import dataclasses
 import ipaddress
@@ -30,13 +30,13 @@
   hash-credential       Read a credential from standard input and print the
                         hash that belongs in a contract.
 
-diff, apply and history need --platform HOST:PORT. Hosts are IP numbers.
+diff, apply and history need --platform HOST:PORT. Hosts are IP addresses.
 
 Exit statuses:
-  0  done                     4  another operator's change came first
-  1  failed                   5  platform or entry VM could not be reached
-  2  command line is wrong    6  outcome of a write is unknown: run the same
-  3  contracts are wrong         command again
+  0  success                  4  another operator made a change first
+  1  failure                  5  platform or entry VM cannot be reached
+  2  invalid command line     6  outcome of a write is unknown: run the same
+  3  invalid contracts           command again
 
 Example: raise a limit in contracts/, then
   sardineproxyctl check contracts
@@ -54,20 +54,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HostPort:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return the form that the command line accepts."""
+        """Return the address as the command line accepts it."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Options:
-    """Checked arguments and flags; None where a command needs none."""
+    """Validated arguments and flags; None for those that are not given."""
 
     directory: pathlib.Path | None
     platform: HostPort | None
@@ -79,7 +79,7 @@
 
 
 def make_flags() -> flags.FlagValues:
-    """Return the program's flags, which may stand before or after DIR."""
+    """Return the program's flags, which may precede or follow DIR."""
     values = flags.FlagValues()
     values.set_gnu_getopt()
     flags.DEFINE_string(
@@ -94,20 +94,20 @@
     flags.DEFINE_integer(
         'base',
         None,
-        'Version that the contracts were changed from; 0 for the first.',
+        'Version that the contracts are based on; 0 for the first.',
         lower_bound=0,
         flag_values=values,
     )
     flags.DEFINE_string(
         'operator',
         None,
-        'Your name, which other operators are shown.',
+        'Your name, shown to other operators.',
         flag_values=values,
     )
     flags.DEFINE_integer(
         'limit',
         20,
-        'Versions that history shows.',
+        'Number of versions that history shows.',
         lower_bound=1,
         upper_bound=1000,
         flag_values=values,
@@ -115,7 +115,7 @@
     flags.DEFINE_float(
         'timeout_s',
         10,
-        'Longest wait for one answer, in seconds.',
+        'Timeout of one request, in seconds.',
         lower_bound=0.1,
         upper_bound=600,
         flag_values=values,
@@ -134,15 +134,15 @@
 def parse(
     name: str, arguments: Sequence[str], values: flags.FlagValues
 ) -> result.Result[Options, str]:
-    """Check what the command needs; the error is a clause for a person."""
+    """Validate the command's arguments and flags; the error is a clause."""
     expected = 1 if name in _NEEDS_DIRECTORY else 0
     if len(arguments) != expected:
         return result.Err(
-            f'{name} takes {expected} arguments, found {len(arguments)}'
+            f'{name} expects {expected} arguments, found {len(arguments)}'
         )
     missing = _find_missing(name, values)
     if missing:
-        return result.Err(f'{name} needs {missing}')
+        return result.Err(f'{name} requires {missing}')
     admin = _parse_addresses(values.admin)
     if isinstance(admin, result.Err):
         return admin
@@ -169,7 +169,7 @@
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        return result.Err(f'expected IP-NUMBER:PORT, found "{text}"')
+        return result.Err(f'expected IP-ADDRESS:PORT, found "{text}"')
     is_port = port.isascii() and port.isdigit()
     if not is_port or not 1 <= int(port) <= _MAX_PORT:
         return result.Err(f'expected a port from 1 to 65535, found "{text}"')
@@ -179,13 +179,13 @@
 def _parse_addresses(
     texts: Sequence[str],
 ) -> result.Result[tuple[HostPort, ...], str]:
-    found: list[HostPort] = []
+    addresses: list[HostPort] = []
     for text in texts:
         address = parse_address(text)
         if isinstance(address, result.Err):
             return address
-        found.append(address.ok_value)
-    return result.Ok(tuple(found))
+        addresses.append(address.ok_value)
+    return result.Ok(tuple(addresses))
 
 
 def _find_missing(name: str, values: flags.FlagValues) -> str | None:
--- a/tests/operator/test_applying.py
+++ b/tests/operator/test_applying.py
@@ -51,7 +51,7 @@
         )
         lost = await samples.apply(rival, 0, 'ann', acme=1)
         self.assertThat(
-            (lost.newest.operator, lost.was_wanted),
+            (lost.newest.operator, lost.had_same_contracts),
             matchers.Equals(('bob', False)),
         )
 
@@ -73,7 +73,11 @@
         await samples.apply(client, 1, 'cat', acme=1)
         lost = await samples.apply(client, 0, 'ann', acme=1)
         self.assertThat(
-            (lost.winner.operator, lost.newest.operator, lost.was_wanted),
+            (
+                lost.first_change.operator,
+                lost.newest.operator,
+                lost.had_same_contracts,
+            ),
             matchers.Equals(('bob', 'cat', False)),
         )
 
--- a/tests/operator/test_core.py
+++ b/tests/operator/test_core.py
@@ -149,7 +149,7 @@
                 'Nothing was changed',
             ),
             (('apply', good, *address), ExitStatus.USAGE, '--base N'),
-            (('history', '--platform', 'db:1'), ExitStatus.USAGE, 'IP-NUMBER'),
+            (('history', '--platform', 'db:1'), ExitStatus.USAGE, 'IP-ADDRESS'),
             (('history', '--platfrom', 'x'), ExitStatus.USAGE, '--help'),
             (('aply',), ExitStatus.USAGE, 'check, diff, apply'),
             ((*ahead, '0', 'x', *address), ExitStatus.USAGE, 'found 2'),
@@ -206,7 +206,11 @@
         for addresses, status, expected in (
             ((first,), ExitStatus.SUCCESS, 'vm-1  3  aa\n'),
             ((first, later), ExitStatus.SUCCESS, 'in force: 3, 4.'),
-            ((later, other), ExitStatus.ERROR, 'with other contracts'),
+            (
+                (later, other),
+                ExitStatus.ERROR,
+                'different contracts under the same version number',
+            ),
             ((none_yet,), ExitStatus.SUCCESS, 'vm-4  no version yet'),
             ((first, _REFUSED), ExitStatus.UNAVAILABLE, f'{_REFUSED}: no'),
         ):
