--- a/deploy/make_variant.py
+++ b/deploy/make_variant.py
@@ -1,9 +1,9 @@
-"""Write a copy of a site file whose jobs are stored ones, for trials.
+"""Writes a variant of a site file, for tests, in which all jobs are stored.
 
     python3 deploy/make_variant.py SITE.toml COPY.toml [STEPS]
 
-STEPS is the mean number of steps of a job. The site's wire.json must lie
-beside the copy.
+STEPS is the mean number of steps of a job, 1 by default. The site's wire.json
+must be in the directory of the copy.
 """
 
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def make_variant(text: str, steps: int) -> str:
-    """Return the site's text with stored jobs of ``steps`` steps."""
+    """Return the contents of the site file with the variant's settings."""
     stored = text.replace('loose = true', 'loose = false')
     return re.sub(
         r'steps = \{ mean = \d+', f'steps = {{ mean = {steps}', stored
--- a/tests/operator/test_core.py
+++ b/tests/operator/test_core.py
@@ -52,9 +52,9 @@
         running = platform_thread.running()
         self.platform = running.__enter__()
         self.addCleanup(running.__exit__, None, None, None)
-        kept = tempfile.TemporaryDirectory()
-        self.addCleanup(kept.cleanup)
-        self.root = pathlib.Path(kept.name)
+        contract_dir = tempfile.TemporaryDirectory()
+        self.addCleanup(contract_dir.cleanup)
+        self.root = pathlib.Path(contract_dir.name)
 
     def test_apply_diff_and_history_agree(self):
         wanted = self.contracts('one', acme=1, beta=1)
--- a/tests/platform/samples.py
+++ b/tests/platform/samples.py
@@ -1,4 +1,4 @@
-"""Documents as the platform sends them."""
+"""Sample documents in the platform's formats."""
 
 import json
 from typing import Any
@@ -35,7 +35,7 @@
 
 
 def worker_entry(**changes: Any) -> dict[str, Any]:
-    """Return a worker's entry in the list."""
+    """Return the entry of a worker in the platform's list."""
     return {
         'service': 's',
         'address': '127.0.0.1:80',
@@ -53,7 +53,7 @@
 
 
 def route(**changes: Any) -> dict[str, Any]:
-    """Return a route of the configuration."""
+    """Return a route of a configuration version."""
     return {
         'name': 'r-1',
         'host': 'a.example',
@@ -70,7 +70,7 @@
 
 
 def configuration(number: int, *routes: dict[str, Any]) -> bytes:
-    """Return a whole configuration."""
+    """Return a configuration version."""
     document = {
         'version': number,
         'routes': list(routes or (route(),)),
--- a/tests/platform/store_server.py
+++ b/tests/platform/store_server.py
@@ -1,4 +1,4 @@
-"""The table service over HTTP, as the platform spells it, with faults."""
+"""HTTP server of the platform's metadata store, with fault injection."""
 
 import asyncio
 import base64
@@ -13,25 +13,25 @@
 from sardineproxy.process import store
 from sardineproxy.standin import endpoint_reset, row_store
 
-#: Step in which a waiting feed looks for changes, in seconds.
-_FEED_STEP_S = 0.01
+#: Interval at which a waiting feed checks for changes, in seconds.
+_FEED_POLL_INTERVAL_S = 0.01
 
 
 class Fault(enum.Enum):
-    """How the service treats a call."""
+    """Fault that the server injects into calls."""
 
     NONE = 'none'
-    BUSY = 'busy'
-    MANY = 'many'
+    UNAVAILABLE = 'busy'
+    TOO_MANY_REQUESTS = 'many'
     RESET = 'reset'
-    SILENT = 'silent'
+    NO_RESPONSE = 'silent'
 
-    #: Writes are done, and the connection ends without an answer.
-    LOST = 'lost'
+    #: The call is executed, and the connection is reset without a response.
+    RESPONSE_LOST = 'lost'
 
 
 class StoreServer:
-    """Serves a ``RowStore``."""
+    """Serves the rows of a ``RowStore``."""
 
     def __init__(
         self, *, rows: row_store.RowStore, rng: random.Random | None = None
@@ -40,16 +40,18 @@
         self.rng = rng or random.Random(1)
         self.fault = Fault.NONE
 
-        #: Share of the calls that the trouble hits.
+        #: Probability that ``fault`` affects a call.
         self.fault_probability: float = 1
         self.delay_s: float = 0
+
+        #: Paths of all calls.
         self.calls: list[str] = []
 
-        #: Changes what is written, such as the addresses of members.
+        #: Modifies each write, for example the addresses of members.
         self.rewrite: Callable[[store.Write], store.Write] = _unchanged
 
     async def listen(self, host: str = '127.0.0.1') -> int:
-        """Serve until the loop ends; return the port."""
+        """Start to serve and return the port."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             web.Server(self.handle, access_log=None), host, 0
@@ -60,18 +62,18 @@
         self.calls.append(req.path)
         if self.delay_s:
             await asyncio.sleep(self.delay_s)
-        is_hit = self.rng.random() < self.fault_probability
-        fault = self.fault if is_hit else Fault.NONE
+        is_affected = self.rng.random() < self.fault_probability
+        fault = self.fault if is_affected else Fault.NONE
         match fault:
-            case Fault.BUSY:
+            case Fault.UNAVAILABLE:
                 return web.Response(status=503)
-            case Fault.MANY:
+            case Fault.TOO_MANY_REQUESTS:
                 return web.Response(status=429)
-            case Fault.SILENT:
+            case Fault.NO_RESPONSE:
                 await asyncio.sleep(3600)
             case Fault.RESET:
                 endpoint_reset.reset(req.transport)
-            case Fault.LOST:
+            case Fault.RESPONSE_LOST:
                 await self._answer(req)
                 endpoint_reset.reset(req.transport)
             case Fault.NONE:
@@ -90,17 +92,17 @@
         return web.Response(status=404)
 
     def _transact(self, document: Any) -> web.Response:
-        done = self.rows.transact(
+        outcome = self.rows.transact(
             conditions=tuple(
                 store.Condition(
-                    key=_key(row), part=row['part'], revision=row['ver']
+                    key=_decode_key(row), part=row['part'], revision=row['ver']
                 )
                 for row in document['expected']
             ),
             writes=tuple(
                 self.rewrite(
                     store.Write(
-                        key=_key(row),
+                        key=_decode_key(row),
                         part=row['part'],
                         body=base64.b64decode(row['value']),
                     )
@@ -108,12 +110,14 @@
                 for row in document['writes']
             ),
             removals=tuple(
-                store.Removal(key=_key(row), part=row['part'])
+                store.Removal(key=_decode_key(row), part=row['part'])
                 for row in document['remove']
             ),
         )
-        if isinstance(done, row_store.Conflict):
-            return self._reply(412, rows=[_encode(row) for row in done.rows])
+        if isinstance(outcome, row_store.Conflict):
+            return self._reply(
+                412, rows=[_encode_row(row) for row in outcome.rows]
+            )
         return self._reply(200)
 
     def _read(self, query: Any) -> web.Response:
@@ -126,24 +130,24 @@
         )
         return self._reply(
             200,
-            rows=[_encode(row) for row in page.rows],
+            rows=[_encode_row(row) for row in page.rows],
             has_more=page.has_more,
         )
 
     async def _feed(self, query: Any) -> web.Response:
         loop = asyncio.get_running_loop()
-        until = loop.time() + int(query.get('wait_ms', 0)) / 1000
+        deadline = loop.time() + int(query.get('wait_ms', 0)) / 1000
         while True:
             page = self.rows.changes(query['table'], after=int(query['after']))
             if page is None:
                 return web.Response(status=410)
-            if page.rows or loop.time() >= until:
+            if page.rows or loop.time() >= deadline:
                 return self._reply(
                     200,
                     ver=page.revision,
-                    rows=[_encode(row) for row in page.rows],
+                    rows=[_encode_row(row) for row in page.rows],
                 )
-            await asyncio.sleep(_FEED_STEP_S)
+            await asyncio.sleep(_FEED_POLL_INTERVAL_S)
 
     def _reply(self, status: int, **fields: Any) -> web.Response:
         now_ms = int(asyncio.get_running_loop().time() * 1000)
@@ -159,11 +163,11 @@
     return write
 
 
-def _key(row: Any) -> str:
+def _decode_key(row: Any) -> str:
     return f'{row["table"]}/{row["key"]}'
 
 
-def _encode(row: store.Row) -> dict[str, Any]:
+def _encode_row(row: store.Row) -> dict[str, Any]:
     table, _, key = row.key.partition('/')
     document = {'table': table, 'part': '', 'key': key, 'ver': row.revision}
     if row.body is None:
--- a/tests/platform/test_client_http.py
+++ b/tests/platform/test_client_http.py
@@ -1,4 +1,4 @@
-"""The clients' listener, over HTTP."""
+"""Tests of the HTTP server for clients and readiness checks."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class Rig:
-    """A front whose node a test plays."""
+    """A request handler with settable outcomes, and a client of its server."""
 
     def __init__(self) -> None:
         body = samples.configuration(7)
@@ -31,12 +31,18 @@
         self.ready = True
         self.recovering = False
         self.outcome: jobs.Outcome = jobs.Completed()
-        self.answer = job_manager.JobReply.ABSENT
-        self.asked: list[tuple[ids.JobId, bool]] = []
+        self.job_reply = job_manager.JobReply.ABSENT
+
+        #: Job and ``cancel`` flag of each query.
+        self.queries: list[tuple[ids.JobId, bool]] = []
+
+        #: Response timeouts of the jobs that were run, in seconds.
         self.waits: list[float] = []
         self.cancelled = 0
-        self.holds = asyncio.Event()
-        self.holds.set()
+
+        #: Jobs end when this event is set.
+        self.may_finish = asyncio.Event()
+        self.may_finish.set()
         self.port = 0
         self.ready_port = 0
         self.session: aiohttp.ClientSession
@@ -52,7 +58,7 @@
     ) -> jobs.Outcome:
         self.waits.append(wait_s)
         try:
-            await self.holds.wait()
+            await self.may_finish.wait()
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -61,13 +67,13 @@
     async def store_job(
         self, job: jobs.Job, route: routes.Route, wait_s: float
     ) -> job_manager.JobReply:
-        return self.answer
+        return self.job_reply
 
     async def query_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
-        self.asked.append((job, cancel))
-        return self.answer
+        self.queries.append((job, cancel))
+        return self.job_reply
 
     def count_unstarted(self, route: routes.Route) -> int:
         return 3
@@ -96,8 +102,8 @@
         ports = vm.free_ports('127.0.0.1')
         rig.port = ports[0]
         rig.ready_port = ports[1]
-        front = client_http.ClientServer(request_handler=rig)
-        await front.start(
+        server = client_http.ClientServer(request_handler=rig)
+        await server.start(
             deployment.Address(host='127.0.0.1', port=rig.port),
             deployment.Address(host='127.0.0.1', port=rig.ready_port),
         )
@@ -106,14 +112,14 @@
                 rig.session = session
                 await scenario(rig)
         finally:
-            await front.close()
+            await server.close()
 
     asyncio.run(main())
 
 
 class TestSubmit(testtools.TestCase):
-    def test_completed_job_is_answered_with_its_state(self) -> None:
-        """Guards against an answer that clients cannot read."""
+    def test_response_contains_state_of_completed_job(self) -> None:
+        """Guards against a response body that clients cannot parse."""
 
         async def scenario(rig: Rig) -> None:
             status, text, _ = await rig.call(
@@ -124,8 +130,11 @@
 
         with_rig(scenario)
 
-    def test_refusal_says_when_to_come_back(self) -> None:
-        """Guards against clients that come back at once."""
+    def test_refusal_has_retry_after_header(self) -> None:
+        """Guards against clients that retry immediately after a refusal.
+
+        Such retries add load while jobs are refused for lack of capacity.
+        """
 
         async def scenario(rig: Rig) -> None:
             rig.outcome = jobs.NotRun(detail='', retry_after_s=1.5)
@@ -134,8 +143,12 @@
 
         with_rig(scenario)
 
-    def test_requests_that_cannot_run_are_refused(self) -> None:
-        """Guards against jobs that begin by mistake."""
+    def test_invalid_requests_are_refused(self) -> None:
+        """Guards against running requests that are not valid jobs.
+
+        They have an unknown route, an invalid id, a malformed or too large
+        body, or an unsupported feature.
+        """
 
         async def scenario(rig: Rig) -> None:
             for path, body, expected in (
@@ -151,10 +164,14 @@
 
         with_rig(scenario)
 
-    def test_nothing_begins_without_a_configuration_or_after_a_stall(
+    def test_requests_are_refused_without_a_configuration_or_after_a_stall(
         self,
     ) -> None:
-        """Guards against work for requests that may be given up already."""
+        """Guards against running requests whose clients may have timed out.
+
+        After a stall, requests are read that arrived while the process did
+        not run.
+        """
 
         async def scenario(rig: Rig) -> None:
             rig.recovering = True
@@ -167,11 +184,11 @@
 
         with_rig(scenario)
 
-    def test_client_that_leaves_ends_its_request(self) -> None:
-        """Guards against work on for clients that are gone."""
+    def test_disconnect_of_the_client_cancels_its_request(self) -> None:
+        """Guards against running jobs whose clients have disconnected."""
 
         async def scenario(rig: Rig) -> None:
-            rig.holds.clear()
+            rig.may_finish.clear()
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.3):
                     await rig.call('POST', JOB, samples.job())
@@ -182,9 +199,9 @@
         with_rig(scenario)
 
 
-class TestQuestions(testtools.TestCase):
+class TestQueries(testtools.TestCase):
     def test_pending_jobs_are_counted(self) -> None:
-        """Guards against an answer under another name."""
+        """Guards against a count that clients cannot find in the response."""
 
         async def scenario(rig: Rig) -> None:
             status, text, _ = await rig.call('GET', '/jobs/')
@@ -192,45 +209,50 @@
 
         with_rig(scenario)
 
-    def test_jobs_that_are_not_stored_are_unknown(self) -> None:
-        """Guards against states that were never kept."""
+    def test_query_of_unknown_job_has_status_410(self) -> None:
+        """Guards against reporting a state for a job that is not stored."""
 
         async def scenario(rig: Rig) -> None:
             self.assertEqual(410, (await rig.call('GET', JOB))[0])
             self.assertEqual(410, (await rig.call('DELETE', JOB))[0])
             job = ids.JobId('5c0e7a21d94b36f8')
-            self.assertEqual([(job, False), (job, True)], rig.asked)
+            self.assertEqual([(job, False), (job, True)], rig.queries)
 
         with_rig(scenario)
 
-    def test_answers_of_keepers_have_their_status(self) -> None:
-        """Guards against refusals of jobs that may be stored."""
+    def test_replies_of_job_managers_map_to_status_codes(self) -> None:
+        """Guards against reporting a job as refused that may be stored.
+
+        If the store's response is lost, the job manager replies UNKNOWN.
+        """
 
         async def scenario(rig: Rig) -> None:
-            answers = job_manager.JobReply
-            for answer, accepted, asked in (
-                (answers.REFUSED, 503, 503),
-                (answers.UNAVAILABLE, 503, 503),
-                (answers.UNKNOWN, 504, 504),
-                (answers.ACCEPTED, 200, None),
-                (answers.RUNNING, None, 200),
-                (answers.CANCELLED, None, 200),
+            replies = job_manager.JobReply
+            for job_reply, post_status, get_status in (
+                (replies.REFUSED, 503, 503),
+                (replies.UNAVAILABLE, 503, 503),
+                (replies.UNKNOWN, 504, 504),
+                (replies.ACCEPTED, 200, None),
+                (replies.RUNNING, None, 200),
+                (replies.CANCELLED, None, 200),
             ):
-                rig.answer = answer
-                if accepted:
+                rig.job_reply = job_reply
+                if post_status:
                     body = samples.job(burstable=False)
-                    reply = await rig.call('POST', JOB, body)
-                    self.assertEqual(accepted, reply[0], answer)
-                if asked:
+                    response = await rig.call('POST', JOB, body)
+                    self.assertEqual(post_status, response[0], job_reply)
+                if get_status:
                     status, text, _ = await rig.call('GET', JOB)
-                    self.assertEqual(asked, status, answer)
-                if asked == 200:
-                    self.assertEqual({'state': answer.value}, json.loads(text))
+                    self.assertEqual(get_status, status, job_reply)
+                if get_status == 200:
+                    self.assertEqual(
+                        {'state': job_reply.value}, json.loads(text)
+                    )
 
         with_rig(scenario)
 
-    def test_readiness_has_an_address_of_its_own(self) -> None:
-        """Guards against a balancer that sends clients to a draining VM."""
+    def test_readiness_is_reported_on_its_own_listener(self) -> None:
+        """Guards against a load balancer that sends clients to a draining VM."""
 
         async def scenario(rig: Rig) -> None:
             rig.port = rig.ready_port
@@ -241,7 +263,10 @@
         with_rig(scenario)
 
     def test_draining_process_closes_connections(self) -> None:
-        """Guards against clients that stay on a VM until its end."""
+        """Guards against clients that keep connections to a VM being drained.
+
+        Their connections would break when the process exits.
+        """
 
         async def scenario(rig: Rig) -> None:
             rig.draining = True
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform sends, decoded into the project's types."""
+"""Tests of decoding settings, worker entries, configurations and jobs."""
 
 import json
 from typing import Any
@@ -53,8 +53,8 @@
 
 
 class TestSettings(testtools.TestCase):
-    def test_times_and_shares_get_their_units(self) -> None:
-        """Guards against milliseconds that are taken for seconds."""
+    def test_times_and_shares_are_converted_to_their_units(self) -> None:
+        """Guards against milliseconds that are interpreted as seconds."""
         cfg = settings.decode(samples.SETTINGS.encode()).ok_value
         self.assertEqual(('z1', 'z2'), cfg.zones)
         self.assertEqual(1, cfg.cores)
@@ -63,20 +63,20 @@
         self.assertEqual('127.0.0.1:8166', str(cfg.peer_listener))
 
     def test_missing_field_is_named(self) -> None:
-        """Guards against an error that does not say what to mend."""
+        """Guards against an error that does not identify the wrong setting."""
         text = samples.SETTINGS.replace('grace_s = 6', '')
         error = settings.decode(text.encode()).err_value
         self.assertThat(error, matchers.Contains('grace_s'))
 
-    def test_text_that_is_no_toml_is_refused(self) -> None:
-        """Guards against a traceback for a half-written file."""
+    def test_invalid_toml_is_an_error(self) -> None:
+        """Guards against an exception while the file is being written."""
         decoded = settings.decode(b'node = "edge')
         self.assertIsInstance(decoded, result.Err)
 
 
-class TestRoster(testtools.TestCase):
-    def test_entry_becomes_a_worker(self) -> None:
-        """Guards against units or states that are mixed up."""
+class TestWorkerEntries(testtools.TestCase):
+    def test_entry_is_decoded_to_a_worker(self) -> None:
+        """Guards against confused units or states."""
         worker = worker_entries.decode(
             _row(samples.worker_entry(state='draining'))
         ).ok_value
@@ -85,8 +85,11 @@
         self.assertEqual(workers.WorkerState.DRAINING, worker.state)
         self.assertEqual(1_700_000_000_000, worker.started_ms)
 
-    def test_foreign_entries_name_no_worker(self) -> None:
-        """Guards against orders to what another writer left."""
+    def test_malformed_entries_are_errors(self) -> None:
+        """Guards against orders to a worker that does not exist.
+
+        Other programs may write malformed entries to the table.
+        """
         for changes in (
             {'state': 'asleep'},
             {'service': 4},
@@ -102,7 +105,7 @@
     @hypothesis.given(strategies.binary(max_size=40))
     @examples.settings()
     def test_any_bytes_are_an_error_or_a_worker(self, body: bytes) -> None:
-        """Guards against a process that stops over an entry."""
+        """Guards against an entry whose contents terminate the process."""
         decoded = worker_entries.decode(
             store.Row(key='servers/i-1', revision=1, body=body)
         )
@@ -111,7 +114,7 @@
 
 class TestConfiguration(testtools.TestCase):
     def test_longest_prefix_of_the_host_wins(self) -> None:
-        """Guards against jobs of one queue run under another."""
+        """Guards against running a job under the route of another queue."""
         body = samples.configuration(
             7,
             samples.route(name='short', path_prefix='/a/'),
@@ -125,21 +128,21 @@
         self.assertIsNone(table.find('a.example', '/b/'))
 
     def test_error_names_the_route(self) -> None:
-        """Guards against an error among a thousand routes without a name."""
+        """Guards against an error that cannot be found in a thousand routes."""
         body = samples.configuration(7, samples.route(max_attempts='many'))
         error = configuration.decode(body).err_value
         self.assertThat(error, matchers.Contains('route r-1: max_attempts'))
 
     @hypothesis.given(_json)
     @examples.settings()
-    def test_any_document_is_decoded_or_refused(self, document: Any) -> None:
-        """Guards against a process that stops over a version."""
+    def test_any_document_is_decoded_or_an_error(self, document: Any) -> None:
+        """Guards against a configuration version that terminates the process."""
         configuration.decode(json.dumps(document).encode())
 
 
 class TestSubmissions(testtools.TestCase):
     def test_job_is_decoded(self) -> None:
-        """Guards against sizes in other units."""
+        """Guards against resources and times in wrong units."""
         job = _decode_job(samples.job()).ok_value
         self.assertEqual(
             jobs.Step(
@@ -153,19 +156,26 @@
         )
 
     def test_job_that_is_not_burstable_is_stored(self) -> None:
-        """Guards against accepted jobs that end with their process."""
+        """Guards against accepted jobs that are lost when a process ends.
+
+        Only jobs that are not burstable survive the process that accepted
+        them.
+        """
         self.assertFalse(_decode_job(samples.job()).ok_value.stored)
         document = samples.job(burstable=False)
         self.assertTrue(_decode_job(document).ok_value.stored)
 
-    def test_placement_wishes_are_decoded(self) -> None:
-        """Guards against tasks far from their data or side by side."""
+    def test_placement_preferences_are_decoded(self) -> None:
+        """Guards against ignoring affinity and anti-affinity.
+
+        Tasks would run far from their data, or too many on one worker.
+        """
         step = {'count': 1, 'affinity': 'r1-3', 'anti_affinity': 2}
         decoded = _decode_job(samples.job(steps=[step])).ok_value.steps[0]
         self.assertEqual(('r1-3', 2), (decoded.rack, decoded.per_worker))
 
-    def test_feature_that_is_not_built_is_named(self) -> None:
-        """Guards against a job that runs without what it asks for."""
+    def test_unsupported_feature_is_named(self) -> None:
+        """Guards against running a job without a feature that it requests."""
         for feature, document in (
             ('daemon', samples.job(steps=[{'count': 1, 'daemon': True}])),
             ('times', samples.job(times=3)),
@@ -174,8 +184,8 @@
             error = _decode_job(document).err_value
             self.assertEqual(submissions.Unsupported(feature=feature), error)
 
-    def test_broken_jobs_are_malformed(self) -> None:
-        """Guards against work for what no client meant."""
+    def test_invalid_jobs_are_malformed(self) -> None:
+        """Guards against running jobs with invalid or missing steps."""
         for document in (
             samples.job(steps=[]),
             samples.job(steps=[{'count': 1, 'after': [0]}]),
@@ -187,8 +197,11 @@
             error = _decode_job(document).err_value
             self.assertIsInstance(error, submissions.Malformed, document)
 
-    def test_job_without_a_proper_id_is_malformed(self) -> None:
-        """Guards against tasks whose names the worker cannot read."""
+    def test_job_without_a_valid_id_is_malformed(self) -> None:
+        """Guards against task names that the worker cannot parse.
+
+        A task's name contains the id of its job.
+        """
         body = json.dumps(samples.job()).encode()
         for name in ('', 'ABCDEF0123456789', JOB_ID[1:], f'{JOB_ID}/x'):
             decoded = submissions.decode_job(name, body)
@@ -196,18 +209,18 @@
 
     @hypothesis.given(_json)
     @examples.settings()
-    def test_any_document_is_answered(self, document: Any) -> None:
-        """Guards against a traceback for a client."""
+    def test_any_document_is_a_job_or_an_error(self, document: Any) -> None:
+        """Guards against an exception while a client's request is decoded."""
         self.assertIsInstance(_decode_job(document), (result.Ok, result.Err))
 
     def test_deep_nesting_is_malformed(self) -> None:
-        """Guards against a parser that runs out of stack."""
+        """Guards against a recursion error in the JSON parser."""
         body = b'[' * 100_000
         error = submissions.decode_job(JOB_ID, body).err_value
         self.assertIsInstance(error, submissions.Malformed)
 
-    def test_outcomes_have_their_status(self) -> None:
-        """Guards against a refusal of what may have run."""
+    def test_outcomes_map_to_status_codes(self) -> None:
+        """Guards against reporting a job as refused that may have run."""
         expected = {
             200: (jobs.Completed(), jobs.Failed(detail='')),
             503: (jobs.NotRun(detail='', retry_after_s=0.2),),
@@ -218,8 +231,8 @@
                 reply = submissions.encode_outcome(outcome)
                 self.assertEqual(status, reply.status)
 
-    def test_refusal_says_when_to_come_back(self) -> None:
-        """Guards against clients that come back at once."""
+    def test_refusal_has_retry_after_header(self) -> None:
+        """Guards against clients that retry immediately after a refusal."""
         self.assertEqual(
             {'Retry-After': '1'}, submissions.make_refusal(0.2).headers
         )
--- a/tests/platform/test_store_http.py
+++ b/tests/platform/test_store_http.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store against a server that misbehaves."""
+"""Tests of the store's client against a server with fault injection."""
 
 import asyncio
 from typing import Any, Callable, Coroutine
@@ -17,7 +17,7 @@
 
 
 class Rig:
-    """A store's server and a client of it."""
+    """A store server and its client."""
 
     def __init__(self) -> None:
         self.rows = row_store.RowStore()
@@ -53,7 +53,10 @@
 
 class TestReading(testtools.TestCase):
     def test_all_pages_of_a_table_are_read(self) -> None:
-        """Guards against workers that are missing in large deployments."""
+        """Guards against missing workers in large deployments.
+
+        Their entries do not fit into one page of the store.
+        """
 
         async def scenario(rig: Rig) -> None:
             for number in range(1203):
@@ -66,8 +69,8 @@
 
         with_rig(scenario)
 
-    def test_changes_come_in_order_with_removals(self) -> None:
-        """Guards against rows that stay after their removal."""
+    def test_changes_are_in_order_and_include_removals(self) -> None:
+        """Guards against keeping rows that have been removed."""
 
         async def scenario(rig: Rig) -> None:
             rig.rows.put('t/a', b'1')
@@ -82,22 +85,22 @@
         with_rig(scenario)
 
     def test_feed_waits_for_a_change(self) -> None:
-        """Guards against a feed that is asked over and over."""
+        """Guards against polling a feed that returns at once without changes."""
 
         async def scenario(rig: Rig) -> None:
-            asked = asyncio.create_task(
+            reading = asyncio.create_task(
                 rig.client.changes('t', after=0, wait_s=20)
             )
             await asyncio.sleep(0.05)
-            self.assertFalse(asked.done())
+            self.assertFalse(reading.done())
             rig.rows.put('t/a', b'1')
-            answer = await asked
+            answer = await reading
             self.assertEqual(1, len(answer.ok_value.rows))
 
         with_rig(scenario)
 
-    def test_lost_history_is_told(self) -> None:
-        """Guards against changes that are missed without a word."""
+    def test_lost_history_is_an_error(self) -> None:
+        """Guards against missing changes that the store no longer lists."""
 
         async def scenario(rig: Rig) -> None:
             rig.rows.put('t/a', b'1')
@@ -107,11 +110,15 @@
 
         with_rig(scenario)
 
-    def test_refused_and_silent_reads_are_unavailable(self) -> None:
-        """Guards against an outage that is taken for an empty table."""
+    def test_refused_and_unanswered_reads_are_unavailable(self) -> None:
+        """Guards against treating an outage as an empty table."""
 
         async def scenario(rig: Rig) -> None:
-            for fault in (_Fault.BUSY, _Fault.MANY, _Fault.SILENT):
+            for fault in (
+                _Fault.UNAVAILABLE,
+                _Fault.TOO_MANY_REQUESTS,
+                _Fault.NO_RESPONSE,
+            ):
                 rig.server.fault = fault
                 answer = await rig.client.read('t')
                 self.assertEqual(_Kind.UNAVAILABLE, kind_of(answer))
@@ -120,8 +127,11 @@
 
 
 class TestWriting(testtools.TestCase):
-    def test_condition_on_a_row_that_changed_is_a_conflict(self) -> None:
-        """Guards against two owners of one epoch."""
+    def test_condition_on_a_changed_row_is_a_conflict(self) -> None:
+        """Guards against two shard leaders with the same fencing token.
+
+        Two processes that read the same row both try to claim it.
+        """
 
         async def scenario(rig: Rig) -> None:
             first = await rig.write('t/a', 0)
@@ -133,27 +143,33 @@
         with_rig(scenario)
 
     def test_refused_write_had_no_effect(self) -> None:
-        """Guards against a claim that is believed lost but stands."""
+        """Guards against reporting a write as failed that took effect.
+
+        A process would not know that it holds a claim.
+        """
 
         async def scenario(rig: Rig) -> None:
-            rig.server.fault = _Fault.BUSY
+            rig.server.fault = _Fault.UNAVAILABLE
             self.assertEqual(_Kind.UNAVAILABLE, kind_of(await rig.write('t/a')))
             self.assertIsNone(rig.rows.get('t/a'))
 
         with_rig(scenario)
 
-    def test_write_without_an_answer_is_unknown(self) -> None:
-        """Guards against a claim that is believed refused but stands."""
+    def test_unanswered_write_is_unknown(self) -> None:
+        """Guards against reporting a write as refused that took effect.
+
+        The store commits the write, and the response is lost.
+        """
 
         async def scenario(rig: Rig) -> None:
-            rig.server.fault = _Fault.LOST
+            rig.server.fault = _Fault.RESPONSE_LOST
             self.assertEqual(_Kind.UNKNOWN, kind_of(await rig.write('t/a')))
             self.assertIsNotNone(rig.rows.get('t/a'))
 
         with_rig(scenario)
 
-    def test_write_that_was_never_sent_had_no_effect(self) -> None:
-        """Guards against doubts about a store that cannot be reached."""
+    def test_unsent_write_had_no_effect(self) -> None:
+        """Guards against an unknown outcome while the store is unreachable."""
 
         async def scenario(rig: Rig) -> None:
             rig.client.set_address(deployment.Address(host='127.0.0.1', port=1))
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -1,4 +1,4 @@
-"""Client of a worker against a modelled worker."""
+"""Tests of the workers' client against a simulated worker."""
 
 import asyncio
 import dataclasses
@@ -14,12 +14,12 @@
 from tests.platform import worker_server
 from tests.process.shards import samples
 
-#: Bound of calls that are answered at once, in seconds.
+#: Timeout of calls that are answered without delay, in seconds.
 LONG_S = 10
 
 
 class Rig:
-    """A worker's server and a client of it."""
+    """A worker server and its client."""
 
     def __init__(self) -> None:
         self.clock = clock.SystemClock()
@@ -77,8 +77,8 @@
 
 
 class TestOrders(testtools.TestCase):
-    def test_started_run_is_listed_and_its_stop_ends_it(self) -> None:
-        """Guards against names that the worker does not understand."""
+    def test_started_run_is_reported_until_it_is_stopped(self) -> None:
+        """Guards against field names that differ from those of the worker."""
 
         async def scenario(rig: Rig) -> None:
             self.assertIsInstance(await rig.start(), workers.Accepted)
@@ -94,8 +94,12 @@
 
         with_rig(scenario)
 
-    def test_each_refusal_has_its_reason(self) -> None:
-        """Guards against a lost right that is taken for a full worker."""
+    def test_refusals_are_decoded_to_their_reasons(self) -> None:
+        """Guards against confusing the reasons for a refusal.
+
+        A leader that has been fenced off must not conclude that the worker is
+        full.
+        """
 
         async def scenario(rig: Rig) -> None:
             await rig.start(fence=5)
@@ -108,8 +112,8 @@
 
         with_rig(scenario)
 
-    def test_unhealthy_worker_has_done_nothing(self) -> None:
-        """Guards against doubt about an order that was refused."""
+    def test_order_refused_with_503_was_not_executed(self) -> None:
+        """Guards against treating a refused order as possibly executed."""
 
         async def scenario(rig: Rig) -> None:
             rig.server.is_unhealthy = True
@@ -118,8 +122,8 @@
 
         with_rig(scenario)
 
-    def test_other_worker_at_the_address_is_told(self) -> None:
-        """Guards against orders to a worker that took over an address."""
+    def test_order_is_refused_by_another_worker_at_the_address(self) -> None:
+        """Guards against orders to a worker that has reused an address."""
 
         async def scenario(rig: Rig) -> None:
             rig.model.worker = dataclasses.replace(
@@ -139,8 +143,11 @@
 
         with_rig(scenario)
 
-    def test_order_without_an_answer_may_have_been_carried_out(self) -> None:
-        """Guards against a second run of what starts late."""
+    def test_unanswered_order_may_have_been_executed(self) -> None:
+        """Guards against running a task twice.
+
+        A worker may execute an order after the call has timed out.
+        """
 
         async def scenario(rig: Rig) -> None:
             rig.server.order_delay_s = LONG_S
@@ -151,7 +158,7 @@
         with_rig(scenario)
 
     def test_order_to_a_closed_port_was_not_sent(self) -> None:
-        """Guards against room that stays taken by what cannot run."""
+        """Guards against reserving capacity for a run that cannot start."""
 
         async def scenario(rig: Rig) -> None:
             rig.server.set_address(1)
@@ -162,8 +169,8 @@
 
 
 class TestPolls(testtools.TestCase):
-    def test_look_waits_for_an_end(self) -> None:
-        """Guards against looks without an end, each of which is priced."""
+    def test_poll_waits_for_a_result(self) -> None:
+        """Guards against repeated polls without results, which have a cost."""
 
         async def scenario(rig: Rig) -> None:
             await rig.start()
@@ -179,8 +186,8 @@
 
         with_rig(scenario)
 
-    def test_acknowledged_ends_are_not_listed_again(self) -> None:
-        """Guards against lists of ends that grow all day."""
+    def test_acknowledged_results_are_not_reported_again(self) -> None:
+        """Guards against reports that grow without limit."""
 
         async def scenario(rig: Rig) -> None:
             await rig.start()
--- a/tests/platform/worker_server.py
+++ b/tests/platform/worker_server.py
@@ -1,4 +1,4 @@
-"""A modelled worker over HTTP, as the platform spells it, with faults."""
+"""HTTP server of a simulated worker, with fault injection."""
 
 import asyncio
 import dataclasses
@@ -11,8 +11,8 @@
 from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
 
-#: Step in which a waiting look checks for new ends, in seconds.
-_LOOK_STEP_S = 0.005
+#: Interval at which a waiting poll checks for results, in seconds.
+_RESULT_CHECK_INTERVAL_S = 0.005
 
 _REASONS = {
     workers.Refusal.FENCED: 'fence',
@@ -22,25 +22,25 @@
 
 
 class WorkerServer:
-    """Serves one ``WorkerModel`` on an address of its own."""
+    """Serves one ``WorkerModel`` on its own address."""
 
     def __init__(self, *, model: worker_model.WorkerModel, clock: Any) -> None:
         self.model = model
         self.clock = clock
 
-        #: Payloads of the orders that came, by task.
+        #: Payloads of the start orders received, by task.
         self.payloads: dict[str, str] = {}
 
-        #: Orders are answered with 503.
+        #: Orders are refused with status 503.
         self.is_unhealthy = False
 
-        #: Orders get no answer and are carried out after this time, in
-        #: seconds; 0 for orders that are carried out at once.
+        #: Orders get no response and are executed after this delay, in seconds;
+        #: 0 if they are executed and answered without delay.
         self.order_delay_s: float = 0
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed_orders: set[asyncio.Task[None]] = set()
 
     async def listen(self, host: str = '127.0.0.1') -> int:
-        """Serve until the loop ends; note the address in the model."""
+        """Start to serve, set the worker's address, and return the port."""
         loop = asyncio.get_running_loop()
         server = await loop.create_server(
             web.Server(self.handle, access_log=None), host, 0
@@ -50,13 +50,13 @@
         return port
 
     def set_address(self, port: int, host: str = '127.0.0.1') -> None:
-        """List another address, such as that of a relay."""
+        """Set the address in the worker's entry, for example to a relay."""
         self.model.worker = dataclasses.replace(
             self.model.worker, address=deployment.Address(host=host, port=port)
         )
 
     def worker_entry(self) -> bytes:
-        """Return what the worker writes into the platform's list."""
+        """Return the worker's entry in the platform's list."""
         worker = self.model.worker
         document = {
             'service': worker.service,
@@ -88,13 +88,13 @@
         if self.is_unhealthy and req.path != '/v1/hold':
             return web.Response(status=503)
         if self.order_delay_s and req.path != '/v1/hold':
-            self._carry_out_late(req.path, document)
+            self._execute_later(req.path, document)
             await asyncio.sleep(3600)
         if req.path == '/v1/hold':
-            await self._wait(document)
-        return self._reply(self._act(req.path, document))
+            await self._wait_for_results(document)
+        return self._reply(self._execute(req.path, document))
 
-    def _act(self, path: str, document: Any) -> Any:
+    def _execute(self, path: str, document: Any) -> Any:
         now = self.clock.now()
         match path:
             case '/v1/run-start':
@@ -116,50 +116,50 @@
                     now,
                 )
             case '/v1/hold':
-                return self.model.poll(_to_look(document), now)
+                return self.model.poll(_decode_poll(document), now)
         return None
 
-    async def _wait(self, document: Any) -> None:
-        """Keep a look open until there is an end; its fence counts at once."""
+    async def _wait_for_results(self, document: Any) -> None:
+        """Delay a poll until there is a result; its fence applies at once."""
         wait_s = document.get('wait_ms', 0) / 1000
-        first = self.model.poll(_to_look(document), self.clock.now())
-        until = self.clock.now() + wait_s
-        while isinstance(first, workers.Report) and self.clock.now() < until:
+        first = self.model.poll(_decode_poll(document), self.clock.now())
+        deadline = self.clock.now() + wait_s
+        while isinstance(first, workers.Report) and self.clock.now() < deadline:
             self.model.advance(self.clock.now())
             if self.model.has_ends(document['acked_through']):
                 return
-            await asyncio.sleep(_LOOK_STEP_S)
+            await asyncio.sleep(_RESULT_CHECK_INTERVAL_S)
 
-    def _carry_out_late(self, path: str, document: Any) -> None:
+    def _execute_later(self, path: str, document: Any) -> None:
         started_ms = self.model.worker.started_ms
 
-        async def later() -> None:
+        async def execute_delayed() -> None:
             await asyncio.sleep(self.order_delay_s)
             if self.model.is_up and self.model.worker.started_ms == started_ms:
-                self._act(path, document)
+                self._execute(path, document)
 
-        task = asyncio.create_task(later())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.create_task(execute_delayed())
+        self._delayed_orders.add(task)
+        task.add_done_callback(self._delayed_orders.discard)
 
-    def _reply(self, answer: Any) -> web.Response:
+    def _reply(self, outcome: Any) -> web.Response:
         document: dict[str, Any] = {
             'clock_ms': self.model.clock_ms(self.clock.now()),
             'born': self.model.worker.started_ms,
         }
         status = 200
-        match answer:
-            case workers.Refused(reason=why):
+        match outcome:
+            case workers.Refused(reason=refusal):
                 status = 409
-                document['reason'] = _REASONS[why]
+                document['reason'] = _REASONS[refusal]
             case workers.Report():
                 document['running'] = [
                     [row.task, row.run, '', row.percent, 0]
-                    for row in answer.active
+                    for row in outcome.active
                 ]
                 document['finished'] = [
-                    [end.position, end.task, end.run, end.result.value, '']
-                    for end in answer.finished
+                    [row.position, row.task, row.run, row.result.value, '']
+                    for row in outcome.finished
                 ]
             case None:
                 return web.Response(status=404)
@@ -170,7 +170,7 @@
         )
 
 
-def _to_look(document: Any) -> workers.Poll:
+def _decode_poll(document: Any) -> workers.Poll:
     return workers.Poll(
         fence=document.get('fence', 0),
         acked=document['acked_through'],
