--- a/tests/operator/test_applying.py
+++ b/tests/operator/test_applying.py
@@ -1,4 +1,4 @@
-"""Interleavings of ``apply`` that a race reaches only by chance."""
+"""Tests of ``apply`` with interleavings that are rare in a real race."""
 
 import result
 import testtools
@@ -12,92 +12,110 @@
 UNAVAILABLE = store.ErrorKind.UNAVAILABLE
 
 
-class Interleaved:
-    """A platform client that runs ``act`` before its first transaction."""
+class InterleavingClient:
+    """A platform client that awaits ``action`` before its first transaction."""
 
-    def __init__(self, client, act):
+    def __init__(self, client, action):
         self._client = client
-        self._act = act
+        self._action = action
 
     def __getattr__(self, name):
         return getattr(self._client, name)
 
     async def transact(self, *, conditions, writes):
-        if self._act is not None:
-            act = self._act
-            self._act = None
-            await act()
+        if self._action is not None:
+            action = self._action
+            self._action = None
+            await action()
         return await self._client.transact(conditions=conditions, writes=writes)
 
 
-class NoObjects(Interleaved):
-    """Loses the answer of each write of an object."""
+class LostObjectWriteClient(InterleavingClient):
+    """A platform client that loses the response to each write of an object."""
 
     async def put_object(self, name, body):
         await self._client.put_object(name, body)
-        lost = store.StoreError(kind=store.ErrorKind.UNKNOWN, detail='reset')
-        return result.Err(lost)
+        error = store.StoreError(kind=store.ErrorKind.UNKNOWN, detail='reset')
+        return result.Err(error)
 
 
 class ApplyTest(testtools.TestCase):
-    """The transaction decides, not what was read before it."""
+    """The transaction determines the outcome, not an earlier read."""
 
     @samples.with_platform
-    async def test_loses_to_a_change_between_its_read_and_its_write(
-        self, client
-    ):
-        rival = Interleaved(
+    async def test_change_between_read_and_write_is_a_conflict(self, client):
+        """Guards against overwriting a version that another operator made.
+
+        The other operator's change is committed after this command has read
+        the newest version.
+        """
+        interleaved = InterleavingClient(
             client, lambda: samples.apply(client, 0, 'bob', acme=2)
         )
-        lost = await samples.apply(rival, 0, 'ann', acme=1)
+        conflict = await samples.apply(interleaved, 0, 'ann', acme=1)
         self.assertThat(
-            (lost.newest.operator, lost.had_same_contracts),
+            (conflict.newest.operator, conflict.had_same_contracts),
             matchers.Equals(('bob', False)),
         )
 
     @samples.with_platform
-    async def test_a_rerun_and_the_first_write_arriving_late_make_one_version(
-        self, client
-    ):
-        late = Interleaved(client, lambda: samples.apply(client, 0, acme=1))
-        outcome = await samples.apply(late, 0, acme=1)
+    async def test_rerun_and_delayed_first_write_make_one_version(self, client):
+        """Guards against a second version for the same contracts.
+
+        The write of the first attempt takes effect after the second attempt has
+        read the newest version.
+        """
+        delayed = InterleavingClient(
+            client, lambda: samples.apply(client, 0, acme=1)
+        )
+        outcome = await samples.apply(delayed, 0, acme=1)
         newest = (await applying.read_newest(client)).unwrap()
         self.assertThat(outcome, matchers.IsInstance(applying.AlreadyApplied))
         self.assertThat(newest.snapshot.number, matchers.Equals(1))
 
     @samples.with_platform
-    async def test_names_the_winner_even_if_the_newest_has_the_wanted_contracts(
-        self, client
-    ):
+    async def test_conflict_names_the_first_change_after_the_base(self, client):
+        """Guards against hiding a change that another operator made first.
+
+        The newest version has the requested contracts, but was made from
+        another base.
+        """
         await samples.apply(client, 0, 'bob', acme=2)
         await samples.apply(client, 1, 'cat', acme=1)
-        lost = await samples.apply(client, 0, 'ann', acme=1)
+        conflict = await samples.apply(client, 0, 'ann', acme=1)
         self.assertThat(
             (
-                lost.first_change.operator,
-                lost.newest.operator,
-                lost.had_same_contracts,
+                conflict.first_change.operator,
+                conflict.newest.operator,
+                conflict.had_same_contracts,
             ),
             matchers.Equals(('bob', 'cat', False)),
         )
 
     @samples.with_platform
-    async def test_no_version_is_made_before_its_snapshot(self, client):
+    async def test_snapshot_is_written_before_its_version(self, client):
+        """Guards against a version without its snapshot.
+
+        The response to the write of the snapshot is lost, so the command must
+        not make the version.
+        """
         for base in range(63):
             await samples.apply(client, base, acme=base + 1)
-        wanted = applying.ApplyRequest(
+        request = applying.ApplyRequest(
             documents={}, base=63, operator='ann', apply_id='1'
         )
-        failed = await applying.apply(NoObjects(client, None), wanted)
-        found = []
+        failed = await applying.apply(
+            LostObjectWriteClient(client, None), request
+        )
+        object_counts = []
 
         async def count_objects():
-            found.append(self.platform.state()['objects'])
+            object_counts.append(self.platform.state()['objects'])
 
-        made = await samples.apply(
-            Interleaved(client, count_objects), 63, beta=1
+        applied = await samples.apply(
+            InterleavingClient(client, count_objects), 63, beta=1
         )
         self.assertThat(failed.unwrap_err().kind, matchers.Is(UNAVAILABLE))
-        self.assertThat(made, matchers.IsInstance(applying.Applied))
+        self.assertThat(applied, matchers.IsInstance(applying.Applied))
         # The object of the failed attempt and that of the version.
-        self.assertThat(found, matchers.Equals([2]))
+        self.assertThat(object_counts, matchers.Equals([2]))
--- a/tests/operator/test_core.py
+++ b/tests/operator/test_core.py
@@ -1,4 +1,4 @@
-"""Operators' commands end in one clear outcome, also when they race."""
+"""Tests of the operators' commands, including concurrent ones."""
 
 import io
 import json
@@ -29,11 +29,11 @@
         self.wfile.write(self.server.body)
 
     def log_message(self, *_):
-        """Print nothing."""
+        """Log nothing."""
 
 
 def run(*argv, stdin=''):
-    """Run one command; returns its status, output and complaints."""
+    """Run one command; return its status, output and error output."""
     env = environment.Environment(
         stdin=io.StringIO(stdin),
         stdout=io.StringIO(),
@@ -45,7 +45,7 @@
 
 
 class CommandTest(testtools.TestCase):
-    """Runs commands against a stand-in platform."""
+    """Commands on contracts and versions, with a stand-in platform."""
 
     def setUp(self):
         super().setUp()
@@ -57,13 +57,13 @@
         self.root = pathlib.Path(contract_dir.name)
 
     def test_apply_diff_and_history_agree(self):
-        wanted = self.contracts('one', acme=1, beta=1)
-        status, said, _ = self.apply(wanted, 0, 'ann')
+        directory = self.contracts('one', acme=1, beta=1)
+        status, output, _ = self.apply(directory, 0, 'ann')
         self.assertThat(status, matchers.Equals(ExitStatus.SUCCESS))
-        wanted = self.contracts('two', acme=2, gamma=1)
-        _, said, _ = run('diff', wanted, *self.address())
+        directory = self.contracts('two', acme=2, gamma=1)
+        _, output, _ = run('diff', directory, *self.address())
         self.assertThat(
-            said.splitlines(),
+            output.splitlines(),
             matchers.Equals(
                 [
                     '- beta',
@@ -73,21 +73,25 @@
                 ]
             ),
         )
-        self.apply(wanted, 1, 'bob')
-        _, said, _ = run('history', '--limit', '1', *self.address())
+        self.apply(directory, 1, 'bob')
+        _, output, _ = run('history', '--limit', '1', *self.address())
         self.assertThat(
-            said,
+            output,
             matchers.MatchesRegex(
                 r'2  [0-9a-f]{8}  bob  apply [0-9a-f]{16}  set 2, removed 1: '
                 r'acme, beta, gamma\n$'
             ),
         )
-        status, said, _ = self.apply(wanted, 2, 'bob')
-        self.assertThat(said, matchers.Contains('Version 2 has exactly'))
+        status, output, _ = self.apply(directory, 2, 'bob')
+        self.assertThat(output, matchers.Contains('Version 2 has exactly'))
 
-    def test_of_racing_operators_one_wins_and_the_others_learn_to_what(self):
+    def test_one_of_concurrent_applies_succeeds_and_the_others_name_it(self):
+        """Guards against versions that overwrite each other.
+
+        Six operators apply different contracts to the same base at once.
+        """
         names = [f'operator-{number}' for number in range(6)]
-        wanted = [
+        directories = [
             self.contracts(name, acme=number + 1, **{f'only-{number}': 1})
             for number, name in enumerate(names)
         ]
@@ -98,68 +102,77 @@
             return self.apply(directory, 0, name)
 
         with futures.ThreadPoolExecutor(len(names)) as pool:
-            outcomes = list(pool.map(race, wanted, names))
+            outcomes = list(pool.map(race, directories, names))
         statuses = [status for status, _, _ in outcomes]
         winner = statuses.index(ExitStatus.SUCCESS)
         self.assertThat(statuses.count(ExitStatus.CONFLICT), matchers.Equals(5))
-        for status, _, complaint in outcomes:
+        for status, _, error_output in outcomes:
             expected = f'came first: {names[winner]} made version 1.'
             if status is ExitStatus.CONFLICT:
-                self.assertThat(complaint, matchers.Contains(expected))
-        _, said, _ = run('diff', wanted[winner], *self.address())
+                self.assertThat(error_output, matchers.Contains(expected))
+        _, output, _ = run('diff', directories[winner], *self.address())
         self.assertThat(
-            said, matchers.Equals('0 differences from version 1.\n')
+            output, matchers.Equals('0 differences from version 1.\n')
         )
 
-    def test_rerun_after_a_lost_answer_makes_no_second_version(self):
-        wanted = self.contracts('one', acme=1)
+    def test_rerun_after_a_lost_response_makes_no_second_version(self):
+        directory = self.contracts('one', acme=1)
         self.platform.control('lose-answers', {'writes': 1})
-        status, _, complaint = self.apply(wanted, 0, 'ann')
+        status, _, error_output = self.apply(directory, 0, 'ann')
         self.assertThat(status, matchers.Equals(ExitStatus.UNKNOWN))
-        self.assertThat(complaint, matchers.Contains('run the same command'))
+        self.assertThat(error_output, matchers.Contains('run the same command'))
         for _ in range(2):
-            status, said, _ = self.apply(wanted, 0, 'ann')
+            status, output, _ = self.apply(directory, 0, 'ann')
             self.assertThat(status, matchers.Equals(ExitStatus.SUCCESS))
-            self.assertThat(said, matchers.Contains('already'))
-        _, said, _ = run('history', *self.address())
-        self.assertThat(said.splitlines(), matchers.HasLength(1))
+            self.assertThat(output, matchers.Contains('already'))
+        _, output, _ = run('history', *self.address())
+        self.assertThat(output.splitlines(), matchers.HasLength(1))
 
-    def test_rerun_after_a_lost_answer_sees_a_later_change(self):
-        wanted = self.contracts('one', acme=1)
+    def test_rerun_after_a_lost_response_reports_a_later_change(self):
+        directory = self.contracts('one', acme=1)
         self.platform.control('lose-answers', {'writes': 1})
-        self.apply(wanted, 0, 'ann')
+        self.apply(directory, 0, 'ann')
         self.apply(self.contracts('two', acme=2), 1, 'bob')
-        status, _, said = self.apply(wanted, 0, 'ann')
+        status, _, error_output = self.apply(directory, 0, 'ann')
         self.assertThat(status, matchers.Equals(ExitStatus.CONFLICT))
         expected = 'had exactly these contracts, but bob made version 2'
-        self.assertThat(said, matchers.Contains(expected))
+        self.assertThat(error_output, matchers.Contains(expected))
 
-    def test_outages_and_wrong_input_change_nothing(self):
-        good = self.contracts('good', acme=1)
-        bad = self.contracts('bad', acme=0)
+    def test_outages_and_invalid_input_change_nothing(self):
+        valid = self.contracts('good', acme=1)
+        invalid = self.contracts('bad', acme=0)
         address = self.address()
-        ahead = ('apply', good, '--operator', 'ann', '--base')
+        apply_to_base = ('apply', valid, '--operator', 'ann', '--base')
         for argv, status, expected in (
-            (('check', bad), ExitStatus.INVALID_INPUT, 'weight: found 0'),
-            (('diff', bad, *address), ExitStatus.INVALID_INPUT, 'acme.jsonc'),
-            ((*ahead, '3', *address), ExitStatus.INVALID_INPUT, 'is 0.'),
+            (('check', invalid), ExitStatus.INVALID_INPUT, 'weight: found 0'),
+            (
+                ('diff', invalid, *address),
+                ExitStatus.INVALID_INPUT,
+                'acme.jsonc',
+            ),
+            (
+                (*apply_to_base, '3', *address),
+                ExitStatus.INVALID_INPUT,
+                'is 0.',
+            ),
             (
-                (*ahead, '0', '--platform', _REFUSED),
+                (*apply_to_base, '0', '--platform', _REFUSED),
                 ExitStatus.UNAVAILABLE,
                 'Nothing was changed',
             ),
-            (('apply', good, *address), ExitStatus.USAGE, '--base N'),
+            (('apply', valid, *address), ExitStatus.USAGE, '--base N'),
             (('history', '--platform', 'db:1'), ExitStatus.USAGE, 'IP-ADDRESS'),
             (('history', '--platfrom', 'x'), ExitStatus.USAGE, '--help'),
             (('aply',), ExitStatus.USAGE, 'check, diff, apply'),
-            ((*ahead, '0', 'x', *address), ExitStatus.USAGE, 'found 2'),
+            ((*apply_to_base, '0', 'x', *address), ExitStatus.USAGE, 'found 2'),
         ):
-            found, _, complaint = run(*argv)
-            self.assertThat(found, matchers.Equals(status))
-            self.assertThat(complaint, matchers.Contains(expected))
+            actual, _, error_output = run(*argv)
+            self.assertThat(actual, matchers.Equals(status))
+            self.assertThat(error_output, matchers.Contains(expected))
         self.assertThat(self.platform.state()['rows'], matchers.Equals(0))
 
     def contracts(self, directory, **weights):
+        """Write contracts with these weights and return their directory."""
         path = self.root / directory
         path.mkdir()
         for name, weight in weights.items():
@@ -168,6 +181,7 @@
         return str(path)
 
     def address(self):
+        """Return the flags with the platform's address."""
         return '--platform', f'{self.platform.host}:{self.platform.port}'
 
     def apply(self, directory, base, operator):
@@ -176,27 +190,27 @@
 
 
 class CredentialTest(testtools.TestCase):
-    """Hashes are those that callers' credentials are compared with."""
+    """Hashes match those computed from the credentials that callers send."""
 
-    def test_hashes_the_line_without_its_end(self):
-        status, said, _ = run('hash-credential', stdin='abc\r\n')
+    def test_hashes_the_line_without_its_line_break(self):
+        status, output, _ = run('hash-credential', stdin='abc\r\n')
         self.assertThat(
-            said,
+            output,
             matchers.Equals(
                 'ba7816bf8f01cfea414140de5dae2223'
                 'b00361a396177a9cb410ff61f20015ad\n'
             ),
         )
 
-    def test_refuses_what_a_header_cannot_carry(self):
+    def test_rejects_credentials_that_a_header_cannot_contain(self):
         for line in ('', '\n', 'a b', 'caf\u00e9', 'x' * 4097):
-            status, said, _ = run('hash-credential', stdin=line)
+            status, output, _ = run('hash-credential', stdin=line)
             self.assertThat(status, matchers.Equals(ExitStatus.INVALID_INPUT))
-            self.assertThat(said, matchers.Equals(''))
+            self.assertThat(output, matchers.Equals(''))
 
 
 class FleetTest(testtools.TestCase):
-    """Versions are shown by VM, and VMs that do not answer are named."""
+    """Versions are shown for each VM, and unreachable VMs are named."""
 
     def test_compares_versions(self):
         first = self.admin('vm-1', 3, 'aa')
@@ -214,13 +228,13 @@
             ((none_yet,), ExitStatus.SUCCESS, 'vm-4  no version yet'),
             ((first, _REFUSED), ExitStatus.UNAVAILABLE, f'{_REFUSED}: no'),
         ):
-            found, *texts = run('versions', '--admin', ','.join(addresses))
-            self.assertThat(found, matchers.Equals(status))
+            actual, *texts = run('versions', '--admin', ','.join(addresses))
+            self.assertThat(actual, matchers.Equals(status))
             self.assertThat(''.join(texts), matchers.Contains(expected))
 
     def test_shows_a_state_dump(self):
-        _, said, _ = run('state', '--admin', self.admin('vm-1', 3, 'aa'))
-        self.assertThat(json.loads(said)['vm'], matchers.Equals('vm-1'))
+        _, output, _ = run('state', '--admin', self.admin('vm-1', 3, 'aa'))
+        self.assertThat(json.loads(output)['vm'], matchers.Equals('vm-1'))
 
     def admin(self, vm, number, digest):
         """Serve a state dump and return its address."""
