--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,23 +1,23 @@
-"""Hypothesis profiles: fixed examples in CI, more of them in ``make deep``."""
+"""Hypothesis profiles: fixed examples in CI, random ones in ``make deep``."""
 
 import os
 
 import hypothesis
 
-# Whether generation is "too slow" depends on the machine's load.
-LOAD_DEPENDENT = (hypothesis.HealthCheck.too_slow,)
+# Suppressed because it fails on a machine under load.
+LOAD_DEPENDENT_CHECKS = (hypothesis.HealthCheck.too_slow,)
 
 hypothesis.settings.register_profile(
     'ci',
     derandomize=True,
     deadline=None,
     database=None,
-    suppress_health_check=LOAD_DEPENDENT,
+    suppress_health_check=LOAD_DEPENDENT_CHECKS,
 )
 hypothesis.settings.register_profile(
     'deep',
     deadline=None,
     print_blob=True,
-    suppress_health_check=LOAD_DEPENDENT,
+    suppress_health_check=LOAD_DEPENDENT_CHECKS,
 )
 hypothesis.settings.load_profile(os.environ.get('HYPOTHESIS_PROFILE', 'ci'))
--- a/tests/dispatch_samples.py
+++ b/tests/dispatch_samples.py
@@ -1,4 +1,4 @@
-"""Sample tasks and VMs for the tests of dispatch."""
+"""Sample tasks, VMs and problems for tests of dispatch."""
 
 import dataclasses
 from typing import Any
@@ -7,7 +7,7 @@
 from sardineproxy.process import platform
 from sardineproxy.request import work
 
-#: Timeout of events that always happen, in seconds.
+#: Timeout of events that are certain to happen, in seconds.
 LONG_S = 30
 
 _TASK = work.Task(
@@ -36,18 +36,18 @@
 
 
 def make_task(*, deadline_s: float = LONG_S, **changes: Any) -> work.Task:
-    """Return an idempotent single request, due in ``deadline_s``."""
+    """Return an idempotent single request with a deadline in ``deadline_s``."""
     changes.setdefault('deadline', clock.SystemClock().now() + deadline_s)
     return dataclasses.replace(_TASK, **changes)
 
 
 def make_vm(**changes: Any) -> platform.Vm:
-    """Return a live endpoint with one slot and one connection."""
+    """Return a live endpoint VM with one slot and one connection."""
     return dataclasses.replace(_VM, **changes)
 
 
 def make_problem(
     code: str, verdict: verdicts.Verdict = verdicts.Verdict.NOT_RUN
 ) -> problems.Problem:
-    """Return a refusal."""
+    """Return a problem with status 503."""
     return problems.Problem(code=code, verdict=verdict, status=503, detail=code)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Each program starts and explains itself."""
+"""Tests of the entry points of the programs."""
 
 import contextlib
 import io
@@ -19,7 +19,7 @@
 
 
 class MainTest(testtools.TestCase):
-    """A person can find out what each program does and accepts."""
+    """Every program has help and reports an invalid command line."""
 
     def test_every_program_has_help(self) -> None:
         for name in program.PROGRAMS:
@@ -29,7 +29,7 @@
             )
             self.assertThat(out, matchers.Contains('--'), name)
 
-    def test_every_program_refuses_an_unknown_flag(self) -> None:
+    def test_every_program_rejects_an_unknown_flag(self) -> None:
         for name in program.PROGRAMS:
             status, _, err = run(name, '--no-such-flag')
             self.assertThat(
@@ -37,14 +37,17 @@
             )
             self.assertThat(err, matchers.Contains('no-such-flag'), name)
 
-    def test_request_to_reload_does_not_end_a_program_that_starts(self) -> None:
-        """Guards against a SIGHUP that comes before its handler."""
-        former = signal.signal(signal.SIGHUP, signal.SIG_DFL)
-        self.addCleanup(signal.signal, signal.SIGHUP, former)
+    def test_sighup_during_startup_does_not_terminate_a_program(self) -> None:
+        """Guards against a SIGHUP that arrives before its handler is installed.
+
+        The default action of the signal terminates the process.
+        """
+        previous = signal.signal(signal.SIGHUP, signal.SIG_DFL)
+        self.addCleanup(signal.signal, signal.SIGHUP, previous)
         run('node', '--help')
         self.assertIs(signal.SIG_IGN, signal.getsignal(signal.SIGHUP))
 
-    def test_unknown_program_names_the_known_ones(self) -> None:
+    def test_error_for_unknown_program_lists_the_programs(self) -> None:
         status, _, err = run('nope')
         self.assertThat(status, matchers.Equals(exit_status.ExitStatus.USAGE))
         self.assertThat(err, matchers.Contains('expected one of: entry'))
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time moves only when nothing else is left to do."""
+"""An event loop with virtual time, which advances only while it is idle."""
 
 import asyncio
 import selectors
@@ -8,7 +8,7 @@
 
 
 class _InstantSelector(selectors.DefaultSelector):
-    """Moves the loop's time forward instead of waiting."""
+    """Advances the loop's time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,14 +19,14 @@
         if events or timeout == 0:
             return events
         if timeout is None:
-            raise RuntimeError('nothing is left to wait for')
+            raise RuntimeError('deadlock: no events or timers are pending')
         assert self.loop is not None
         self.loop.now += timeout
         return events
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers in order, at once."""
+    """Event loop that runs timers in order without waiting."""
 
     def __init__(self) -> None:
         selector = _InstantSelector()
@@ -39,7 +39,7 @@
 
 
 class LoopClock:
-    """The time of the running loop, which starts well after 0."""
+    """Clock of the running loop, which starts at ``START_S``, not at 0."""
 
     START_S = 1000.0
 
@@ -53,7 +53,7 @@
 def run(
     main: Callable[[], Coroutine[Any, Any, _Result]],
 ) -> _Result:
-    """Run a coroutine function to its end in virtual time."""
+    """Run a coroutine function in virtual time and return its result."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(main())
