--- a/sardineproxy/deployment.py
+++ b/sardineproxy/deployment.py
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Deployment:
-    """Settings of this entry VM and its surroundings."""
+    """Settings of this entry VM and of the deployment it is part of."""
 
     vm: ids.VmId
     zone: ids.ZoneId
--- a/sardineproxy/operator/options.py
+++ b/sardineproxy/operator/options.py
@@ -13,7 +13,7 @@
 Usage: sardineproxyctl COMMAND [arguments] [flags]
 
 Checks contracts, makes configuration versions and shows what is in force.
-A contract directory DIR holds one *.jsonc file for each customer.
+A contract directory DIR contains one *.jsonc file for each customer.
 
 Commands:
   check DIR             Check the contracts in DIR; nothing is sent.
@@ -40,7 +40,7 @@
 
 Example: raise a limit in contracts/, then
   sardineproxyctl check contracts
-  sardineproxyctl history --platform 10.0.0.5:8400     (say, version 41)
+  sardineproxyctl history --platform 10.0.0.5:8400     (shows version 41)
   sardineproxyctl apply contracts --base 41 --operator ann \\
       --platform 10.0.0.5:8400
 """
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -58,10 +58,10 @@
             fields.get_string(listeners, 'front')
         ),
         readiness_listener=ready,
-        peer_listener=_peer_listener(document, listeners, ready.host),
-        seeds=_seeds(document),
+        peer_listener=_decode_peer_listener(document, listeners, ready.host),
+        seeds=_decode_seeds(document),
         store=fields.parse_address(fields.get_string(store, 'address')),
-        bounds=_bounds(fields.get_object(document, 'bounds')),
+        bounds=_decode_bounds(fields.get_object(document, 'bounds')),
         # ``cpu_share`` is a share of one core, which runs ``cores`` times as
         # fast.
         cores=fields.get_number(limits, 'cpu_share')
@@ -69,7 +69,7 @@
     )
 
 
-def _peer_listener(
+def _decode_peer_listener(
     document: Mapping[str, Any], listeners: Mapping[str, Any], host: str
 ) -> deployment.Address:
     """Return the address of the listener for other entry VMs.
@@ -84,14 +84,16 @@
     return deployment.Address(host=host, port=ports[0])
 
 
-def _seeds(document: Mapping[str, Any]) -> tuple[deployment.Address, ...]:
-    found = document.get('seeds', [])
-    if not isinstance(found, list):
+def _decode_seeds(
+    document: Mapping[str, Any],
+) -> tuple[deployment.Address, ...]:
+    seeds = document.get('seeds', [])
+    if not isinstance(seeds, list):
         raise fields.FormatError('seeds: expected a list')
-    return tuple(fields.parse_address(str(seed)) for seed in found)
+    return tuple(fields.parse_address(str(seed)) for seed in seeds)
 
 
-def _bounds(document: Mapping[str, Any]) -> deployment.Bounds:
+def _decode_bounds(document: Mapping[str, Any]) -> deployment.Bounds:
     return deployment.Bounds(
         lease_s=fields.get_number(document, 'max_hold_ms') / _MS_PER_S,
         stop_timeout_s=fields.get_number(document, 'stop_timeout_ms')
--- a/sardineproxy/verdicts.py
+++ b/sardineproxy/verdicts.py
@@ -6,7 +6,7 @@
 class Verdict(enum.Enum):
     """What a caller may conclude about its request."""
 
-    #: Nothing of the request was written to any endpoint's connection.
+    #: No byte of the request was written to a connection to an endpoint.
     NOT_RUN = 'not_run'
 
     #: The endpoint's complete response was received.
