--- a/sardineproxy/deployment.py
+++ b/sardineproxy/deployment.py
@@ -52,13 +52,13 @@
     zones: tuple[ids.ZoneId, ...]
 
     #: Listener for clients.
-    client_listener: Address
+    front: Address
 
     #: Listener for the load balancer's readiness checks.
-    readiness_listener: Address
+    ready: Address
 
     #: Listener for other entry VMs.
-    peer_listener: Address
+    peers: Address
 
     #: Peer listeners to connect to while no members are known, for example
     #: because the store cannot be read.
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -54,11 +54,9 @@
         vm=ids.VmId(fields.get_string(document, 'node')),
         zone=ids.ZoneId(fields.get_string(document, 'zone')),
         zones=tuple(map(ids.ZoneId, fields.get_object(document, 'zones'))),
-        client_listener=fields.parse_address(
-            fields.get_string(listeners, 'front')
-        ),
-        readiness_listener=ready,
-        peer_listener=_decode_peer_listener(document, listeners, ready.host),
+        front=fields.parse_address(fields.get_string(listeners, 'front')),
+        ready=ready,
+        peers=_decode_peer_listener(document, listeners, ready.host),
         seeds=_decode_seeds(document),
         store=fields.parse_address(fields.get_string(store, 'address')),
         bounds=_decode_bounds(fields.get_object(document, 'bounds')),
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -104,7 +104,7 @@
             vm=cfg.vm,
             incarnation=self.identity.incarnation,
             zone=cfg.zone,
-            address=cfg.peer_listener,
+            address=cfg.peers,
             cores=cfg.cores,
         )
         self._dependencies = dependencies
@@ -154,7 +154,7 @@
 
     async def start(self) -> None:
         """Open the listener for links and start the background tasks."""
-        await self.links.start(self.cfg.peer_listener)
+        await self.links.start(self.cfg.peers)
         self._update_links()
         self._ticked_at = self._clock.now()
         for coroutine in self._feeds.coroutines(self.member):
--- a/sardineproxy/process/node/peering.py
+++ b/sardineproxy/process/node/peering.py
@@ -29,7 +29,7 @@
     ]
     if not linked_members:
         peer_links.set_targets(
-            {seed: 0 for seed in cfg.seeds if seed != cfg.peer_listener}
+            {seed: 0 for seed in cfg.seeds if seed != cfg.peers}
         )
         return
     peer_links.set_targets(
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -87,8 +87,8 @@
                 'vm': self._cfg.vm,
                 'zone': self._cfg.zone,
                 'incarnation': self._node.identity.incarnation,
-                'front': str(self._cfg.client_listener),
-                'peers': str(self._cfg.peer_listener),
+                'front': str(self._cfg.front),
+                'peers': str(self._cfg.peers),
             },
         )
         return result.Ok(None)
@@ -125,9 +125,7 @@
 
     async def _open(self) -> None:
         await self._node.start()
-        await self._front.start(
-            self._cfg.client_listener, self._cfg.readiness_listener
-        )
+        await self._front.start(self._cfg.front, self._cfg.ready)
         if self._metrics_port is None:
             return
         self._admin = web.AppRunner(
@@ -136,7 +134,7 @@
         )
         await self._admin.setup()
         await web.TCPSite(
-            self._admin, self._cfg.readiness_listener.host, self._metrics_port
+            self._admin, self._cfg.ready.host, self._metrics_port
         ).start()
 
     async def _drain(self) -> None:
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -60,7 +60,7 @@
         self.assertEqual(1, cfg.cores)
         self.assertEqual(2, cfg.bounds.config_apply_s)
         self.assertEqual(0.05, cfg.bounds.stop_timeout_s)
-        self.assertEqual('127.0.0.1:8166', str(cfg.peer_listener))
+        self.assertEqual('127.0.0.1:8166', str(cfg.peers))
 
     def test_missing_field_is_named(self) -> None:
         """Guards against an error that does not identify the wrong setting."""
