--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -133,7 +133,7 @@
         )
         self._feeds = feeds.Feeds(
             configuration_table=dependencies.formats.configuration_table,
-            max_config_delay_s=cfg.bounds.version_s,
+            max_config_delay_s=cfg.bounds.config_apply_s,
             worker_table=dependencies.formats.worker_table,
             source=dependencies.store,
             handler=self,
@@ -481,7 +481,7 @@
                 token=token, incarnation=self.identity.incarnation
             ),
             router=self,
-            retention_s=self.cfg.bounds.states_s,
+            retention_s=self.cfg.bounds.status_retention_s,
         )
 
     def _update_links(self) -> None:
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -146,7 +146,9 @@
         _LOG.info(
             'Stopping.', extra={'requests': self._client_server.active_requests}
         )
-        deadline = started_at + self._cfg.bounds.grace_s - CLOSE_RESERVE_S
+        deadline = (
+            started_at + self._cfg.bounds.shutdown_grace_s - CLOSE_RESERVE_S
+        )
         self._node.drain(shutdown_at=deadline)
         while self._clock.now() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
@@ -166,7 +168,7 @@
         self._node = served
 
     @property
-    def table(self) -> routes.RoutingTable | None:
+    def routing_table(self) -> routes.RoutingTable | None:
         """Return the routes of the version in force."""
         return self._node.versions.table
 
@@ -210,9 +212,9 @@
     """Return the table names and row decoders of the platform."""
     return dependencies.RowFormats(
         configuration_table=configuration.TABLE,
-        configuration_row=configuration.ROW,
+        configuration_row=configuration.ROW_KEY,
         worker_table=worker_entries.TABLE,
         decode_configuration=configuration.decode,
-        worker_id=worker_entries.worker_id,
+        worker_id=worker_entries.parse_worker_id,
         decode_worker=worker_entries.decode,
     )
