--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -60,8 +60,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Completion:
-    """A result that its worker may discard once it is stored."""
+class _FinishedRun:
+    """A run whose worker may discard the result once it is stored."""
 
     shard: ids.ShardId
     step: int
@@ -75,7 +75,7 @@
     def __init__(
         self,
         *,
-        stored: records.StoredJob,
+        stored_job: records.StoredJob,
         progress: records.JobProgress,
         home_shard: ids.ShardId,
         router: Router,
@@ -90,7 +90,7 @@
         sent tasks of the job. ``start`` sends the first tasks.
         """
         self._resumed = resumed
-        self.stored = stored
+        self.stored_job = stored_job
         self.has_started = bool(progress.done or progress.failed)
         self._progress = progress
         self._home_shard = home_shard
@@ -101,20 +101,20 @@
         self._events: asyncio.Queue[Event] = asyncio.Queue()
         now = clock.now()
         self._open = open_tasks.OpenTasks(
-            job=stored.job,
-            route=stored.route,
+            job=stored_job.job,
+            route=stored_job.route,
             router=router,
             clock=clock,
             times=open_tasks.JobTimes(
-                arrived_at=now - max(0, clock.wall() - stored.accepted_at),
+                arrived_at=now - max(0, clock.wall() - stored_job.accepted_at),
                 deadline=now + NO_DEADLINE_S,
             ),
         )
-        self._waiting_steps = set(range(len(stored.job.steps)))
+        self._waiting_steps = set(range(len(stored_job.job.steps)))
         self._done_steps: set[int] = set()
 
-        #: Results that were counted but are not yet part of a commit.
-        self._unacknowledged: list[_Completion] = []
+        #: Finished runs that were recorded but are not yet part of a commit.
+        self._unacknowledged: list[_FinishedRun] = []
 
         #: True once the job has ended and its final state is being stored.
         self.is_finishing = False
@@ -140,39 +140,39 @@
             return
         self.is_finishing = True
         self._open.withdraw()
-        ended = self.stored.finish(state, self._clock.wall())
+        ended_job = self.stored_job.finish(state, self._clock.wall())
         _LOG.info(
             'Job ended.',
             extra={
-                'job': ended.job.job_id,
+                'job': ended_job.job.job_id,
                 'state': state.value,
-                'age_s': round(ended.ended_at - ended.accepted_at, 4),
+                'age_s': round(ended_job.ended_at - ended_job.accepted_at, 4),
             },
         )
-        completions = self._pop_unacknowledged()
+        finished_runs = self._pop_unacknowledged()
         is_stored = await self._table.put(
-            f'{job_table.JOB_PREFIX}{ended.job.job_id}',
-            records.encode_job(ended),
+            f'{job_table.JOB_PREFIX}{ended_job.job.job_id}',
+            records.encode_job(ended_job),
             max_delay_s=FINAL_COMMIT_DELAY_S,
         )
         if is_stored:
             # The progress row goes last: a new leader that finds the job
             # unfinished and no progress would start completed tasks again.
             self._table.put(
-                f'{job_table.PROGRESS_PREFIX}{ended.job.job_id}',
+                f'{job_table.PROGRESS_PREFIX}{ended_job.job.job_id}',
                 None,
                 max_delay_s=PROGRESS_COMMIT_DELAY_S,
             )
-            self.stored = ended
-            self._acknowledge([*completions, *self._drain_completions()])
-            self._on_finished(ended)
+            self.stored_job = ended_job
+            self._acknowledge([*finished_runs, *self._drain_finished_runs()])
+            self._on_finished(ended_job)
         if not self.finished.done():
             self.finished.set_result(is_stored)
 
     def state(self) -> records.JobState:
         """Return the state of the job according to the store."""
-        if self.stored.state.is_final:
-            return self.stored.state
+        if self.stored_job.state.is_final:
+            return self.stored_job.state
         if self.has_started:
             return records.JobState.RUNNING
         return records.JobState.QUEUED
@@ -186,10 +186,10 @@
                 case messages.RunEnded(result=jobs.TaskResult.REPLACED.value):
                     _LOG.info(
                         'Another leader has taken over the job.',
-                        extra={'job': self.stored.job.job_id},
+                        extra={'job': self.stored_job.job.job_id},
                     )
                     return None
-                case messages.RunEnded() if self._handle_completion(event):
+                case messages.RunEnded() if self._handle_result(event):
                     return records.JobState.FAILED
                 case CancelRequested():
                     return records.JobState.CANCELLED
@@ -215,26 +215,26 @@
 
     def _refresh_route(self) -> None:
         """Update the route from the version in force."""
-        route = self._router.route(self.stored.route.route)
+        route = self._router.route(self.stored_job.route.route)
         if route is not None:
             self._open.route = route
 
     def _start_ready_steps(self) -> None:
         """Send the tasks of steps whose predecessors are completed."""
-        for number in sorted(self._waiting_steps):
-            step = self.stored.job.steps[number]
+        for step_index in sorted(self._waiting_steps):
+            step = self.stored_job.job.steps[step_index]
             if not self._done_steps.issuperset(step.after):
                 continue
-            self._waiting_steps.discard(number)
+            self._waiting_steps.discard(step_index)
             tasks = [
                 self._restore_progress(task)
                 for task in open_tasks.new_tasks(
-                    self.stored.job, number, self._home_shard
+                    self.stored_job.job, step_index, self._home_shard
                 )
                 if task.key not in self._progress.done
             ]
             if not tasks:
-                self._done_steps.add(number)
+                self._done_steps.add(step_index)
                 self._start_ready_steps()
                 return
             self._open.add(tasks)
@@ -258,22 +258,22 @@
         task.resumed = self._resumed
         return task
 
-    def _handle_completion(self, completion: messages.RunEnded) -> bool:
-        """Count a result; return whether it makes the job fail."""
+    def _handle_result(self, ended: messages.RunEnded) -> bool:
+        """Process the result of a run; return whether it fails the job."""
         self.has_started = True
-        key = (completion.step, completion.index)
-        task_result = jobs.TaskResult(completion.result)
+        key = (ended.step, ended.index)
+        task_result = jobs.TaskResult(ended.result)
         if task_result is jobs.TaskResult.LATE:
             self._retry(key)
             return False
-        self._unacknowledged.append(_to_completion(completion))
-        if self._progress.is_recorded(key, completion.run):
-            # A repeated report: the worker missed the acknowledgement.
+        self._unacknowledged.append(_to_finished_run(ended))
+        if self._progress.is_recorded(key, ended.run):
+            # A repeated report: the acknowledgement did not reach the worker.
             return False
         if task_result is jobs.TaskResult.DONE:
             self._record_success(key)
             return False
-        return self._record_failure(key, completion.run)
+        return self._record_failure(key, ended.run)
 
     def _record_success(self, key: open_tasks.TaskKey) -> None:
         """Record a success, also of a task that a previous leader sent."""
@@ -288,7 +288,7 @@
         _LOG.info(
             'Task failed.',
             extra={
-                'job': self.stored.job.job_id,
+                'job': self.stored_job.job.job_id,
                 'task': key,
                 'run': run,
                 'failures': failures,
@@ -338,61 +338,63 @@
         """Store new results, then acknowledge them to the workers."""
         if not self._unacknowledged or not (self._open or self._waiting_steps):
             return
-        completions = self._pop_unacknowledged()
+        finished_runs = self._pop_unacknowledged()
         self._put_progress().add_done_callback(
-            functools.partial(self._acknowledge_if_stored, completions)
+            functools.partial(self._acknowledge_if_stored, finished_runs)
         )
 
     def _put_progress(self) -> asyncio.Future[bool]:
         return self._table.put(
-            f'{job_table.PROGRESS_PREFIX}{self.stored.job.job_id}',
+            f'{job_table.PROGRESS_PREFIX}{self.stored_job.job.job_id}',
             records.encode_progress(self._progress),
             max_delay_s=PROGRESS_COMMIT_DELAY_S,
         )
 
     def _post_if_stored(
-        self, event: _ShardChangeStored, done: asyncio.Future[bool]
+        self, event: _ShardChangeStored, commit_fut: asyncio.Future[bool]
     ) -> None:
-        if not done.cancelled() and done.result():
+        if not commit_fut.cancelled() and commit_fut.result():
             self.post_event(event)
 
-    def _drain_completions(self) -> list[_Completion]:
-        """Return the results that arrived while the final state was stored."""
+    def _drain_finished_runs(self) -> list[_FinishedRun]:
+        """Return the runs reported while the final state was stored."""
         events = [
             self._events.get_nowait() for _ in range(self._events.qsize())
         ]
         return [
-            _to_completion(event)
+            _to_finished_run(event)
             for event in events
             if isinstance(event, messages.RunEnded)
         ]
 
-    def _pop_unacknowledged(self) -> list[_Completion]:
-        completions = self._unacknowledged
+    def _pop_unacknowledged(self) -> list[_FinishedRun]:
+        finished_runs = self._unacknowledged
         self._unacknowledged = []
-        return completions
+        return finished_runs
 
     def _acknowledge_if_stored(
-        self, completions: list[_Completion], done: asyncio.Future[bool]
+        self,
+        finished_runs: list[_FinishedRun],
+        commit_fut: asyncio.Future[bool],
     ) -> None:
-        if not done.cancelled() and done.result():
-            self._acknowledge(completions)
+        if not commit_fut.cancelled() and commit_fut.result():
+            self._acknowledge(finished_runs)
 
-    def _acknowledge(self, completions: list[_Completion]) -> None:
-        for completion in completions:
-            leader = self._router.leader(completion.shard)
+    def _acknowledge(self, finished_runs: list[_FinishedRun]) -> None:
+        for finished in finished_runs:
+            leader = self._router.leader(finished.shard)
             if leader is not None:
                 leader.send(
                     messages.ResultsStored(
-                        shard=completion.shard,
-                        job=self.stored.job.job_id,
-                        step=completion.step,
-                        runs=((completion.index, completion.run),),
+                        shard=finished.shard,
+                        job=self.stored_job.job.job_id,
+                        step=finished.step,
+                        runs=((finished.index, finished.run),),
                     )
                 )
 
 
-def _to_completion(event: messages.RunEnded) -> _Completion:
-    return _Completion(
+def _to_finished_run(event: messages.RunEnded) -> _FinishedRun:
+    return _FinishedRun(
         shard=event.shard, step=event.step, index=event.index, run=event.run
     )
--- a/sardineproxy/process/stored_jobs/fenced_rows.py
+++ b/sardineproxy/process/stored_jobs/fenced_rows.py
@@ -1,8 +1,8 @@
-"""Rows of one shard's stored jobs, written only by the newest leader.
+"""Fenced rows of one shard's stored jobs, written only by its newest leader.
 
-Each transaction depends on the revision of the writer row, which a new
+Each transaction is conditional on the revision of the writer row, which a new
 leader of the shard rewrites, and on the revisions of the rows that it
-changes. So a write whose answer was lost cannot take effect after a later
+changes. So a write whose response was lost cannot take effect after a later
 write of the same row, nor after a takeover.
 """
 
@@ -34,14 +34,14 @@
     #: The write had no effect and will have none.
     NOT_APPLIED = 'not_sent'
 
-    #: The write may have taken effect, or may still do so.
+    #: The write may have taken effect, or may still take effect.
     UNKNOWN = 'unknown'
 
-    #: A newer leader writes the rows.
+    #: A newer leader has become the writer of the rows.
     SUPERSEDED = 'superseded'
 
 
-#: New contents of rows by key, None for rows to remove.
+#: New bodies of rows by key, None for rows to remove.
 RowChanges = Mapping[str, bytes | None]
 
 
@@ -78,11 +78,11 @@
     async def acquire(self) -> WriteOutcome:
         """Write this process into the writer row."""
         self._count_call()
-        answer = await self._store.get(WRITER_KEY, part=self.shard)
-        if isinstance(answer, result.Err):
-            self._record_failure(answer.err_value)
+        response = await self._store.get(WRITER_KEY, part=self.shard)
+        if isinstance(response, result.Err):
+            self._record_failure(response.err_value)
             return WriteOutcome.UNKNOWN
-        row = answer.ok_value
+        row = response.ok_value
         if row is not None:
             self._writer_revision = row.revision
             writer = _decode_writer(row)
@@ -95,11 +95,11 @@
     async def read(self) -> tuple[store.Row, ...] | None:
         """Return all rows, None if the call fails."""
         self._count_call()
-        answer = await self._store.read(TABLE, part=self.shard)
-        if isinstance(answer, result.Err):
-            self._record_failure(answer.err_value)
+        response = await self._store.read(TABLE, part=self.shard)
+        if isinstance(response, result.Err):
+            self._record_failure(response.err_value)
             return None
-        rows = answer.ok_value.rows
+        rows = response.ok_value.rows
         self._revisions = {row.key: row.revision for row in rows}
         return rows
 
@@ -109,7 +109,7 @@
         After UNKNOWN the same changes may be sent again.
         """
         self._count_call()
-        answer = await self._store.transact(
+        response = await self._store.transact(
             conditions=(
                 self._condition(WRITER_KEY, self._writer_revision),
                 *(
@@ -128,12 +128,12 @@
                 if body is None and key in self._revisions
             ),
         )
-        if isinstance(answer, result.Ok):
+        if isinstance(response, result.Ok):
             self.consecutive_failures = 0
-            self._record_revisions(changes, answer.ok_value)
+            self._record_revisions(changes, response.ok_value)
             return WriteOutcome.DONE
-        self._record_failure(answer.err_value)
-        match answer.err_value.kind:
+        self._record_failure(response.err_value)
+        match response.err_value.kind:
             case store.ErrorKind.CONFLICT:
                 return await self._resolve_conflict(changes)
             case store.ErrorKind.UNAVAILABLE:
@@ -143,7 +143,7 @@
 
     async def _store_writer(self) -> WriteOutcome:
         self._count_call()
-        answer = await self._store.transact(
+        response = await self._store.transact(
             conditions=(self._condition(WRITER_KEY, self._writer_revision),),
             writes=(
                 store.Write(
@@ -153,18 +153,18 @@
                 ),
             ),
         )
-        if isinstance(answer, result.Err):
-            self._record_failure(answer.err_value)
+        if isinstance(response, result.Err):
+            self._record_failure(response.err_value)
             return WriteOutcome.UNKNOWN
         self.consecutive_failures = 0
-        self._writer_revision = answer.ok_value
+        self._writer_revision = response.ok_value
         return WriteOutcome.DONE
 
     async def _resolve_conflict(self, changes: RowChanges) -> WriteOutcome:
         """Return the outcome of a write whose conditions did not hold.
 
         If the writer row is unchanged, an earlier attempt to write the same
-        changes took effect and its answer was lost.
+        changes took effect and its response was lost.
         """
         writer_row = await self._get(WRITER_KEY)
         if writer_row is None:
@@ -181,11 +181,11 @@
     async def _get(self, key: str) -> store.Row | None:
         """Return a row, None if it is missing or the call fails."""
         self._count_call()
-        answer = await self._store.get(key, part=self.shard)
-        if isinstance(answer, result.Err):
-            self._record_failure(answer.err_value)
+        response = await self._store.get(key, part=self.shard)
+        if isinstance(response, result.Err):
+            self._record_failure(response.err_value)
             return None
-        return answer.ok_value
+        return response.ok_value
 
     def _condition(self, key: str, revision: int) -> store.Condition:
         return store.Condition(key=key, part=self.shard, revision=revision)
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -21,12 +21,12 @@
 ACCEPT_COMMIT_DELAY_S = 0.002
 
 #: Timeout in seconds of a write to the store, after which the reply is
-#: REFUSED or UNKNOWN. A commit takes 16 ms, with a slow store 0.6 s.
+#: REFUSED or UNKNOWN. A commit takes 16 ms, or 0.6 s with a slow store.
 STORE_TIMEOUT_S = 1.0
 
 #: Time in seconds that a query for a running job waits for its completion.
-#: Clients query when a job should end, and again a quarter of a second later;
-#: the result of a run arrives here up to one poll interval after its end.
+#: Clients query at the expected end of a job, and again a quarter of a second
+#: later; the result of a run arrives up to one poll interval after its end.
 RUNNING_QUERY_WAIT_S = 0.04
 
 #: Time in seconds that a query waits while the final state of the job is
@@ -111,14 +111,14 @@
     def pending(self) -> dict[ids.RouteId, int]:
         """Return the number of jobs per route that have not started."""
         return collections.Counter(
-            unfinished.stored.route.route
+            unfinished.stored_job.route.route
             for unfinished in self._open.values()
             if not unfinished.has_started
         )
 
-    async def accept(self, stored: records.StoredJob) -> JobReply:
+    async def accept(self, stored_job: records.StoredJob) -> JobReply:
         """Store a job, unless it is stored already."""
-        job = stored.job.job_id
+        job = stored_job.job.job_id
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
         if job in self._open or job in self._finished:
@@ -126,32 +126,32 @@
         if job not in self._storing:
             if len(self._open) >= MAX_OPEN_JOBS:
                 return JobReply.REFUSED
-            self._storing[job] = self._store(stored)
+            self._storing[job] = self._store(stored_job)
         return await self._wait_stored(job, self._storing[job])
 
     async def query(self, job: ids.JobId) -> JobReply:
         """Return the state of a job according to the store."""
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
-        running = self._open.get(job)
-        if running is not None:
-            return await self._query_execution(running)
-        ended = self._finished.get(job)
-        if ended is not None:
-            return JobReply(ended.state.value)
+        job_execution = self._open.get(job)
+        if job_execution is not None:
+            return await self._query_execution(job_execution)
+        ended_job = self._finished.get(job)
+        if ended_job is not None:
+            return JobReply(ended_job.state.value)
         if job in self._storing:
             return JobReply.UNKNOWN
         return JobReply.ABSENT
 
     async def cancel(self, job: ids.JobId) -> JobReply:
         """Cancel a job unless it has ended; return the resulting state."""
-        running = self._open.get(job)
-        if running is None:
+        job_execution = self._open.get(job)
+        if job_execution is None:
             return await self.query(job)
-        running.post_event(execution.CancelRequested())
-        await asyncio.wait((running.finished,), timeout=STORE_TIMEOUT_S)
-        if running.finished.done() and running.finished.result():
-            return JobReply(running.state().value)
+        job_execution.post_event(execution.CancelRequested())
+        await asyncio.wait((job_execution.finished,), timeout=STORE_TIMEOUT_S)
+        if job_execution.finished.done() and job_execution.finished.result():
+            return JobReply(job_execution.state().value)
         return JobReply.UNKNOWN
 
     def handle_message(
@@ -160,9 +160,9 @@
         message: messages.RunEnded | messages.Declined | messages.JobStarted,
     ) -> None:
         """Pass a message to the execution of its job."""
-        running = self._open.get(message.job)
-        if running is not None:
-            running.post_event(message)
+        job_execution = self._open.get(message.job)
+        if job_execution is not None:
+            job_execution.post_event(message)
         elif isinstance(message, messages.RunEnded):
             # The job has ended or was never stored, so the result is not
             # needed: the worker can discard it.
@@ -184,7 +184,7 @@
             unfinished.post_event(event)
 
     def state(self, now: float) -> dict[str, object]:
-        """Return the jobs and the state of the table for the state dump."""
+        """Return the jobs and the state of the table, for the state dump."""
         return {
             'cell': self.shard,
             'loaded': self._is_loaded,
@@ -197,18 +197,18 @@
             'ended': len(self._finished),
         }
 
-    # Internals.
-
-    async def _query_execution(self, running: execution.Execution) -> JobReply:
-        if running.state() is records.JobState.RUNNING:
+    async def _query_execution(
+        self, job_execution: execution.Execution
+    ) -> JobReply:
+        if job_execution.state() is records.JobState.RUNNING:
             await asyncio.wait(
-                (running.finished,), timeout=RUNNING_QUERY_WAIT_S
+                (job_execution.finished,), timeout=RUNNING_QUERY_WAIT_S
             )
-        if running.is_finishing:
+        if job_execution.is_finishing:
             await asyncio.wait(
-                (running.finished,), timeout=FINISHING_QUERY_WAIT_S
+                (job_execution.finished,), timeout=FINISHING_QUERY_WAIT_S
             )
-        return JobReply(running.state().value)
+        return JobReply(job_execution.state().value)
 
     async def _run(self) -> None:
         rows = await self._table.open()
@@ -244,35 +244,35 @@
         decoded = records.decode_job(row.body or b'')
         if isinstance(decoded, result.Err):
             _LOG.error(
-                'Stored job is malformed and was skipped.',
+                'Row of a stored job is malformed; the job was skipped.',
                 extra={'key': row.key, 'cause': decoded.err_value},
             )
             return
-        stored = decoded.ok_value
-        if stored.state.is_final:
-            self._finished[stored.job.job_id] = stored
+        stored_job = decoded.ok_value
+        if stored_job.state.is_final:
+            self._finished[stored_job.job.job_id] = stored_job
             return
         progress = records.JobProgress()
         if progress_row is not None:
             loaded = records.decode_progress(progress_row.body or b'')
             if isinstance(loaded, result.Err):
                 _LOG.error(
-                    'Job progress is malformed; the job was skipped.',
+                    'Row of job progress is malformed; the job was skipped.',
                     extra={'key': progress_row.key, 'cause': loaded.err_value},
                 )
                 return
             progress = loaded.ok_value
-        self._start_execution(stored, progress, resumed=True)
+        self._start_execution(stored_job, progress, resumed=True)
 
     def _start_execution(
         self,
-        stored: records.StoredJob,
+        stored_job: records.StoredJob,
         progress: records.JobProgress,
         *,
         resumed: bool,
     ) -> None:
-        started = execution.Execution(
-            stored=stored,
+        job_execution = execution.Execution(
+            stored_job=stored_job,
             progress=progress,
             home_shard=self.shard,
             router=self._router,
@@ -281,49 +281,52 @@
             on_finished=self._record_finished,
             resumed=resumed,
         )
-        self._open[stored.job.job_id] = started
-        started.start()
-        self._tasks.spawn(started.run())
+        self._open[stored_job.job.job_id] = job_execution
+        job_execution.start()
+        self._tasks.spawn(job_execution.run())
 
-    def _record_finished(self, ended: records.StoredJob) -> None:
-        self._metrics.count('stored_jobs_ended_total', state=ended.state.value)
+    def _record_finished(self, ended_job: records.StoredJob) -> None:
+        self._metrics.count(
+            'stored_jobs_ended_total', state=ended_job.state.value
+        )
         self._metrics.observe(
             'stored_job_seconds',
-            max(0, ended.ended_at - ended.accepted_at),
-            state=ended.state.value,
+            max(0, ended_job.ended_at - ended_job.accepted_at),
+            state=ended_job.state.value,
         )
-        self._open.pop(ended.job.job_id)
-        self._finished[ended.job.job_id] = ended
+        self._open.pop(ended_job.job.job_id)
+        self._finished[ended_job.job.job_id] = ended_job
 
-    def _store(self, stored: records.StoredJob) -> asyncio.Future[bool]:
-        job = stored.job.job_id
-        done = self._table.put(
+    def _store(self, stored_job: records.StoredJob) -> asyncio.Future[bool]:
+        job = stored_job.job.job_id
+        commit_fut = self._table.put(
             f'{job_table.JOB_PREFIX}{job}',
-            records.encode_job(stored),
+            records.encode_job(stored_job),
             max_delay_s=ACCEPT_COMMIT_DELAY_S,
         )
 
-        def on_stored(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
+        def on_stored(fut: asyncio.Future[bool]) -> None:  # noqa: WPS430
             self._storing.pop(job, None)
-            if not done.cancelled() and done.result():
+            if not fut.cancelled() and fut.result():
                 self._metrics.count('stored_jobs_total')
                 self._start_execution(
-                    stored, records.JobProgress(), resumed=False
+                    stored_job, records.JobProgress(), resumed=False
                 )
 
-        done.add_done_callback(on_stored)
-        return done
+        commit_fut.add_done_callback(on_stored)
+        return commit_fut
 
     async def _wait_stored(
-        self, job: ids.JobId, done: asyncio.Future[bool]
+        self, job: ids.JobId, commit_fut: asyncio.Future[bool]
     ) -> JobReply:
-        await asyncio.wait((done,), timeout=STORE_TIMEOUT_S)
-        if done.cancelled():
+        await asyncio.wait((commit_fut,), timeout=STORE_TIMEOUT_S)
+        if commit_fut.cancelled():
             return JobReply.REFUSED
-        if done.done():
-            # A leader that was superseded does not know whether the row was
-            # stored.
-            return JobReply.ACCEPTED if done.result() else JobReply.UNKNOWN
+        if commit_fut.done():
+            # A superseded leader cannot determine whether the row was stored.
+            return (
+                JobReply.ACCEPTED if commit_fut.result() else JobReply.UNKNOWN
+            )
         if self._table.withdraw(f'{job_table.JOB_PREFIX}{job}'):
             return JobReply.REFUSED
         return JobReply.UNKNOWN
@@ -337,8 +340,8 @@
             )
             expired = [
                 job
-                for job, ended in self._finished.items()
-                if ended.ended_at < ended_before
+                for job, ended_job in self._finished.items()
+                if ended_job.ended_at < ended_before
             ]
             for job in expired:
                 self._finished.pop(job)
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -15,15 +15,16 @@
 
 _Reply = job_manager.JobReply
 
-#: Time for attempts to reach a leader of the job's home shard, in seconds. A
-#: failed leader is replaced within a second.
+#: Maximum time in seconds in which a request to the leader of the job's home
+#: shard is retried. A failed leader is replaced within a second.
 REPLY_TIMEOUT_S = 2.5
 
-#: Timeout of one attempt in seconds, longer than a manager's store timeout.
+#: Timeout of one attempt in seconds, longer than the job manager's timeout of
+#: a write to the store.
 ATTEMPT_TIMEOUT_S = 1.3
 
 #: Delay before the next attempt, in seconds.
-RETRY_PAUSE_S = 0.05
+RETRY_DELAY_S = 0.05
 
 #: Time reserved to return the reply to the client, in seconds.
 REPLY_MARGIN_S = 0.1
@@ -42,12 +43,12 @@
         """Return the link to the leader of a shard, None if unknown."""
 
 
-#: Returns the request to a shard's leader for a shard and a request id.
+#: Creates the request to the leader of a shard, with a request id.
 _RequestFactory = Callable[[ids.ShardId, int], messages.Message]
 
 
 class JobService:
-    """Job managers of this process, and requests to those of others."""
+    """Job managers of this process, and requests to those of all VMs."""
 
     def __init__(
         self, *, directory: ShardDirectory, clock: clock.Clock
@@ -68,11 +69,11 @@
             await manager.close()
 
     def home_shard(self, job: ids.JobId) -> ids.ShardId:
-        """Return the shard that stores a job, the same at all VMs."""
+        """Return the shard that stores a job; all VMs compute the same."""
         return rendezvous.rank(job, self._directory.all_shards)[0]
 
     def add_manager(self, manager: job_manager.JobManager) -> None:
-        """Start to manage the jobs of a shard that this process leads."""
+        """Start managing the jobs of a shard that this process leads."""
         self.managers[manager.shard] = manager
         manager.start()
 
@@ -82,15 +83,15 @@
         if manager is not None:
             self._tasks.spawn(manager.close())
 
-    # Requests of this process.
+    # Requests from this process.
 
     async def store(
-        self, stored: records.StoredJob, wait_s: float
+        self, stored_job: records.StoredJob, wait_s: float
     ) -> job_manager.JobReply:
         """Store a job in its home shard; retry for up to ``wait_s`` seconds."""
-        body = records.encode_job(stored)
+        body = records.encode_job(stored_job)
         return await self._request_from_leader(
-            stored.job.job_id,
+            stored_job.job.job_id,
             wait_s,
             lambda shard, request_id: messages.StoreJob(
                 shard=shard, request_id=request_id, record=body
@@ -147,11 +148,11 @@
                 return False
         return True
 
-    def link_closed(self, lost: link.Link) -> None:
-        """Resolve requests sent over a lost link as UNKNOWN."""
+    def link_closed(self, closed: link.Link) -> None:
+        """Resolve requests that were sent over a closed link as UNKNOWN."""
         for request_id, request_link in self._links.items():
             reply_fut = self._pending_replies[request_id]
-            if request_link is lost and not reply_fut.done():
+            if request_link is closed and not reply_fut.done():
                 reply_fut.set_result(_Reply.UNKNOWN)
 
     def broadcast(
@@ -176,7 +177,7 @@
         """Send a request to the leader of the home shard, with retries.
 
         Each attempt goes to the current leader. The reply is UNKNOWN if a
-        leader received the request and its answer was lost.
+        leader may have received the request and its response was lost.
         """
         shard = self.home_shard(job)
         retry_until = self._clock.now() + min(
@@ -184,17 +185,17 @@
         )
         fallback_reply = _Reply.UNAVAILABLE
         while True:
-            answer = await self._attempt(shard, make_request)
-            if answer is _Reply.REFUSED and fallback_reply is _Reply.UNKNOWN:
+            reply = await self._attempt(shard, make_request)
+            if reply is _Reply.REFUSED and fallback_reply is _Reply.UNKNOWN:
                 # An earlier attempt may have stored the job.
                 return fallback_reply
-            if answer not in {_Reply.UNAVAILABLE, _Reply.UNKNOWN}:
-                return answer
-            if answer is _Reply.UNKNOWN:
-                fallback_reply = answer
-            if self._clock.now() + RETRY_PAUSE_S >= retry_until:
+            if reply not in {_Reply.UNAVAILABLE, _Reply.UNKNOWN}:
+                return reply
+            if reply is _Reply.UNKNOWN:
+                fallback_reply = reply
+            if self._clock.now() + RETRY_DELAY_S >= retry_until:
                 return fallback_reply
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _attempt(
         self, shard: ids.ShardId, make_request: _RequestFactory
@@ -222,10 +223,10 @@
     async def _serve(
         self, source: link.Link, request: messages.StoreJob | messages.QueryJob
     ) -> None:
-        answer = await self._handle_request(request)
+        reply = await self._handle_request(request)
         source.send(
             messages.JobResponse(
-                request_id=request.request_id, answer=answer.value
+                request_id=request.request_id, answer=reply.value
             )
         )
 
@@ -243,7 +244,8 @@
         decoded = records.decode_job(request.record)
         if isinstance(decoded, result.Err):
             _LOG.error(
-                'Malformed job was refused.', extra={'cause': decoded.err_value}
+                'Request to store a job refused: the job is malformed.',
+                extra={'cause': decoded.err_value},
             )
             return _Reply.REFUSED
         return await manager.accept(decoded.ok_value)
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -1,4 +1,4 @@
-"""Stored jobs of one shard as rows of the store, with group commits."""
+"""Rows of one shard's stored jobs, written to the store in group commits."""
 
 import asyncio
 import dataclasses
@@ -12,12 +12,12 @@
 JOB_PREFIX = f'{fenced_rows.TABLE}/job/'
 PROGRESS_PREFIX = f'{fenced_rows.TABLE}/progress/'
 
-#: Maximum rows of one commit. The store accepts 100 entries: a condition and
-#: a change for each row, and the condition on the writer row.
+#: Maximum number of rows in one commit. The store accepts 100 entries: a
+#: condition and a change for each row, and the condition on the writer row.
 MAX_ROWS = 49
 
-#: Maximum bytes of one commit. The store accepts 1 MB, and base64 adds a
-#: third.
+#: Maximum size of the rows in one commit, in bytes. The store accepts 1 MB, and
+#: base64 adds a third.
 MAX_BYTES = 500_000
 
 #: Maximum number of concurrent commits.
@@ -174,16 +174,16 @@
                 return
 
     def _next_due_in_s(self, now: float) -> float | None:
-        """Return the time to the next commit, None if none can start."""
+        """Return the time until the next commit, None if none can start."""
         if self._active_commits >= MAX_COMMITS:
             return None
-        times = (
+        due_times = (
             change.due_at
             for key, change in self._waiting.items()
             if key not in self._in_flight
         )
-        first = min(times, default=None)
-        return None if first is None else first - now
+        earliest = min(due_times, default=None)
+        return None if earliest is None else earliest - now
 
     def _next_batch(self) -> _Batch:
         batch: _Batch = {}
@@ -239,7 +239,7 @@
             await asyncio.sleep(self._backoff_s())
 
     def _requeue(self, batch: _Batch) -> None:
-        """Queue changes again, unless newer ones of their rows wait."""
+        """Queue changes again, except for rows with a newer waiting change."""
         due_at = self._clock.now() + self._backoff_s()
         for key, change in batch.items():
             newer = self._waiting.get(key)
@@ -251,11 +251,11 @@
                 _resolve_with(change, newer)
 
     def _backoff_s(self) -> float:
-        longest = min(
+        max_backoff_s = min(
             BACK_OFF_MIN_S * 2 ** min(self._rows.consecutive_failures, 8),
             BACK_OFF_MAX_S,
         )
-        return longest * self._rng.uniform(0.5, 1)
+        return max_backoff_s * self._rng.uniform(0.5, 1)
 
     def _mark_superseded(self) -> None:
         if self.is_superseded:
@@ -276,10 +276,10 @@
 
 
 def _resolve_with(change: _PendingWrite, newer: _PendingWrite) -> None:
-    """Resolve a change with the outcome of a newer one of its row."""
+    """Resolve a change with the outcome of a newer change of the same row."""
 
-    def settle(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
+    def resolve(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
         if not change.done.done():
             change.done.set_result(not done.cancelled() and done.result())
 
-    newer.done.add_done_callback(settle)
+    newer.done.add_done_callback(resolve)
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -22,7 +22,7 @@
     RUNNING = 'running'
     COMPLETED = 'completed'
 
-    #: A task has used up the attempts that its route allows.
+    #: A task has failed as many times as its route allows.
     FAILED = 'failed'
     CANCELLED = 'cancelled'
 
@@ -38,7 +38,7 @@
 
     job: jobs.Job
 
-    #: The route that accepted it.
+    #: Route that accepted the job, as it was at the time.
     route: routes.Route
 
     #: Unix times of acceptance and end in seconds; the end is 0 before it.
@@ -81,7 +81,7 @@
     )
 
     def is_recorded(self, key: open_tasks.TaskKey, run: int) -> bool:
-        """Return whether the result of a run was recorded before."""
+        """Return whether the result of a run is already recorded."""
         task_progress = self.failed.get(key)
         return key in self.done or (
             task_progress is not None and run < task_progress.next_run
@@ -100,15 +100,15 @@
         return task_progress.failures
 
 
-def encode_job(stored: StoredJob) -> bytes:
+def encode_job(stored_job: StoredJob) -> bytes:
     """Encode a job as the body of its row."""
-    route = stored.route
+    route = stored_job.route
     packed: bytes = msgpack.packb(
         [
             FORMAT_VERSION,
-            stored.job.job_id,
-            stored.job.payload,
-            [_pack_step(step) for step in stored.job.steps],
+            stored_job.job.job_id,
+            stored_job.job.payload,
+            [_pack_step(step) for step in stored_job.job.steps],
             [
                 route.route,
                 route.host,
@@ -119,16 +119,16 @@
                 route.priority,
                 route.max_attempts,
             ],
-            stored.accepted_at,
-            stored.ended_at,
-            stored.state.value,
+            stored_job.accepted_at,
+            stored_job.ended_at,
+            stored_job.state.value,
         ]
     )
     return packed
 
 
 def decode_job(body: bytes) -> result.Result[StoredJob, str]:
-    """Decode the row of a job; the error is one sentence."""
+    """Decode the row of a job, or return why it is malformed."""
     try:
         return result.Ok(_unpack_job(*_unpack(body)))
     except (ValueError, TypeError, KeyError) as exc:
@@ -152,7 +152,7 @@
 
 
 def decode_progress(body: bytes) -> result.Result[JobProgress, str]:
-    """Decode the row of a job's progress; the error is one sentence."""
+    """Decode the row of a job's progress, or return why it is malformed."""
     try:
         done, failed, moved = _unpack(body)
         return result.Ok(
@@ -175,10 +175,10 @@
 
 
 def _unpack(body: bytes) -> list[Any]:
-    document = msgpack.unpackb(body)
-    if not isinstance(document, list) or document[:1] != [FORMAT_VERSION]:
+    row_items = msgpack.unpackb(body)
+    if not isinstance(row_items, list) or row_items[:1] != [FORMAT_VERSION]:
         raise ValueError('unsupported format version')
-    return document[1:]
+    return row_items[1:]
 
 
 def _pack_step(step: jobs.Step) -> list[object]:
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -1,4 +1,4 @@
-"""Simulated shard whose leaders succeed each other, with a faulty store."""
+"""Simulated shard with successive leaders and a store that injects faults."""
 
 import asyncio
 import random
@@ -39,15 +39,15 @@
 
 
 def make_job(number: int, *counts: int) -> Any:
-    """Return a job of consecutive steps with ``counts`` tasks."""
+    """Return a stored job of consecutive steps with ``counts`` tasks."""
     steps = tuple(
         jobs.Step(
             count=count,
             resources=samples.typical_work('', 1).resources,
             estimate_s=0.2,
-            after=(position - 1,) if position else (),
+            after=(step_index - 1,) if step_index else (),
         )
-        for position, count in enumerate(counts)
+        for step_index, count in enumerate(counts)
     )
     job = jobs.Job(
         job_id=ids.JobId(f'{number:016x}'),
@@ -63,9 +63,9 @@
 
 
 class FaultyStore:
-    """A store with latency that randomly fails calls and loses answers.
+    """A store with latency that randomly fails calls and loses responses.
 
-    A write whose answer is lost may take effect up to 4 s later.
+    A write whose response is lost may take effect up to 4 s later.
     """
 
     def __init__(self, rng: random.Random, fault_share: float) -> None:
@@ -222,7 +222,7 @@
         await self.shard.close()
 
     def relink(self) -> None:
-        """Replace the link between job manager and shard."""
+        """Replace the link between the job manager and the shard leader."""
         lost = self.link
         self.link = Link(self)
         self.shard.link_lost(lost, self.cluster.rig.clock.now())
@@ -244,7 +244,7 @@
 
 
 class Cluster:
-    """Store, workers and the current leader of one shard."""
+    """The store, the workers and the current leader of one shard."""
 
     def __init__(
         self,
@@ -279,7 +279,7 @@
         return faults.draw_fault(self.rng, self.fault_share)
 
     def take_over(self) -> Process:
-        """Make a new process the leader; the former one keeps running."""
+        """Make a new process the leader; the former leader keeps running."""
         self.epoch += 1
         self.leader = Process(self, self.epoch)
         return self.leader
@@ -296,15 +296,15 @@
         self.rig.list_workers(self.leader.shard, list(self.rig.models.values()))
 
     async def wait_for_end(self, job: ids.JobId, limit_s: float = 30) -> str:
-        """Wait up to ``limit_s`` seconds for a final state; return the last."""
-        until = self.rig.clock.now() + limit_s
-        answer = job_manager.JobReply.UNAVAILABLE
-        while self.rig.clock.now() < until:
-            answer = await self.leader.manager.query(job)
-            if answer.value in {'completed', 'failed', 'cancelled'}:
+        """Wait up to ``limit_s`` s for a final state; return the last state."""
+        deadline = self.rig.clock.now() + limit_s
+        reply = job_manager.JobReply.UNAVAILABLE
+        while self.rig.clock.now() < deadline:
+            reply = await self.leader.manager.query(job)
+            if reply.value in {'completed', 'failed', 'cancelled'}:
                 break
             await asyncio.sleep(0.05)
-        return answer.value
+        return reply.value
 
     def violations(self) -> list[str]:
         run_records = self.rig.records()
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -30,15 +30,15 @@
         """Guards against a job that is acknowledged before it is stored."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 3)
-            answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Reply.ACCEPTED, answer)
-            key = f'{job_table.JOB_PREFIX}{stored.job.job_id}'
+            stored_job = clusters.make_job(1, 3)
+            reply = await cluster.leader.manager.accept(stored_job)
+            self.assertEqual(_Reply.ACCEPTED, reply)
+            key = f'{job_table.JOB_PREFIX}{stored_job.job.job_id}'
             self.assertIsNotNone(
                 cluster.store.rows.get(key, part=samples.SHARD)
             )
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual(3, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -49,28 +49,28 @@
         """Guards against commits that exceed the store's limit of entries."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            answers = await asyncio.gather(
+            replies = await asyncio.gather(
                 *(
                     cluster.leader.manager.accept(clusters.make_job(number, 1))
                     for number in range(120)
                 )
             )
-            self.assertEqual([_Reply.ACCEPTED] * 120, answers)
+            self.assertEqual([_Reply.ACCEPTED] * 120, replies)
 
         with_cluster(scenario)
 
-    def test_same_id_remains_one_job(self) -> None:
-        """Guards against a second run when a client repeats a request."""
+    def test_repeated_submission_is_one_job(self) -> None:
+        """Guards against second runs when a client submits a job repeatedly."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 1)
-            answers = await asyncio.gather(
-                *(cluster.leader.manager.accept(stored) for _ in range(3))
+            stored_job = clusters.make_job(1, 1)
+            replies = await asyncio.gather(
+                *(cluster.leader.manager.accept(stored_job) for _ in range(3))
             )
-            self.assertEqual([_Reply.ACCEPTED] * 3, answers)
-            await cluster.wait_for_end(stored.job.job_id)
-            answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Reply.ACCEPTED, answer)
+            self.assertEqual([_Reply.ACCEPTED] * 3, replies)
+            await cluster.wait_for_end(stored_job.job.job_id)
+            reply = await cluster.leader.manager.accept(stored_job)
+            self.assertEqual(_Reply.ACCEPTED, reply)
             await asyncio.sleep(2)
             self.assertEqual(1, len(cluster.rig.records()))
 
@@ -80,10 +80,10 @@
         """Guards against tasks that start before the step they depend on."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 2, 3, 1)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 2, 3, 1)
+            await cluster.leader.manager.accept(stored_job)
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             spans: dict[str, list[tuple[float, float]]] = {}
             for record in cluster.rig.records():
@@ -102,10 +102,10 @@
         """Guards against more attempts than the route allows."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 1)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 1)
+            await cluster.leader.manager.accept(stored_job)
             self.assertEqual(
-                'failed', await cluster.wait_for_end(stored.job.job_id)
+                'failed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual(clusters.MAX_ATTEMPTS, len(cluster.rig.records()))
 
@@ -115,11 +115,11 @@
         """Guards against runs that go on or start after a cancellation."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 30)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 30)
+            await cluster.leader.manager.accept(stored_job)
             await asyncio.sleep(0.03)
-            answer = await cluster.leader.manager.cancel(stored.job.job_id)
-            self.assertEqual(_Reply.CANCELLED, answer)
+            reply = await cluster.leader.manager.cancel(stored_job.job.job_id)
+            self.assertEqual(_Reply.CANCELLED, reply)
             await asyncio.sleep(0.05)
             before = len(cluster.rig.records())
             await asyncio.sleep(2)
@@ -130,30 +130,35 @@
         with_cluster(scenario)
 
     def test_job_is_refused_while_the_store_is_unavailable(self) -> None:
-        """Guards against a job that runs although it was refused."""
+        """Guards against a job that runs although it was refused.
+
+        The write is still waiting for a commit when the job is refused, and
+        must be withdrawn.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 1)
+            stored_job = clusters.make_job(1, 1)
             cluster.store.is_unavailable = True
-            answer = await cluster.leader.manager.accept(stored)
-            self.assertEqual(_Reply.REFUSED, answer)
+            reply = await cluster.leader.manager.accept(stored_job)
+            self.assertEqual(_Reply.REFUSED, reply)
             cluster.store.is_unavailable = False
             await asyncio.sleep(5)
             self.assertEqual([], cluster.rig.records())
-            answer = await cluster.leader.manager.query(stored.job.job_id)
-            self.assertEqual(_Reply.ABSENT, answer)
+            reply = await cluster.leader.manager.query(stored_job.job.job_id)
+            self.assertEqual(_Reply.ABSENT, reply)
 
         with_cluster(scenario)
 
     def test_results_are_acknowledged_once_they_are_stored(self) -> None:
-        """Guards against acknowledged results that a crash would lose.
+        """Guards against acknowledged results that are lost in a crash.
 
-        A worker discards a result once it is acknowledged.
+        A worker discards a result once it is acknowledged, so it must be
+        stored before.
         """
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 4)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored_job)
             cluster.store.is_unavailable = True
             await asyncio.sleep(3)
             records = cluster.rig.records()
@@ -163,7 +168,7 @@
             )
             cluster.store.is_unavailable = False
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             await asyncio.sleep(1)
             for record in cluster.rig.records():
@@ -175,13 +180,13 @@
         """Guards against a table that grows without bound."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 1)
-            await cluster.leader.manager.accept(stored)
-            await cluster.wait_for_end(stored.job.job_id)
+            stored_job = clusters.make_job(1, 1)
+            await cluster.leader.manager.accept(stored_job)
+            await cluster.wait_for_end(stored_job.job.job_id)
             await asyncio.sleep(150)
-            answer = await cluster.leader.manager.query(stored.job.job_id)
-            self.assertEqual(_Reply.ABSENT, answer)
-            key = f'{job_table.JOB_PREFIX}{stored.job.job_id}'
+            reply = await cluster.leader.manager.query(stored_job.job.job_id)
+            self.assertEqual(_Reply.ABSENT, reply)
+            key = f'{job_table.JOB_PREFIX}{stored_job.job.job_id}'
             self.assertIsNone(cluster.store.rows.get(key, part=samples.SHARD))
 
         with_cluster(scenario)
@@ -189,46 +194,49 @@
 
 class TestTakeover(testtools.TestCase):
     def test_next_leader_continues_the_running_tasks(self) -> None:
-        """Guards against accepted jobs that are lost with their process."""
+        """Guards against accepted jobs that are lost when a leader crashes."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 6)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 6)
+            await cluster.leader.manager.accept(stored_job)
             await asyncio.sleep(0.15)
             await cluster.replace()
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual(6, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
 
         with_cluster(scenario)
 
-    def test_ended_job_is_known_to_the_next_leader(self) -> None:
-        """Guards against final states that are lost with a process."""
+    def test_next_leader_has_the_states_of_ended_jobs(self) -> None:
+        """Guards against final states that are lost when a leader crashes."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 1)
-            await cluster.leader.manager.accept(stored)
-            await cluster.wait_for_end(stored.job.job_id)
+            stored_job = clusters.make_job(1, 1)
+            await cluster.leader.manager.accept(stored_job)
+            await cluster.wait_for_end(stored_job.job.job_id)
             await cluster.replace()
             await asyncio.sleep(0.2)
-            answer = await cluster.leader.manager.query(stored.job.job_id)
-            self.assertEqual(_Reply.COMPLETED, answer)
+            reply = await cluster.leader.manager.query(stored_job.job.job_id)
+            self.assertEqual(_Reply.COMPLETED, reply)
 
         with_cluster(scenario)
 
     def test_former_leader_stores_nothing_more(self) -> None:
-        """Guards against two leaders that both accept jobs of a shard."""
+        """Guards against two leaders that both accept jobs of a shard.
+
+        The former leader learns of the takeover when its first write fails.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
             former_leader = cluster.leader
             cluster.take_over()
             await asyncio.sleep(0.2)
-            answer = await former_leader.manager.accept(clusters.make_job(1, 1))
-            self.assertEqual(_Reply.UNKNOWN, answer)
-            answer = await former_leader.manager.accept(clusters.make_job(2, 1))
-            self.assertEqual(_Reply.UNAVAILABLE, answer)
+            reply = await former_leader.manager.accept(clusters.make_job(1, 1))
+            self.assertEqual(_Reply.UNKNOWN, reply)
+            reply = await former_leader.manager.accept(clusters.make_job(2, 1))
+            self.assertEqual(_Reply.UNAVAILABLE, reply)
             await asyncio.sleep(2)
             self.assertEqual([], cluster.rig.records())
 
@@ -237,21 +245,21 @@
     def test_done_task_is_not_repeated_after_a_crash(self) -> None:
         """Guards against a second run of a task that has completed.
 
-        The result was received and listed by the former leader, but could
-        not be stored before the crash.
+        The former leader received the result, but could not store it before
+        the crash. The worker still lists it, as it was not acknowledged.
         """
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 4)
-            await cluster.leader.manager.accept(stored)
-            # The leader has the results and lists them, but cannot store them.
+            stored_job = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored_job)
+            # The leader receives the results but cannot store them.
             cluster.store.is_unavailable = True
             await asyncio.sleep(1.2)
             await cluster.replace()
             await asyncio.sleep(2)
             cluster.store.is_unavailable = False
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -266,15 +274,15 @@
         """
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 4)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored_job)
             cluster.store.refused_prefix = job_table.JOB_PREFIX
             await asyncio.sleep(3)
             await cluster.replace()
             await asyncio.sleep(1)
             cluster.store.refused_prefix = ''
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
             self.assertEqual([], cluster.violations())
@@ -284,31 +292,34 @@
         with_cluster(scenario)
 
     def test_failures_count_across_leaders(self) -> None:
-        """Guards against failure counts that are lost in a takeover."""
+        """Guards against failure counts that are lost in a takeover.
+
+        A task would then exceed the attempts that its route allows.
+        """
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 2)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 2)
+            await cluster.leader.manager.accept(stored_job)
             for _ in range(3):
                 await asyncio.sleep(0.12)
                 await cluster.replace()
             self.assertEqual(
-                'failed', await cluster.wait_for_end(stored.job.job_id)
+                'failed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual([], cluster.violations())
 
         with_cluster(scenario, failing_percent=100)
 
     def test_lost_link_to_the_job_manager_does_not_stop_its_runs(self) -> None:
-        """Guards against runs that are cancelled because of a lost link."""
+        """Guards against runs that are stopped because the link closes."""
 
         async def scenario(cluster: clusters.Cluster) -> None:
-            stored = clusters.make_job(1, 4)
-            await cluster.leader.manager.accept(stored)
+            stored_job = clusters.make_job(1, 4)
+            await cluster.leader.manager.accept(stored_job)
             await asyncio.sleep(0.1)
             cluster.leader.relink()
             self.assertEqual(
-                'completed', await cluster.wait_for_end(stored.job.job_id)
+                'completed', await cluster.wait_for_end(stored_job.job.job_id)
             )
             self.assertEqual(4, len(cluster.rig.records()))
 
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -53,7 +53,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def schedule(self, time_s: float, kind: str) -> None:
-        """Schedule a fault."""
+        """Schedule a fault or a cancellation."""
         asyncio.get_running_loop().call_later(
             time_s, lambda: self._spawn(self._inject(kind))
         )
@@ -71,17 +71,17 @@
         counts = [self.cluster.rng.randint(1, 4)] * self.cluster.rng.randint(
             1, 2
         )
-        stored = clusters.make_job(number, *counts)
-        answers = []
+        stored_job = clusters.make_job(number, *counts)
+        replies = []
         for _ in range(2):
-            answers.append(await self.cluster.leader.manager.accept(stored))
-            if answers[-1] is not job_manager.JobReply.UNKNOWN:
+            replies.append(await self.cluster.leader.manager.accept(stored_job))
+            if replies[-1] is not job_manager.JobReply.UNKNOWN:
                 break
             await asyncio.sleep(1.3)
-        if answers[-1] is job_manager.JobReply.ACCEPTED:
-            self.accepted.add(stored.job.job_id)
-        elif job_manager.JobReply.UNKNOWN not in answers:
-            self.refused.add(stored.job.job_id)
+        if replies[-1] is job_manager.JobReply.ACCEPTED:
+            self.accepted.add(stored_job.job.job_id)
+        elif job_manager.JobReply.UNKNOWN not in replies:
+            self.refused.add(stored_job.job.job_id)
 
     async def _inject(self, kind: str) -> None:
         cluster = self.cluster
@@ -141,9 +141,9 @@
     cluster.store.fault_share = 0
     cluster.store.is_unavailable = False
     cluster.restart_workers()
-    until = cluster.rig.clock.now() + FINISH_S
+    deadline = cluster.rig.clock.now() + FINISH_S
     states = {
-        job: await cluster.wait_for_end(job, until - cluster.rig.clock.now())
+        job: await cluster.wait_for_end(job, deadline - cluster.rig.clock.now())
         for job in sorted(scenario.accepted)
     }
     await asyncio.sleep(2)
@@ -166,7 +166,7 @@
     def test_guarantees_of_stored_jobs_hold_under_faults(
         self, seed: int, fault_share: float, events: list[tuple[float, str]]
     ) -> None:
-        """Guards against any fault sequence that breaks a guarantee."""
+        """Guards against a sequence of faults that breaks a guarantee."""
         report = virtual_time.run(
             lambda: run_scenario(seed, fault_share, events)
         )
@@ -178,7 +178,7 @@
                 self.assertIn(job, report.cancelled)
 
     def test_all_jobs_complete_without_faults(self) -> None:
-        """Guards against a model in which no job is executed."""
+        """Guards against a property test that passes without running jobs."""
 
         report = virtual_time.run(lambda: run_scenario(1, 0, []))
         self.assertEqual(JOBS, len(report.states))
