--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -227,7 +227,7 @@
         key_ttl_s=slopes_samples.LONG_S,
         record_ttl_s=slopes_samples.LONG_S,
         max_records=count,
-        max_answer_bytes=count * ANSWER_BYTES,
+        max_reply_bytes=count * ANSWER_BYTES,
     )
     for number in range(1, count + 1):
         _keep_record(
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -148,14 +148,14 @@
         key_ttl_s: float,
         record_ttl_s: float,
         max_records: int,
-        max_answer_bytes: int,
+        max_reply_bytes: int,
     ) -> None:
         """Start empty; times in seconds."""
         self._key_issuer = key_issuer
         self._key_ttl_s = key_ttl_s
         self._record_ttl_s = record_ttl_s
         self._max_records = max_records
-        self._max_answer_bytes = max_answer_bytes
+        self._max_answer_bytes = max_reply_bytes
         self._running: dict[int, Record] = {}
         self._by_customer: dict[ids.CustomerId, _CustomerEntries] = {}
         self._totals = _Totals()
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -48,7 +48,7 @@
     max_records: int = 200_000
 
     #: Maximum total size of retained answers, in bytes.
-    max_answer_bytes: int = 268_435_456
+    max_reply_bytes: int = 268_435_456
 
     #: Maximum total size of submissions in progress, in bytes.
     max_running_bytes: int = 268_435_456
@@ -93,7 +93,7 @@
             key_ttl_s=cfg.key_ttl_s,
             record_ttl_s=cfg.record_ttl_s,
             max_records=cfg.max_records,
-            max_answer_bytes=cfg.max_answer_bytes,
+            max_reply_bytes=cfg.max_reply_bytes,
         )
         self._admission = admission.Admission()
         self._executions = executions.Executions(
--- a/tests/connection/test_caller.py
+++ b/tests/connection/test_caller.py
@@ -228,7 +228,7 @@
 
     async def test_unread_answer_is_given_up(self) -> None:
         await self.start(write_timeout_s=0.2, close_timeout_s=PATIENCE_S)
-        self.runner.outcomes[0] = fakes.make_answer(body=bytes(8_388_608))
+        self.runner.outcomes[0] = fakes.make_response(body=bytes(8_388_608))
         writer = await self.post(self.key)
         async with asyncio.timeout(PATIENCE_S):
             await self.listener.close()
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -26,7 +26,7 @@
     async def test_state_and_verdict_follow_from_task_outcomes(self) -> None:
         for outcomes, state, verdict in (
             ({}, 'complete', 'ran'),
-            ({0: fakes.make_answer(500)}, 'failed', 'ran_and_failed'),
+            ({0: fakes.make_response(500)}, 'failed', 'ran_and_failed'),
             ({0: REFUSED}, 'failed', 'ran_and_failed'),
             ({0: REFUSED, 1: REFUSED}, 'failed', 'not_run'),
             ({0: UNKNOWN, 1: REFUSED}, 'failed', 'may_have_run'),
@@ -39,7 +39,7 @@
             self.assertThat(document['tasks'], matchers.HasLength(2))
 
     async def test_binary_body_is_returned_as_base64(self) -> None:
-        outcome = fakes.make_answer(body=b'\xff')
+        outcome = fakes.make_response(body=b'\xff')
         task = (await self.run_job({1: outcome}))['tasks'][1]
         self.assertEqual('/w==', task['body_base64'])
 
@@ -50,7 +50,7 @@
         self.assertEqual({1}, set(self.runner.starts.values()))
 
     async def test_too_large_answers_fail_the_job(self) -> None:
-        large = fakes.make_answer(
+        large = fakes.make_response(
             body=bytes(executions.MAX_JOB_ANSWER_BYTES // 2 + 1)
         )
         document = await self.run_job({0: large, 1: large})
@@ -63,7 +63,7 @@
 
     async def test_rendering_failure_is_answered(self) -> None:
         """Guards against callers that wait forever after such a failure."""
-        self.runner.outcomes[0] = fakes.make_answer(status=b'fault')
+        self.runner.outcomes[0] = fakes.make_response(status=b'fault')
         answer = await self.submit()
         self.assert_problem(answer, 'internal_error', 'may_have_run', True)
 
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -21,7 +21,7 @@
 
     def make(self, **bounds: Any) -> None:
         self.key_issuer = test_keys.make_key_issuer()
-        bounds = {'max_records': 10, 'max_answer_bytes': 1000, **bounds}
+        bounds = {'max_records': 10, 'max_reply_bytes': 1000, **bounds}
         self.record_store = records.RecordStore(
             key_issuer=self.key_issuer,
             key_ttl_s=TTL_S,
@@ -85,7 +85,7 @@
     """Guards against evicted entries whose keys start work again."""
 
     def test_evicted_answer_leaves_its_verdict(self) -> None:
-        self.make(max_answer_bytes=5)
+        self.make(max_reply_bytes=5)
         first, second = self.issue_key(), self.issue_key()
         for key in (first, second):
             self.end(self.open(key), size=4)
@@ -119,7 +119,7 @@
         A small store is used at random and compared with the set of used keys.
         """
         rng = random.Random(7)
-        self.make(max_records=4, max_answer_bytes=20)
+        self.make(max_records=4, max_reply_bytes=20)
         now, issued, running = 0, [], []
         used: set[keys.Key] = set()
         for _ in range(5000):
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -29,7 +29,7 @@
 TASK = {'method': 'POST', 'path': '/stamp', 'body_text': 'reprint'}
 
 
-def make_answer(status: int = 200, body: bytes = b'') -> work.Response:
+def make_response(status: int = 200, body: bytes = b'') -> work.Response:
     return work.Response(
         status=status, headers=(), body=body, endpoint=ids.EndpointId('e1')
     )
@@ -52,7 +52,7 @@
         if task.request_id in self.cancelled:
             return work.Refused(problem=executions.cancelled())
         self.starts[task.request_id, task.index] += 1
-        outcome = self.outcomes.get(task.index, make_answer(body=task.body))
+        outcome = self.outcomes.get(task.index, make_response(body=task.body))
         if isinstance(outcome, Exception):
             raise outcome
         return outcome
@@ -323,7 +323,7 @@
         self.assert_problem(
             answer, 'too_large_to_forward', 'may_have_run', False
         )
-        self.runner.outcomes[0] = make_answer(body=bytes(8_388_608))
+        self.runner.outcomes[0] = make_response(body=bytes(8_388_608))
         answer = await self.submit(process=self.other_process)
         self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
 
