--- a/sardineproxy/request/active_jobs.py
+++ b/sardineproxy/request/active_jobs.py
@@ -23,7 +23,7 @@
     """Runs one coordinator per job; repeated requests share it."""
 
     def __init__(self) -> None:
-        """Start without jobs."""
+        """Create an instance without jobs."""
         self._jobs: dict[ids.JobId, _ActiveJob] = {}
 
     def __len__(self) -> int:
@@ -61,7 +61,7 @@
         """Pass a message to its coordinator; drop it if the job has ended."""
         active = self._jobs.get(message.job)
         if active is not None:
-            active.coordinator.post(message)
+            active.coordinator.post_event(message)
 
     def notify_leader_lost(
         self, shard: ids.ShardId, former_leader: link.Link
@@ -88,7 +88,7 @@
         )
 
     def state(self) -> dict[str, object]:
-        """Return the route of each job, for the state dump."""
+        """Return the routes of the jobs, for the state dump."""
         return {
             job_id: active.coordinator.route.route
             for job_id, active in self._jobs.items()
@@ -96,4 +96,4 @@
 
     def _broadcast(self, event: coordinator.Event) -> None:
         for active in self._jobs.values():
-            active.coordinator.post(event)
+            active.coordinator.post_event(event)
--- a/sardineproxy/request/admission.py
+++ b/sardineproxy/request/admission.py
@@ -12,7 +12,7 @@
 
 MS_PER_SECOND = 1000
 
-#: Retry-After of refusals that last for an unknown time, in seconds.
+#: Retry-After of refusals of unknown duration, in seconds.
 RETRY_AFTER_S = 1
 
 
@@ -21,12 +21,12 @@
     tokens: float
 
     #: Monotonic seconds of the last refill.
-    filled_at: float
+    refilled_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Submission:
-    """A submission of a caller that has not been admitted yet."""
+    """A caller's submission that has not been admitted yet."""
 
     customer: ids.CustomerId
     kind: work.TaskKind
@@ -73,7 +73,7 @@
     """Decides whether this VM admits a submission."""
 
     def __init__(self) -> None:
-        """Start without contracts and with full buckets."""
+        """Create an instance without contracts; all buckets are full."""
         self._buckets: dict[ids.CustomerId, _TokenBucket] = {}
         self._contracts: dict[ids.CustomerId, contracts.Contract] = {}
         self._credentials: dict[str, ids.CustomerId] = {}
@@ -118,7 +118,7 @@
         return result.Err(unauthorized())
 
     def longest_deadline_s(self, *, customer: ids.CustomerId) -> float:
-        """Return the longest deadline in the contract, 0 without contract."""
+        """Return the maximum deadline of the contract, 0 without a contract."""
         contract = self._contracts.get(customer)
         if contract is None:
             return 0
@@ -153,7 +153,7 @@
         admitted = AdmittedSubmission(
             submission=submission, contract=contract, document=parsed.ok_value
         )
-        refusal = check_bounds(admitted=admitted) or self._charge(
+        refusal = check_limits(admitted=admitted) or self._charge(
             contract=contract,
             tasks=len(admitted.document.tasks),
             waiting=waiting,
@@ -162,7 +162,7 @@
         return result.Err(refusal) if refusal else result.Ok(admitted)
 
     def state(self) -> dict[str, object]:
-        """Return the token buckets and their inputs for the state dump."""
+        """Return the token buckets and their inputs, for the state dump."""
         return {
             'draining': self._draining,
             'live_vms': self._live_vms,
@@ -219,11 +219,11 @@
         capacity = max(1, contract.submit_burst / self._live_vms)
         bucket = self._buckets.setdefault(
             ids.CustomerId(contract.customer),
-            _TokenBucket(tokens=capacity, filled_at=now),
+            _TokenBucket(tokens=capacity, refilled_at=now),
         )
-        refill = max(0, now - bucket.filled_at) * rate
+        refill = max(0, now - bucket.refilled_at) * rate
         bucket.tokens = min(capacity, bucket.tokens + refill)
-        bucket.filled_at = now
+        bucket.refilled_at = now
         missing_tokens = min(tasks, capacity) - bucket.tokens
         if missing_tokens > 0:
             return missing_tokens / rate
@@ -231,7 +231,7 @@
         return 0
 
 
-def check_bounds(*, admitted: AdmittedSubmission) -> problems.Problem | None:
+def check_limits(*, admitted: AdmittedSubmission) -> problems.Problem | None:
     """Return the refusal if the contract never allows the submission."""
     contract, document = admitted.contract, admitted.document
     if not admitted.submission.keyed and not document.tasks[0].idempotent:
@@ -275,7 +275,7 @@
 
 
 def unauthorized() -> problems.Problem:
-    """Return the refusal of a credential that no contract contains."""
+    """Return the refusal of a credential that belongs to no contract."""
     return problems.refusal(
         code='unauthorized',
         status=401,
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -1,7 +1,7 @@
 """Coordination of one job at the entry VM that accepted it.
 
 The coordinator submits the job's tasks to the leaders of shards and collects
-their results until the job is answered.
+their results until the outcome of the job is determined.
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.version import routes
 
-#: Longest wait for a new leader of a shard that lost its leader, in seconds.
+#: Maximum wait for the new leader of a shard that lost its leader, in seconds.
 LEADER_WAIT_S = 1.0
 
-#: Time reserved for returning the answer to the client, in seconds.
-ANSWER_MARGIN_S = 0.05
+#: Time reserved for returning the response to the client, in seconds.
+RESPONSE_MARGIN_S = 0.05
 
 #: Retry delay reported to a client when no shard has a leader, in seconds.
 NO_LEADER_RETRY_S = 1.0
@@ -51,14 +51,14 @@
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Prepare a job; times are in seconds of the local clock."""
+        """Create a coordinator; times are in seconds of the local clock."""
         self.job = job
         self.route = route
         self.arrived_at = arrived_at
         self._router = router
         self._clock = clock
-        self._deadline = deadline - ANSWER_MARGIN_S
-        self._inbox: asyncio.Queue[Event] = asyncio.Queue()
+        self._deadline = deadline - RESPONSE_MARGIN_S
+        self._events: asyncio.Queue[Event] = asyncio.Queue()
         self._open = open_tasks.OpenTasks(
             job=job,
             route=route,
@@ -77,9 +77,9 @@
         """Return whether a task has started or may have started."""
         return self._may_have_run
 
-    def post(self, event: Event) -> None:
-        """Add an event to the queue that ``run`` processes."""
-        self._inbox.put_nowait(event)
+    def post_event(self, event: Event) -> None:
+        """Queue an event for ``run``."""
+        self._events.put_nowait(event)
 
     async def run(self) -> jobs.Outcome:
         """Run the job and return its outcome.
@@ -102,7 +102,7 @@
             remaining_s = self._deadline - self._clock.now()
             try:
                 async with asyncio.timeout(self._event_timeout_s(remaining_s)):
-                    event = await self._inbox.get()
+                    event = await self._events.get()
             except TimeoutError:
                 return jobs.GivenUp(detail=self._timeout_cause())
             outcome = self._handle_event(event)
@@ -122,7 +122,7 @@
         return 'deadline passed'
 
     def _start_ready_steps(self, default_shard: ids.ShardId) -> None:
-        """Submit the tasks of all steps whose prerequisites are done."""
+        """Submit the tasks of all steps whose predecessors are completed."""
         for step_index in sorted(self._waiting_steps):
             step = self.job.steps[step_index]
             if not self._done_steps.issuperset(step.after):
@@ -186,9 +186,8 @@
     ) -> jobs.Outcome | None:
         """Move declined tasks to another shard, or end the job.
 
-        They move to the shard that the leader suggested. Tasks that had been
-        moved already return to the default shard if another one declines
-        them.
+        They move to the shard that the leader suggested. Tasks that have been
+        moved before return to the default shard, unless it declined them.
         """
         tasks = self._open.in_shard(
             declined.step, declined.indices, declined.shard
--- a/sardineproxy/request/documents.py
+++ b/sardineproxy/request/documents.py
@@ -1,4 +1,4 @@
-"""Parses the documents that callers submit and renders the replies."""
+"""Parses the documents that callers submit, and renders the replies."""
 
 import base64
 import binascii
@@ -33,8 +33,8 @@
 MAX_HEADERS = 64
 MAX_HEADER_CHARACTERS = 16_384
 
-#: Maximum total number of elements and members of all arrays and objects in a
-#: submission; the largest job has fewer.
+#: Maximum total number of array elements and object members in a submission;
+#: the largest job has fewer.
 MAX_MEMBERS = 131_072
 
 #: Maximum number of quotation marks in a submission: a member has at most two
@@ -46,7 +46,7 @@
 )
 
 #: Hop-by-hop headers, and headers that the dispatcher sets itself.
-REFUSED_HEADERS = frozenset(
+FORBIDDEN_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -112,7 +112,7 @@
 def _check_header(name: str, text: str) -> None:
     if not _HEADER_NAME.fullmatch(name):
         raise ValueError('a header name is not a token')
-    if name.lower() in REFUSED_HEADERS:
+    if name.lower() in FORBIDDEN_HEADERS:
         raise ValueError(f'header {name} is not allowed in a task')
     if not _HEADER_TEXT.fullmatch(text):
         raise ValueError(f'header {name} has characters that are not allowed')
@@ -191,10 +191,10 @@
 
 
 _Document = TypeVar('_Document', bound=_Model)
-Parsed = result.Result[JobDocument, problems.Problem]
+ParseResult = result.Result[JobDocument, problems.Problem]
 
 
-def parse_submission(*, kind: work.TaskKind, body: bytes) -> Parsed:
+def parse_submission(*, kind: work.TaskKind, body: bytes) -> ParseResult:
     """Parse a job or a single request; a request becomes a job of one task."""
     try:
         if kind is work.TaskKind.JOB:
@@ -228,7 +228,7 @@
         parsed = json.loads(
             body.decode(),
             object_pairs_hook=_check_object,
-            parse_constant=_refuse_constant,
+            parse_constant=_reject_constant,
         )
     except RecursionError as exc:
         raise ValueError('nesting is too deep') from exc
@@ -237,11 +237,13 @@
 
 def _count_members(body: bytes) -> int:
     """Return an upper bound of the number of members in well-formed JSON."""
-    plain = body.replace(rb'\\', b'').replace(rb'\"', b'')
-    if plain.count(b'"') > MAX_QUOTES:
+    without_escapes = body.replace(rb'\\', b'').replace(rb'\"', b'')
+    if without_escapes.count(b'"') > MAX_QUOTES:
         return MAX_QUOTES
-    outside = b''.join(plain.split(b'"')[::2])
-    return sum(outside.count(mark) for mark in (b',', b'[', b'{'))
+    outside_strings = b''.join(without_escapes.split(b'"')[::2])
+    return sum(
+        outside_strings.count(character) for character in (b',', b'[', b'{')
+    )
 
 
 def _check_object(members: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -254,7 +256,7 @@
     return checked
 
 
-def _refuse_constant(name: str) -> None:
+def _reject_constant(name: str) -> None:
     raise ValueError(f'{name} is not a JSON number')
 
 
@@ -272,7 +274,7 @@
 
 @functools.cache  # Tens of thousands of tombstones share a few problems.
 def answer_dropped(verdict: verdicts.Verdict | None) -> problems.Problem:
-    """Return the problem that replaces the answer of an evicted record."""
+    """Return the problem that replaces the reply of an evicted record."""
     return problems.Problem(
         code='answer_dropped',
         verdict=verdict or verdicts.Verdict.MAY_HAVE_RUN,
@@ -282,7 +284,7 @@
 
 
 def answer_too_large(verdict: verdicts.Verdict | None) -> problems.Problem:
-    """Return the problem for an answer too large for a peer message."""
+    """Return the problem for a reply too large for a peer message."""
     return problems.Problem(
         code='answer_too_large_to_forward',
         verdict=verdict or verdicts.Verdict.MAY_HAVE_RUN,
--- a/sardineproxy/request/executions.py
+++ b/sardineproxy/request/executions.py
@@ -1,4 +1,4 @@
-"""Runs submissions to completion and renders their answers."""
+"""Runs submissions to completion and renders the replies."""
 
 import asyncio
 import base64
@@ -10,17 +10,17 @@
 from sardineproxy.process import metrics
 from sardineproxy.request import admission, documents, records, work
 
-#: Maximum total size of the endpoints' answers to one job, in bytes.
-MAX_JOB_ANSWER_BYTES = 33_554_432
+#: Maximum total size of the endpoints' responses to one job, in bytes.
+MAX_JOB_RESPONSE_BYTES = 33_554_432
 
 #: Maximum number of running submissions listed in the state dump.
-MAX_LISTED = 100
+MAX_LISTED_SUBMISSIONS = 100
 
 #: Lowest HTTP status that counts as an error of the endpoint.
 FIRST_ERROR_STATUS = 400
 
-_Kept = TypeVar('_Kept')
-_log = logs.get_logger('request')
+_ResultT = TypeVar('_ResultT')
+_LOG = logs.get_logger('request')
 
 
 class Runner(Protocol):
@@ -50,15 +50,15 @@
         runner: Runner,
         unstarted: collections.Counter[ids.CustomerId],
     ) -> None:
-        """Start nothing; ``unstarted`` counts tasks not passed to a runner."""
+        """Create an instance; ``unstarted`` is decremented per started task."""
         self._record = record
         self._unstarted = unstarted
         self._tasks = tasks
         self._runner = runner
-        self._answer_bytes = 0
+        self._response_bytes = 0
 
     async def run(self) -> documents.Reply:
-        """Run all tasks and return the answer to the caller."""
+        """Run all tasks and return the reply to the caller."""
         if self._record.kind is work.TaskKind.SINGLE:
             outcome = await self._run_task(self._tasks[0])
             return _single_reply(self._record, outcome)
@@ -72,8 +72,8 @@
         outcome = await self._run_if_not_cancelled(task)
         self._record.ended_tasks += 1
         if isinstance(outcome, work.Response):
-            self._answer_bytes += len(outcome.body)
-            if self._answer_bytes > MAX_JOB_ANSWER_BYTES:
+            self._response_bytes += len(outcome.body)
+            if self._response_bytes > MAX_JOB_RESPONSE_BYTES:
                 return _without_body(outcome)
         return outcome
 
@@ -88,14 +88,15 @@
         except Exception:
             # The task may have run: the dispatcher can raise after the first
             # byte has been sent.
-            _log.exception(
-                'Task raised an exception.', extra={'id': task.request_id}
+            _LOG.exception(
+                'Running a task raised an exception; its outcome is unknown.',
+                extra={'id': task.request_id},
             )
             return work.OutcomeUnknown(problem=_internal_error())
 
 
 class Executions:
-    """All submissions of callers that are in progress at this process.
+    """The submissions that are in progress at this process.
 
     Requests that are forwarded to other processes count as in progress, too.
     """
@@ -108,7 +109,7 @@
         record_store: records.RecordStore,
         metrics: metrics.Metrics,
     ) -> None:
-        """Start with nothing in progress."""
+        """Create an instance with nothing in progress."""
         self._clock = clock
         self._runner = runner
         self._record_store = record_store
@@ -161,8 +162,8 @@
         return record
 
     def run_detached(
-        self, coroutine: Coroutine[Any, Any, _Kept]
-    ) -> Awaitable[_Kept]:
+        self, coroutine: Coroutine[Any, Any, _ResultT]
+    ) -> Awaitable[_ResultT]:
         """Run a coroutine to its end even if its awaiter is cancelled."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._in_progress.add(task)
@@ -181,7 +182,9 @@
 
     def state(self, *, now: float) -> dict[str, object]:
         """Return counts and the oldest submissions, for the state dump."""
-        oldest = itertools.islice(self._records.values(), MAX_LISTED)
+        oldest = itertools.islice(
+            self._records.values(), MAX_LISTED_SUBMISSIONS
+        )
         return {
             'in_progress': len(self._in_progress),
             'running': len(self._records),
@@ -200,8 +203,9 @@
             reply = await execution.run()
         except Exception:
             # Without a reply, callers of this record would wait forever.
-            _log.exception(
-                'Rendering the reply failed.', extra={'id': record.request_id}
+            _LOG.exception(
+                'Rendering the reply failed; the caller receives an error.',
+                extra={'id': record.request_id},
             )
             reply = documents.render_problem(_internal_error())
         record.ended_at = self._clock.now()
@@ -246,7 +250,7 @@
 
 
 def outcome_verdict(outcome: work.Outcome) -> verdicts.Verdict:
-    """Return the verdict on one task."""
+    """Return the verdict on a task with this outcome."""
     match outcome:
         case work.Response(status=status):
             if status < FIRST_ERROR_STATUS:
@@ -259,7 +263,7 @@
 
 
 def job_verdict(outcomes: Sequence[work.Outcome]) -> verdicts.Verdict:
-    """Return the verdict on a job with these task outcomes."""
+    """Return the verdict on a job whose tasks have these outcomes."""
     task_verdicts = {outcome_verdict(outcome) for outcome in outcomes}
     if verdicts.Verdict.MAY_HAVE_RUN in task_verdicts:
         return verdicts.Verdict.MAY_HAVE_RUN
@@ -268,18 +272,18 @@
     return verdicts.Verdict.RAN_AND_FAILED
 
 
-def answer_document(answer: work.Response) -> dict[str, Any]:
-    """Return an endpoint's answer as JSON; a non-UTF-8 body is base64."""
+def response_document(response: work.Response) -> dict[str, Any]:
+    """Return a response as JSON; a body that is not UTF-8 is base64."""
     document: dict[str, Any] = {
-        'verdict': outcome_verdict(answer).value,
-        'status': answer.status,
-        'headers': [list(header) for header in answer.headers],
-        'endpoint': answer.endpoint,
+        'verdict': outcome_verdict(response).value,
+        'status': response.status,
+        'headers': [list(header) for header in response.headers],
+        'endpoint': response.endpoint,
     }
     try:
-        document['body_text'] = answer.body.decode()
+        document['body_text'] = response.body.decode()
     except UnicodeDecodeError:
-        document['body_base64'] = base64.b64encode(answer.body).decode()
+        document['body_base64'] = base64.b64encode(response.body).decode()
     return document
 
 
@@ -289,7 +293,7 @@
     if isinstance(outcome, work.Response):
         return documents.render_json(
             status=200,
-            document={'id': record.request_id, **answer_document(outcome)},
+            document={'id': record.request_id, **response_document(outcome)},
             verdict=outcome_verdict(outcome),
         )
     return documents.render_problem(outcome.problem, record.request_id)
@@ -299,11 +303,11 @@
     record: records.Record, outcomes: Sequence[work.Outcome]
 ) -> documents.Reply:
     verdict = job_verdict(outcomes)
-    all_answered = all(
+    all_responded = all(
         isinstance(outcome, work.Response) for outcome in outcomes
     )
     complete = (
-        all_answered
+        all_responded
         and verdict is verdicts.Verdict.RAN
         and not record.cancelled
     )
@@ -322,23 +326,23 @@
 
 def _task_document(outcome: work.Outcome) -> dict[str, Any]:
     if isinstance(outcome, work.Response):
-        return answer_document(outcome)
+        return response_document(outcome)
     return {
         'verdict': outcome.problem.verdict.value,
         'problem': documents.problem_document(outcome.problem),
     }
 
 
-def _without_body(answer: work.Response) -> work.Outcome:
-    """Return an outcome with the answer's verdict but not its body."""
+def _without_body(response: work.Response) -> work.Outcome:
+    """Return an outcome with the response's verdict but not its body."""
     return work.OutcomeUnknown(
         problem=problems.Problem(
             code='answers_too_large',
-            verdict=outcome_verdict(answer),
+            verdict=outcome_verdict(response),
             status=502,
             detail=(
                 "The job's answers exceed "
-                f'{MAX_JOB_ANSWER_BYTES} bytes together.'
+                f'{MAX_JOB_RESPONSE_BYTES} bytes together.'
             ),
         )
     )
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -18,8 +18,8 @@
 #: first observations have a higher weight.
 ESTIMATE_GAIN = 0.1
 
-#: Heaps are rebuilt without outdated entries when they hold more than this
-#: many times the entries in use, plus ``MIN_REBUILD_SIZE``.
+#: A heap is rebuilt without outdated entries when its size exceeds this many
+#: times the number of entries in use, plus ``MIN_REBUILD_SIZE``.
 MAX_OUTDATED_RATIO = 2
 
 #: Heaps of up to this many entries are never rebuilt.
@@ -38,7 +38,8 @@
 class Config:
     """Parameters of the fair queue."""
 
-    #: Number of single requests that precede a customer's waiting job task.
+    #: Maximum number of a customer's single requests that start in a row while
+    #: one of its job tasks waits.
     interactive_burst: int = 8
 
     #: Estimated run time of a customer without observations, in seconds.
@@ -49,7 +50,7 @@
     """Heap of flows by start tag; outdated entries are skipped when popped."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty heap."""
         self._heap: list[tuple[float, int, flows.Flow]] = []
         self._last_version = 0
 
@@ -78,7 +79,7 @@
     """Heap of waiting tasks by deadline; outdated entries are skipped."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty heap."""
         self._heap: list[tuple[float, int, flows.QueueEntry]] = []
         self._last_push = 0
 
@@ -110,7 +111,7 @@
     """Queue of the waiting and started tasks of all customers."""
 
     def __init__(self, *, cfg: Config | None = None) -> None:
-        """Start without tasks."""
+        """Create a queue without tasks."""
         self._cfg = cfg or Config()
 
         #: Flows of all customers so far; read-only for other modules.
@@ -172,7 +173,7 @@
             self.schedule(flow)
 
     def pause(self, entry: flows.QueueEntry) -> None:
-        """Keep a task waiting without starting it until ``enqueue``."""
+        """Make a task wait outside all lanes until ``enqueue``."""
         self._leave_lane(entry)
         entry.flow.paused += 1
         self._mark_waiting(entry)
@@ -322,12 +323,12 @@
             self.schedule(flow)
 
 
-def _max_heap_size(used: int) -> int:
-    return MIN_REBUILD_SIZE + MAX_OUTDATED_RATIO * used
+def _max_heap_size(in_use: int) -> int:
+    return MIN_REBUILD_SIZE + MAX_OUTDATED_RATIO * in_use
 
 
 def _credit_s(flow: flows.Flow) -> float:
-    """Return the virtual time by which an idle flow's tag may lag behind."""
+    """Return the virtual seconds by which an idle flow's tag may lag behind."""
     tasks = 1 + flow.running * IDLE_CREDIT_PER_RUNNING
     return tasks * flow.run_time_s / flow.weight
 
--- a/sardineproxy/request/flows.py
+++ b/sardineproxy/request/flows.py
@@ -42,7 +42,7 @@
     running: int = 0
     finished: int = 0
 
-    #: Number of waiting tasks that are in no lane because they are paused.
+    #: Number of paused tasks, which wait outside all lanes.
     paused: int = 0
 
     #: Tasks that are not allowed at some endpoints; they start first.
@@ -83,7 +83,7 @@
     state: EntryState = EntryState.NEW
     lane: 'Lane | None' = None
 
-    #: Run time that the customer was charged at the start, in seconds.
+    #: Run time in seconds that the customer was charged when the task started.
     charged_s: float = 0
 
     #: True if the request was cancelled after the task had started.
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of clients, the steps they consist of, and their outcomes."""
+"""Jobs of clients, their steps and their outcomes."""
 
 import dataclasses
 import enum
@@ -42,7 +42,7 @@
 
     @property
     def cores(self) -> float:
-        """Return the processor share in cores."""
+        """Return the CPU share in cores."""
         return self.millicores / _MILLICORES_PER_CORE
 
 
@@ -83,8 +83,9 @@
     payload: str
     steps: tuple[Step, ...]
 
-    #: True if the job is answered once it is stored and must survive the
-    #: failure of all processes; otherwise it is answered when it has ended.
+    #: True if the client gets a response once the job is stored; the job must
+    #: then survive the failure of all processes. Otherwise the client gets a
+    #: response when the job has ended.
     stored: bool = False
 
     @property
@@ -101,7 +102,7 @@
     #: A run failed, and its worker is not suspected of causing failures.
     FAILED = 'failed'
 
-    #: The task can no longer end before the deadline and is given up.
+    #: The task can no longer end before the deadline and was abandoned.
     LATE = 'late'
 
     #: Another coordinator submitted the same job.
--- a/sardineproxy/request/key_requests.py
+++ b/sardineproxy/request/key_requests.py
@@ -28,7 +28,7 @@
     CANCEL = 'cancel'
 
 
-_log = logs.get_logger('request')
+_LOG = logs.get_logger('request')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -116,7 +116,7 @@
         forwarder: forwarding.Forwarder,
         metrics: metrics.Metrics,
     ) -> None:
-        """Send requests through ``forwarder``."""
+        """Create a client that sends requests through ``forwarder``."""
         self._clock = clock
         self._forwarder = forwarder
         self._metrics = metrics
@@ -126,7 +126,7 @@
     ) -> documents.Reply:
         """Return the reply of the key's issuer within ``wait_s`` seconds.
 
-        If the issuer is gone or unreachable, return that problem instead.
+        If the issuer is gone or unreachable, the reply is that problem.
         """
         payload = encode_request(request)
         if len(payload) > MAX_PAYLOAD_BYTES:
@@ -143,8 +143,9 @@
                 decoded = decode_reply(payload)
                 if decoded is not None:
                     return decoded
-                _log.warning(
-                    'Reply to a forwarded request is malformed.',
+                _LOG.warning(
+                    'Reply to a forwarded request is malformed; the key issuer '
+                    'is reported as unreachable.',
                     extra={'vm': key.vm},
                 )
             case forwarding.Gone():
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -82,7 +82,7 @@
         secret: bytes,
         ttl_s: float,
     ) -> None:
-        """Sign with ``secret``, which no other process may hold."""
+        """Create an issuer; no other process may have the same ``secret``."""
         self._vm = vm
         self._incarnation = incarnation
         self._secret = secret
@@ -107,13 +107,13 @@
         )
 
     def _mac(self, signed: str, customer: ids.CustomerId) -> str:
-        covered = f'{signed}\n{customer}'.encode()
-        digest = hmac.new(self._secret, covered, hashlib.sha256).hexdigest()
+        mac_input = f'{signed}\n{customer}'.encode()
+        digest = hmac.new(self._secret, mac_input, hashlib.sha256).hexdigest()
         return digest[:MAC_CHARACTERS]
 
 
 def malformed() -> problems.Problem:
-    """Return the refusal of a text that does not have the form of a key."""
+    """Return the refusal of a text that is not a well-formed key."""
     return problems.refusal(
         code='malformed_key',
         status=400,
@@ -131,7 +131,7 @@
 
 
 def expired() -> problems.Problem:
-    """Return the answer to a key whose record may have been dropped."""
+    """Return the problem for a key whose record may have been dropped."""
     return problems.doubt(
         code='key_expired',
         status=410,
@@ -140,10 +140,10 @@
 
 
 def reused() -> problems.Problem:
-    """Return the refusal of a second submission under one key.
+    """Return the refusal of another submission with a used key.
 
-    The verdict is that of the key: the caller may have serialized the same
-    work differently and must not conclude that it did not run.
+    Its verdict applies to the key: the caller may have serialized the same
+    submission differently and must not conclude that it did not run.
     """
     return problems.doubt(
         code='key_reused',
@@ -156,7 +156,7 @@
 
 
 def not_submitted() -> problems.Problem:
-    """Return the status of a key without a submission so far."""
+    """Return the problem for a key without a submission so far."""
     return problems.doubt(
         code='not_submitted',
         status=404,
@@ -169,7 +169,7 @@
 
 
 def issuer_gone() -> problems.Problem:
-    """Return the answer to a key whose incarnation has ended."""
+    """Return the problem for a key whose incarnation has ended."""
     return problems.doubt(
         code='minter_gone',
         status=410,
@@ -178,7 +178,7 @@
 
 
 def issuer_unreachable() -> problems.Problem:
-    """Return the answer to a key whose issuer could not be reached."""
+    """Return the problem for a key whose issuer could not be reached."""
     return problems.doubt(
         code='minter_unreachable',
         status=503,
@@ -199,7 +199,7 @@
 
 
 def malformed_forward() -> problems.Problem:
-    """Return the answer to a forwarded request that could not be decoded."""
+    """Return the problem for a forwarded request that could not be decoded."""
     return problems.doubt(
         code='malformed_forward',
         status=502,
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of one job that have not ended, and the leader that has each one.
+"""Open tasks of one job, and the shard leaders that they are assigned to.
 
 Only the side that coordinates the job (coordinator or stored-job manager)
 moves a task to another shard, so that a task never has runs in two shards.
@@ -61,7 +61,7 @@
     #: True until the move to another shard has been stored.
     is_moving: bool = False
 
-    #: Link to the leader that has the task, None while it is unassigned.
+    #: Link to the leader that the task is assigned to, None if unassigned.
     leader: link.Link | None = None
 
     #: True if a former leader may have started the task.
@@ -82,7 +82,7 @@
 
 
 class OpenTasks:
-    """Submits tasks to the leaders of shards and tracks who has them."""
+    """Submits tasks to shard leaders and tracks which leader has a task."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         clock: clock.Clock,
         times: JobTimes,
     ) -> None:
-        """Start without tasks."""
+        """Create an instance without tasks."""
         self.job = job
         self.route = route
         self._router = router
@@ -199,9 +199,9 @@
         self.send(tasks, pinned=True, job_started=job_started)
 
     def unassign(self, lost: LeaderLost) -> list[OpenTask]:
-        """Return the tasks of a lost leader, which are unassigned now.
+        """Unassign the tasks of a lost leader and return them.
 
-        They are submitted as resumed next time, as they may have started.
+        They will be submitted as resumed, as they may have started.
         """
         unassigned = [
             task
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -1,8 +1,8 @@
-"""Records of the submissions that this incarnation has seen.
+"""Records of the submissions that this incarnation has received.
 
 A key's work starts at most once as long as its record, or the tombstone that
 replaced it, outlives the key. Records that are evicted early are replaced by
-tombstones without the answer; evicting a tombstone early voids all older keys
+tombstones without the reply; evicting a tombstone early voids all older keys
 of the same customer that have no record. Eviction starts with the customer
 that has the most entries, so that no customer can evict those of another.
 """
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Record:
-    """One submission, from its admission until its answer is dropped."""
+    """One submission, from its admission until its reply is dropped."""
 
     request_id: ids.RequestId
     customer: ids.CustomerId
@@ -52,14 +52,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Tombstone:
-    """Entry of a key that will never start work again."""
+    """Entry of a key that must not start work any more, without a reply."""
 
     problem: problems.Problem
 
-    #: None if every submission with the key gets this answer.
+    #: Hash of the refused or evicted submission; None if the problem applies to
+    #: every submission with the key.
     fingerprint: bytes | None
 
-    #: Monotonic seconds.
+    #: Time in monotonic seconds.
     created_at: float
 
 
@@ -69,7 +70,7 @@
 
     ended: int = 0
     tombstones: int = 0
-    answer_bytes: int = 0
+    reply_bytes: int = 0
 
 
 class UnrecordedKey(enum.Enum):
@@ -95,7 +96,7 @@
         self.tombstones: collections.OrderedDict[int, Tombstone] = (
             collections.OrderedDict()
         )
-        self.answer_bytes = 0
+        self.reply_bytes = 0
 
         #: Keys without an entry are void up to this sequence number.
         self.void_up_to = 0
@@ -134,8 +135,8 @@
             self.pop_tombstone()
 
     def _add_bytes(self, count: int) -> None:
-        self.answer_bytes += count
-        self._totals.answer_bytes += count
+        self.reply_bytes += count
+        self._totals.reply_bytes += count
 
 
 class RecordStore:
@@ -150,12 +151,12 @@
         max_records: int,
         max_reply_bytes: int,
     ) -> None:
-        """Start empty; times in seconds."""
+        """Create an empty store."""
         self._key_issuer = key_issuer
         self._key_ttl_s = key_ttl_s
         self._record_ttl_s = record_ttl_s
         self._max_records = max_records
-        self._max_answer_bytes = max_reply_bytes
+        self._max_reply_bytes = max_reply_bytes
         self._running: dict[int, Record] = {}
         self._by_customer: dict[ids.CustomerId, _CustomerEntries] = {}
         self._totals = _Totals()
@@ -181,7 +182,7 @@
         return UnrecordedKey.NEW
 
     def is_full(self) -> bool:
-        """Return whether running records leave no space for another one."""
+        """Return whether there are ``max_records`` running records."""
         return len(self._running) >= self._max_records
 
     def open(self, *, record: Record) -> None:
@@ -192,7 +193,7 @@
         self._enforce_limits(record.started_at)
 
     def close(self, *, record: Record) -> None:
-        """Move a record that has been answered to the ended ones."""
+        """Move a record whose reply is complete to the ended ones."""
         if record.sequence is None:
             return
         self._running.pop(record.sequence)
@@ -222,7 +223,7 @@
             customer: {
                 'ended': len(entries.ended),
                 'notes': len(entries.tombstones),
-                'answer_bytes': entries.answer_bytes,
+                'answer_bytes': entries.reply_bytes,
                 'void_up_to': entries.void_up_to,
             }
             for customer, entries in sorted(self._by_customer.items())
@@ -239,11 +240,11 @@
         totals = self._totals
         all_entries = self._by_customer.values()
         while totals.ended and self._exceeds_max_records():
-            _replace_oldest_record(max(all_entries, key=_count_of_ended), now)
-        while totals.answer_bytes > self._max_answer_bytes:
-            _replace_oldest_record(max(all_entries, key=_answer_bytes), now)
+            _replace_oldest_record(max(all_entries, key=_ended_count), now)
+        while totals.reply_bytes > self._max_reply_bytes:
+            _replace_oldest_record(max(all_entries, key=_reply_bytes), now)
         while totals.tombstones > self._max_records:
-            entries = max(all_entries, key=_count_of_tombstones)
+            entries = max(all_entries, key=_tombstone_count)
             entries.void_up_to = max(
                 entries.void_up_to, entries.pop_tombstone()
             )
@@ -277,13 +278,13 @@
     )
 
 
-def _count_of_ended(entries: _CustomerEntries) -> int:
+def _ended_count(entries: _CustomerEntries) -> int:
     return len(entries.ended)
 
 
-def _count_of_tombstones(entries: _CustomerEntries) -> int:
+def _tombstone_count(entries: _CustomerEntries) -> int:
     return len(entries.tombstones)
 
 
-def _answer_bytes(entries: _CustomerEntries) -> int:
-    return entries.answer_bytes
+def _reply_bytes(entries: _CustomerEntries) -> int:
+    return entries.reply_bytes
--- a/sardineproxy/request/retries.py
+++ b/sardineproxy/request/retries.py
@@ -23,12 +23,12 @@
     #: Maximum number of attempts for one request, including the first.
     max_attempts: int = 3
 
-    #: Maximum pause before the first retry, in seconds; it doubles with every
+    #: Maximum delay before the first retry, in seconds; it doubles with every
     #: further retry.
-    first_pause_s: float = 0.025
+    initial_backoff_s: float = 0.025
 
-    #: Maximum of all pauses, in seconds.
-    max_pause_s: float = 1
+    #: Upper limit of all delays, in seconds.
+    max_backoff_s: float = 1
 
 
 class RetryBudget:
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, *, cfg: Config | None = None) -> None:
-        """Start with a full bucket."""
+        """Create a full budget."""
         self.cfg = cfg or Config()
         self._tokens = self.cfg.max_tokens
 
@@ -56,14 +56,14 @@
         self._tokens -= 1
         return True
 
-    def pause_s(self, *, attempts: int, rng: random.Random) -> float:
-        """Return the pause after that many attempts, with full jitter."""
-        longest_s = self.cfg.first_pause_s * 2 ** (attempts - 1)
-        return rng.uniform(0, min(longest_s, self.cfg.max_pause_s))
+    def backoff_s(self, *, attempts: int, rng: random.Random) -> float:
+        """Return the delay after ``attempts`` attempts, with full jitter."""
+        uncapped_s = self.cfg.initial_backoff_s * 2 ** (attempts - 1)
+        return rng.uniform(0, min(uncapped_s, self.cfg.max_backoff_s))
 
 
 def is_success(outcome: work.Outcome) -> bool:
-    """Return whether an outcome is a complete answer that adds budget."""
+    """Return whether an outcome is a response that refills the budget."""
     return (
         isinstance(outcome, work.Response)
         and outcome.status not in RETRIED_STATUSES
--- a/sardineproxy/request/runner.py
+++ b/sardineproxy/request/runner.py
@@ -21,7 +21,7 @@
         rng: random.Random,
         metrics: metrics.Metrics,
     ) -> None:
-        """Run tasks through ``dispatcher``."""
+        """Create a runner that passes tasks to ``dispatcher``."""
         self._dispatcher = dispatcher
         self._budget = budget
         self._clock = clock
@@ -55,9 +55,9 @@
     def cancel(self, *, request_id: ids.RequestId) -> None:
         """Refuse the waiting tasks of a request and stop its retries."""
         self._retriable.discard(request_id)
-        cancelled = self._cancel_events.get(request_id)
-        if cancelled is not None:
-            cancelled.set()
+        cancel_event = self._cancel_events.get(request_id)
+        if cancel_event is not None:
+            cancel_event.set()
         self._dispatcher.cancel(request_id=request_id)
 
     def waiting(self, *, customer: ids.CustomerId) -> int:
@@ -100,21 +100,23 @@
             return False
         if not retries.is_retriable(task, outcome):
             return False
-        pause_s = self._budget.pause_s(attempts=attempts, rng=self._rng)
-        if self._clock.now() + pause_s >= task.deadline:
+        backoff_s = self._budget.backoff_s(attempts=attempts, rng=self._rng)
+        if self._clock.now() + backoff_s >= task.deadline:
             return False
         if not self._budget.try_spend():
             self._metrics.count('retries_denied_total')
             return False
-        await self._pause(task.request_id, pause_s)
+        await self._back_off(task.request_id, backoff_s)
         return task.request_id in self._retriable
 
-    async def _pause(self, request_id: ids.RequestId, pause_s: float) -> None:
-        """Wait for that time, or until the request is cancelled."""
-        cancelled = asyncio.Event()
-        self._cancel_events[request_id] = cancelled
+    async def _back_off(
+        self, request_id: ids.RequestId, backoff_s: float
+    ) -> None:
+        """Wait for ``backoff_s``, or until the request is cancelled."""
+        cancel_event = asyncio.Event()
+        self._cancel_events[request_id] = cancel_event
         try:
-            await asyncio.wait_for(cancelled.wait(), pause_s)
+            await asyncio.wait_for(cancel_event.wait(), backoff_s)
         except TimeoutError:
             return
         finally:
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -31,7 +31,7 @@
 Runner = executions.Runner
 _KeyEntry = records.Record | records.Tombstone | records.UnrecordedKey
 _Operation = key_requests.Operation
-_log = logs.get_logger('request')
+_LOG = logs.get_logger('request')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -41,13 +41,13 @@
     #: Lifetime of an unused key, in seconds.
     key_ttl_s: float = 900
 
-    #: Retention of an answer, in seconds; at least ``key_ttl_s``.
+    #: Retention time of a reply, in seconds; at least ``key_ttl_s``.
     record_ttl_s: float = 900
 
-    #: Maximum number of records, and of tombstones.
+    #: Maximum number of records, and maximum number of tombstones.
     max_records: int = 200_000
 
-    #: Maximum total size of retained answers, in bytes.
+    #: Maximum total size of retained replies, in bytes.
     max_reply_bytes: int = 268_435_456
 
     #: Maximum total size of submissions in progress, in bytes.
@@ -75,7 +75,7 @@
         forwarder: forwarding.Forwarder,
         metrics: metrics.Metrics,
     ) -> None:
-        """Start without a version; nothing is admitted before the first."""
+        """Create an instance that admits nothing before ``set_version``."""
         self._clock = clock
         self._rng = rng
         self._max_running_bytes = cfg.max_running_bytes
@@ -174,7 +174,7 @@
                 body=body,
                 wait=wait,
             )
-            reply = await self.answer_key_request(request)
+            reply = await self.handle_key_request(request)
         self._metrics.count(
             'submissions_total',
             kind=kind.value,
@@ -185,8 +185,8 @@
     async def status(
         self, *, customer: ids.CustomerId, key_text: str
     ) -> documents.Reply:
-        """Return the state of a request, or its answer if it has ended."""
-        return await self.answer_key_request(
+        """Return the state of a request, or its reply if it has ended."""
+        return await self.handle_key_request(
             key_requests.KeyRequest(
                 operation=_Operation.STATUS, customer=customer, key=key_text
             )
@@ -196,13 +196,13 @@
         self, *, customer: ids.CustomerId, key_text: str
     ) -> documents.Reply:
         """Cancel the tasks that have not started, and return the status."""
-        return await self.answer_key_request(
+        return await self.handle_key_request(
             key_requests.KeyRequest(
                 operation=_Operation.CANCEL, customer=customer, key=key_text
             )
         )
 
-    async def answer_key_request(
+    async def handle_key_request(
         self, request: key_requests.KeyRequest
     ) -> documents.Reply:
         """Process a request about a key, here or at the key's issuer."""
@@ -210,7 +210,7 @@
         if key is None:
             return documents.render_problem(keys.malformed())
         if self._key_issuer.is_own(key=key):
-            return await self._answer_own(request, key)
+            return await self._handle_own_key(request, key)
         if key.vm == self._vm:
             return _foreign_key_reply(key, self._vm)
         wait_s = float(FORWARD_SLACK_S)
@@ -227,10 +227,10 @@
         request = key_requests.decode_request(payload)
         key = keys.parse(request.key) if request else None
         if request is None or key is None:
-            _log.warning('Forwarded request is malformed.')
+            _LOG.warning('Forwarded request is malformed and was refused.')
             reply = documents.render_problem(keys.malformed_forward())
         elif self._key_issuer.is_own(key=key):
-            reply = await self._answer_own(request, key)
+            reply = await self._handle_own_key(request, key)
         else:
             reply = _foreign_key_reply(key, self._vm)
         reply_payload = key_requests.encode_reply(reply)
@@ -292,7 +292,7 @@
         )
         return await asyncio.shield(record.reply_future)
 
-    async def _answer_own(
+    async def _handle_own_key(
         self, request: key_requests.KeyRequest, key: keys.Key
     ) -> documents.Reply:
         """Process a request about a key of this incarnation."""
@@ -306,7 +306,7 @@
             case records.UnrecordedKey.VOID:
                 return documents.render_problem(keys.expired())
         if request.operation is _Operation.SUBMIT:
-            return await self._answer_submit(request, key, entry)
+            return await self._handle_submit(request, key, entry)
         if request.operation is _Operation.CANCEL:
             entry = self._cancel(request, key, entry)
         return _status_reply(entry)
@@ -326,7 +326,7 @@
             )
         return entry
 
-    async def _answer_submit(
+    async def _handle_submit(
         self,
         request: key_requests.KeyRequest,
         key: keys.Key,
--- a/sardineproxy/request/work.py
+++ b/sardineproxy/request/work.py
@@ -1,4 +1,4 @@
-"""Tasks, the answers of endpoints and the outcomes of attempts."""
+"""Tasks, the responses of endpoints and the outcomes of attempts."""
 
 import dataclasses
 import enum
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Task:
-    """One HTTP request to be run by an endpoint."""
+    """One HTTP request to an endpoint."""
 
     #: Id of the single request or of the job.
     request_id: ids.RequestId
@@ -43,13 +43,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Response:
-    """The complete answer of an endpoint."""
+    """The complete response of an endpoint."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
-    #: Endpoint that gave the answer.
+    #: Endpoint that sent the response.
     endpoint: ids.EndpointId
 
 
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OutcomeUnknown:
-    """A byte of the task may have been sent, without a complete answer."""
+    """A byte of the task may have been sent, without a complete response."""
 
     problem: problems.Problem
 
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -55,7 +55,7 @@
         ]
 
     async def end(self, index: int, result: str = 'done', run: int = 1) -> None:
-        self.coordinator.post(
+        self.coordinator.post_event(
             messages.RunEnded(
                 shard=HOME,
                 job=self.coordinator.job.job_id,
@@ -74,7 +74,7 @@
         shard: ids.ShardId = HOME,
         suggested_shard: str = '',
     ) -> None:
-        self.coordinator.post(
+        self.coordinator.post_event(
             messages.Declined(
                 shard=shard,
                 job=self.coordinator.job.job_id,
@@ -90,7 +90,7 @@
 
     async def lose_leader(self) -> None:
         lost = self.links.pop(HOME)
-        self.coordinator.post(
+        self.coordinator.post_event(
             open_tasks.LeaderLost(shard=HOME, former_leader=lost)
         )
         await asyncio.sleep(0.001)
@@ -160,7 +160,7 @@
         """Guards against answers for jobs whose tasks others took over."""
 
         async def scenario(rig: Rig) -> None:
-            rig.coordinator.post(coordinator.Stalled())
+            rig.coordinator.post_event(coordinator.Stalled())
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
         run_scenario(scenario)
@@ -206,7 +206,7 @@
             await rig.end(0)
             await rig.lose_leader()
             rig.links[HOME] = shard_samples.FakeLink('vm-3')
-            rig.coordinator.post(open_tasks.LeaderFound(shard=HOME))
+            rig.coordinator.post_event(open_tasks.LeaderFound(shard=HOME))
             await asyncio.sleep(0.001)
             resubmitted = shard_samples.only(rig.submitted())
             self.assertTrue(resubmitted.resumed)
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -51,7 +51,7 @@
 
     async def test_too_large_answers_fail_the_job(self) -> None:
         large = fakes.make_response(
-            body=bytes(executions.MAX_JOB_ANSWER_BYTES // 2 + 1)
+            body=bytes(executions.MAX_JOB_RESPONSE_BYTES // 2 + 1)
         )
         document = await self.run_job({0: large, 1: large})
         self.assertEqual('failed', document['state'])
--- a/tests/request/test_retries.py
+++ b/tests/request/test_retries.py
@@ -23,7 +23,7 @@
         """Guards against synchronized retries."""
         budget = retries.RetryBudget()
         rng = random.Random(1)
-        pauses = [budget.pause_s(attempts=1, rng=rng) for _ in range(200)]
-        self.assertLess(min(pauses), 0.005)
-        self.assertGreater(max(pauses), 0.02)
-        self.assertLess(budget.pause_s(attempts=50, rng=rng), 1.01)
+        backoffs = [budget.backoff_s(attempts=1, rng=rng) for _ in range(200)]
+        self.assertLess(min(backoffs), 0.005)
+        self.assertGreater(max(backoffs), 0.02)
+        self.assertLess(budget.backoff_s(attempts=50, rng=rng), 1.01)
--- a/tests/request/test_runner.py
+++ b/tests/request/test_runner.py
@@ -102,7 +102,7 @@
         """Guards against retries beyond budget, deadline or cancellation."""
         for bounds in (
             {'cfg': retries.Config(max_tokens=0)},
-            {'cfg': retries.Config(first_pause_s=99, max_pause_s=99)},
+            {'cfg': retries.Config(initial_backoff_s=99, max_backoff_s=99)},
             {'cancel': True},
         ):
             outcome, excluded = self.run_with(LOST, **bounds)  # type: ignore[arg-type]
