--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -54,7 +54,9 @@
             if isinstance(message, messages.Submit)
         ]
 
-    async def end(self, index: int, result: str = 'done', run: int = 1) -> None:
+    async def report_result(
+        self, index: int, result: str = 'done', run: int = 1
+    ) -> None:
         self.coordinator.post_event(
             messages.RunEnded(
                 shard=HOME,
@@ -107,18 +109,18 @@
 
 class TestOutcomes(testtools.TestCase):
     def test_job_completes_when_all_tasks_have_ended(self) -> None:
-        """Guards against an answer before the last task has ended."""
+        """Guards against an outcome before the last task has ended."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0)
+            await rig.report_result(0)
             self.assertFalse(rig.outcome.done())
-            await rig.end(1)
+            await rig.report_result(1)
             self.assertEqual(jobs.Completed(), await rig.outcome)
 
         run_scenario(scenario)
 
     def test_declined_job_ends_as_not_run(self) -> None:
-        """Guards against a refusal that is reported only at the deadline."""
+        """Guards against a declined job that ends only at its deadline."""
 
         async def scenario(rig: Rig) -> None:
             await rig.decline(0, 1)
@@ -130,7 +132,7 @@
         """Guards against "not run" for a job of which a task has ended."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0)
+            await rig.report_result(0)
             await rig.decline(1)
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
@@ -140,9 +142,9 @@
         """Guards against retries beyond the route's maximum of attempts."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0, 'failed')
+            await rig.report_result(0, 'failed')
             self.assertEqual(((0, 2),), rig.submitted()[-1].tasks)
-            await rig.end(0, 'failed', run=2)
+            await rig.report_result(0, 'failed', run=2)
             self.assertIsInstance(await rig.outcome, jobs.Failed)
 
         run_scenario(scenario)
@@ -157,7 +159,10 @@
         run_scenario(scenario)
 
     def test_stalled_process_ends_its_jobs(self) -> None:
-        """Guards against answers for jobs whose tasks others took over."""
+        """Guards against outcomes of jobs that other processes took over.
+
+        While the process was stalled, its peers may have declared it failed.
+        """
 
         async def scenario(rig: Rig) -> None:
             rig.coordinator.post_event(coordinator.Stalled())
@@ -179,7 +184,7 @@
         run_scenario(scenario)
 
     def test_moved_tasks_are_submitted_with_job_started(self) -> None:
-        """Guards against declining the rest of a job that runs elsewhere."""
+        """Guards against declining tasks of a job that runs in two shards."""
 
         async def scenario(rig: Rig) -> None:
             self.assertFalse(rig.submitted()[0].job_started)
@@ -189,7 +194,7 @@
         run_scenario(scenario)
 
     def test_completely_moved_job_has_not_started(self) -> None:
-        """Guards against running a job too late instead of declining it."""
+        """Guards against running a late job that could still be declined."""
 
         async def scenario(rig: Rig) -> None:
             await rig.decline(0, 1, suggested_shard=OTHER)
@@ -200,10 +205,13 @@
 
 class TestLostLeader(testtools.TestCase):
     def test_open_tasks_are_resumed_at_the_new_leader(self) -> None:
-        """Guards against second runs of tasks after a takeover."""
+        """Guards against second runs of tasks after a takeover.
+
+        The former leader may have started them, so they are sent as resumed.
+        """
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0)
+            await rig.report_result(0)
             await rig.lose_leader()
             rig.links[HOME] = shard_samples.FakeLink('vm-3')
             rig.coordinator.post_event(open_tasks.LeaderFound(shard=HOME))
--- a/tests/request/test_documents.py
+++ b/tests/request/test_documents.py
@@ -1,4 +1,4 @@
-"""Tests of parsing submitted documents and rendering replies."""
+"""Tests of the parsing of submitted documents and the rendering of replies."""
 
 import base64
 import json
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -62,7 +62,11 @@
         )
 
     async def test_rendering_failure_is_answered(self) -> None:
-        """Guards against callers that wait forever after such a failure."""
+        """Guards against callers that wait forever.
+
+        An exception while the reply is rendered must not leave them without
+        a reply.
+        """
         self.runner.outcomes[0] = fakes.make_response(status=b'fault')
         answer = await self.submit()
         self.assert_problem(answer, 'internal_error', 'may_have_run', True)
@@ -70,7 +74,8 @@
     async def test_tasks_count_as_waiting_immediately(self) -> None:
         """Guards against admitting a second job beyond the queue limit.
 
-        It happens if the tasks of the first job count only when they start.
+        The second job is admitted if the tasks of the first one count as
+        waiting only after they have been passed to the runner.
         """
         self.process.set_version(fakes.make_version(queue=5))
         answers = await asyncio.gather(
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -34,7 +34,7 @@
 
 
 class Model:
-    """A queue with a model of the state of its tasks."""
+    """A queue together with a model of its tasks' states."""
 
     def __init__(self) -> None:
         self.queue = fair_queue.FairQueue()
@@ -42,47 +42,47 @@
         self.paused: dict[int, flows.QueueEntry] = {}
         self.running: list[flows.QueueEntry] = []
 
-    def wait(self, pick: int) -> None:
-        kind = work.TaskKind.JOB if pick % 2 else work.TaskKind.SINGLE
+    def enqueue(self, choice: int) -> None:
+        kind = work.TaskKind.JOB if choice % 2 else work.TaskKind.SINGLE
         entry = enqueue(
-            self.queue, f'c{pick % 3}', request_id=f'{pick}', kind=kind
+            self.queue, f'c{choice % 3}', request_id=f'{choice}', kind=kind
         )
         self.waiting[entry.number] = entry
 
-    def start(self, pick: int) -> None:
+    def start(self, choice: int) -> None:
         entry = start_next(self.queue)
         assert bool(self.waiting) == (entry is not None), 'a slot stays idle'
         if entry is not None:
             self.waiting.pop(entry.number)
             self.running.append(entry)
 
-    def cancel(self, pick: int) -> None:
-        for entry in self.queue.cancel(ids.RequestId(f'{pick}')):
+    def cancel(self, choice: int) -> None:
+        for entry in self.queue.cancel(ids.RequestId(f'{choice}')):
             entries = (
                 self.waiting if entry.number in self.waiting else self.paused
             )
             entries.pop(entry.number)
 
-    def finish(self, pick: int) -> None:
+    def finish(self, choice: int) -> None:
         if self.running:
-            entry = self.running.pop(pick % len(self.running))
-            self.queue.finish(entry, run_s=pick / 10)
+            entry = self.running.pop(choice % len(self.running))
+            self.queue.finish(entry, run_s=choice / 10)
 
-    def give_back(self, pick: int) -> None:
+    def undo_start(self, choice: int) -> None:
         if self.running:
-            entry = self.running.pop(pick % len(self.running))
+            entry = self.running.pop(choice % len(self.running))
             self.queue.undo_start(entry)
             self.queue.pause(entry)
             self.paused[entry.number] = entry
 
-    def wake(self, pick: int) -> None:
+    def resume(self, choice: int) -> None:
         for entry in self.paused.values():
             self.queue.enqueue(entry, at_front=True)
         self.waiting.update(self.paused)
         self.paused.clear()
 
 
-ACTIONS = ('wait', 'start', 'cancel', 'finish', 'give_back', 'wake')
+ACTIONS = ('enqueue', 'start', 'cancel', 'finish', 'undo_start', 'resume')
 
 
 class FairQueueTest(testtools.TestCase):
@@ -100,12 +100,12 @@
     def test_every_task_ends_once(self, steps: list[tuple[str, int]]) -> None:
         """Guards against lost tasks, double starts and idle slots."""
         model = Model()
-        for action, pick in steps:
-            getattr(model, action)(pick)
+        for action, choice in steps:
+            getattr(model, action)(choice)
             self.assertEqual(
                 len(model.waiting) + len(model.paused), model.queue.waiting
             )
-        model.wake(0)
+        model.resume(0)
         while model.waiting:
             model.start(0)
         self.assertEqual(0, model.queue.waiting)
@@ -126,7 +126,10 @@
     def test_shares_follow_weights(
         self, weights: list[int], times: list[float]
     ) -> None:
-        """Guards against a larger share for a customer with longer tasks."""
+        """Guards against a larger share for a customer with longer tasks.
+
+        Shares are proportional to weights in run time, not in tasks.
+        """
         queue = fair_queue.FairQueue()
         queue.set_weights(
             {
@@ -138,14 +141,14 @@
         for index, _ in enumerate(weights):
             for _ in range(4):
                 enqueue(queue, f'c{index}')
-        # Shares are measured after the run time estimates have settled.
-        for turn in range(600):
+        # Shares are measured after the run time estimates have converged.
+        for round_number in range(600):
             entry = start_next(queue)
             assert entry is not None
             index = int(entry.task.customer[1:])
             queue.finish(entry, run_s=times[index])
             enqueue(queue, f'c{index}')
-            if turn >= 100:
+            if round_number >= 100:
                 used_by_customer_s[index] += times[index]
         normalized = [
             used_s / weight
@@ -157,7 +160,7 @@
         self.assertLess(max(normalized) - min(normalized), bound)
 
     def test_idle_time_earns_no_credit(self) -> None:
-        """Guards against a customer that starves others after an idle time."""
+        """Guards against a customer that starves others after it was idle."""
         queue = fair_queue.FairQueue()
         for _ in range(100):
             enqueue(queue, 'busy')
@@ -208,7 +211,7 @@
         self.assertEqual(1, queue.waiting)
 
     def test_cancellation_time_is_independent_of_queue_size(self) -> None:
-        """Guards against a search through all tasks for every request."""
+        """Guards against a cancellation that searches through all tasks."""
         small_s = min(cancellation_cpu_s(2000) for _ in range(3))
         large_s = min(cancellation_cpu_s(16000) for _ in range(3))
         # With eight times the tasks, a search would take eight times as long.
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of issuing, parsing and verifying idempotency keys."""
+"""Tests of the issue, parsing and verification of idempotency keys."""
 
 import hypothesis
 import testtools
@@ -8,8 +8,8 @@
 from sardineproxy.request import keys
 from tests import examples
 
-WARM = ids.CustomerId('warm')
-RIVAL = ids.CustomerId('rival')
+CUSTOMER = ids.CustomerId('warm')
+OTHER_CUSTOMER = ids.CustomerId('rival')
 
 
 def make_key_issuer(
@@ -24,14 +24,14 @@
 
     def test_key_is_genuine_only_for_its_customer_and_issuer(self) -> None:
         key_issuer = make_key_issuer()
-        key = keys.parse(key_issuer.issue(customer=WARM, now=5))
+        key = keys.parse(key_issuer.issue(customer=CUSTOMER, now=5))
         assert key is not None
         self.assertEqual(905, key.expires_at)
         for issuer, customer, expected in (
-            (key_issuer, WARM, True),
-            (key_issuer, RIVAL, False),
-            (make_key_issuer(secret=b'two'), WARM, False),
-            (make_key_issuer(incarnation='a2'), WARM, False),
+            (key_issuer, CUSTOMER, True),
+            (key_issuer, OTHER_CUSTOMER, False),
+            (make_key_issuer(secret=b'two'), CUSTOMER, False),
+            (make_key_issuer(incarnation='a2'), CUSTOMER, False),
         ):
             genuine = issuer.is_genuine(key=key, customer=customer)
             self.assertEqual(expected, genuine)
@@ -42,13 +42,15 @@
         self, data: strategies.DataObject
     ) -> None:
         key_issuer = make_key_issuer()
-        text = key_issuer.issue(customer=WARM, now=5)
+        text = key_issuer.issue(customer=CUSTOMER, now=5)
         position = data.draw(strategies.integers(0, len(text) - 1))
         character = data.draw(strategies.sampled_from('0123456789abcdef.-sp'))
         changed = text[:position] + character + text[position + 1 :]
         hypothesis.assume(changed != text)
         key = keys.parse(changed)
-        self.assertFalse(key and key_issuer.is_genuine(key=key, customer=WARM))
+        self.assertFalse(
+            key and key_issuer.is_genuine(key=key, customer=CUSTOMER)
+        )
 
     @examples.settings()
     @hypothesis.given(strategies.text(max_size=300))
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -1,4 +1,4 @@
-"""Tests that a used key is not reported as new while it is valid."""
+"""Tests that the record store never reports a used key as new."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from sardineproxy.request import documents, keys, records, work
 from tests.request import test_keys
 
-WARM, RIVAL = test_keys.WARM, test_keys.RIVAL
+CUSTOMER, OTHER_CUSTOMER = test_keys.CUSTOMER, test_keys.OTHER_CUSTOMER
 RAN = verdicts.Verdict.RAN
 TTL_S = 900
 
@@ -19,7 +19,7 @@
 class RecordStoreCase(testtools.TestCase):
     """Base class with a record store and a key issuer."""
 
-    def make(self, **bounds: Any) -> None:
+    def make_record_store(self, **bounds: Any) -> None:
         self.key_issuer = test_keys.make_key_issuer()
         bounds = {'max_records': 10, 'max_reply_bytes': 1000, **bounds}
         self.record_store = records.RecordStore(
@@ -29,13 +29,13 @@
             **bounds,
         )
 
-    def issue_key(self, customer: Any = WARM, now: float = 0) -> keys.Key:
+    def issue_key(self, customer: Any = CUSTOMER, now: float = 0) -> keys.Key:
         key = keys.parse(self.key_issuer.issue(customer=customer, now=now))
         assert key is not None
         return key
 
-    def open(
-        self, key: keys.Key, customer: Any = WARM, now: float = 0
+    def open_record(
+        self, key: keys.Key, customer: Any = CUSTOMER, now: float = 0
     ) -> records.Record:
         record = records.Record(
             request_id=key.text,
@@ -51,7 +51,7 @@
         self.record_store.open(record=record)
         return record
 
-    def end(
+    def close_record(
         self, record: records.Record, now: float = 0, size: int = 1
     ) -> None:
         record.ended_at = now
@@ -63,7 +63,7 @@
         self.record_store.close(record=record)
 
     def add_tombstone(
-        self, key: keys.Key, customer: Any = WARM, now: float = 0
+        self, key: keys.Key, customer: Any = CUSTOMER, now: float = 0
     ) -> None:
         arguments = {
             'fingerprint': None,
@@ -72,7 +72,9 @@
         }
         self.record_store.add_tombstone(key=key, customer=customer, **arguments)
 
-    def find(self, key: keys.Key, customer: Any = WARM, now: float = 0) -> Any:
+    def find(
+        self, key: keys.Key, customer: Any = CUSTOMER, now: float = 0
+    ) -> Any:
         return self.record_store.find(key=key, customer=customer, now=now)
 
     def setUp(self) -> None:
@@ -84,33 +86,37 @@
 class RetentionTest(RecordStoreCase):
     """Guards against evicted entries whose keys start work again."""
 
-    def test_evicted_answer_leaves_its_verdict(self) -> None:
-        self.make(max_reply_bytes=5)
+    def test_verdict_outlives_the_evicted_reply(self) -> None:
+        self.make_record_store(max_reply_bytes=5)
         first, second = self.issue_key(), self.issue_key()
         for key in (first, second):
-            self.end(self.open(key), size=4)
+            self.close_record(self.open_record(key), size=4)
         tombstone = self.find(first)
         self.assertEqual('answer_dropped', tombstone.problem.code)
         self.assertIs(RAN, tombstone.problem.verdict)
         self.assertIsInstance(self.find(second), records.Record)
 
     def test_records_of_the_busiest_customer_are_evicted_first(self) -> None:
-        """Guards against one customer's load evicting another's answers."""
-        self.make(max_records=3)
+        """Guards against one customer's load that evicts another's replies."""
+        self.make_record_store(max_records=3)
         kept_key = self.issue_key()
-        self.end(self.open(kept_key))
+        self.close_record(self.open_record(kept_key))
         for _ in range(20):
-            self.end(self.open(self.issue_key(RIVAL), RIVAL))
+            self.close_record(
+                self.open_record(self.issue_key(OTHER_CUSTOMER), OTHER_CUSTOMER)
+            )
         self.assertIsInstance(self.find(kept_key), records.Record)
 
     def test_evicted_tombstone_voids_older_keys_of_its_customer(self) -> None:
-        self.make(max_records=2)
-        older, kept_key = self.issue_key(RIVAL), self.issue_key()
-        keys_with_tombstone = [self.issue_key(RIVAL) for _ in range(3)]
+        self.make_record_store(max_records=2)
+        older, kept_key = self.issue_key(OTHER_CUSTOMER), self.issue_key()
+        keys_with_tombstone = [self.issue_key(OTHER_CUSTOMER) for _ in range(3)]
         for key in keys_with_tombstone:
-            self.add_tombstone(key, RIVAL)
+            self.add_tombstone(key, OTHER_CUSTOMER)
         for key in (older, keys_with_tombstone[0]):
-            self.assertIs(self.find(key, RIVAL), records.UnrecordedKey.VOID)
+            self.assertIs(
+                self.find(key, OTHER_CUSTOMER), records.UnrecordedKey.VOID
+            )
         self.assertIs(self.find(kept_key), records.UnrecordedKey.NEW)
 
     def test_no_used_key_becomes_new(self) -> None:
@@ -119,7 +125,7 @@
         A small store is used at random and compared with the set of used keys.
         """
         rng = random.Random(7)
-        self.make(max_records=4, max_reply_bytes=20)
+        self.make_record_store(max_records=4, max_reply_bytes=20)
         now, issued, running = 0, [], []
         used: set[keys.Key] = set()
         for _ in range(5000):
@@ -133,16 +139,16 @@
                 if self.record_store.is_full() or rng.randrange(10) < 3:
                     self.add_tombstone(key, now=now)
                 else:
-                    running.append(self.open(key, now=now))
+                    running.append(self.open_record(key, now=now))
             if running and rng.randrange(2):
                 record = running.pop(rng.randrange(len(running)))
-                self.end(record, now=now, size=rng.randrange(10))
+                self.close_record(record, now=now, size=rng.randrange(10))
         self.assertThat(len(used), matchers.GreaterThan(1000))
 
     def test_expired_entries_are_removed(self) -> None:
-        self.make()
+        self.make_record_store()
         key = self.issue_key()
-        self.end(self.open(key), now=50)
+        self.close_record(self.open_record(key), now=50)
         self.assertIsInstance(self.find(key, now=949), records.Record)
         self.assertIs(self.find(key, now=951), records.UnrecordedKey.VOID)
-        self.assertEqual(0, self.record_store.sizes()[WARM]['answer_bytes'])
+        self.assertEqual(0, self.record_store.sizes()[CUSTOMER]['answer_bytes'])
--- a/tests/request/test_retries.py
+++ b/tests/request/test_retries.py
@@ -11,7 +11,7 @@
     """Tests that retries are limited to a share of the successes."""
 
     def test_budget_follows_successes(self) -> None:
-        """Guards against retries that multiply the load of a failing fleet."""
+        """Guards against retries that multiply the load during failures."""
         budget = retries.RetryBudget(cfg=retries.Config(max_tokens=2))
         spent = [budget.try_spend() for _ in range(4)]
         self.assertEqual([True, True, False, False], spent)
@@ -19,8 +19,8 @@
             budget.record_success()
         self.assertEqual(2, sum(budget.try_spend() for _ in range(10)))
 
-    def test_pauses_have_jitter_and_a_maximum(self) -> None:
-        """Guards against synchronized retries."""
+    def test_backoff_has_jitter_and_a_maximum(self) -> None:
+        """Guards against synchronized retries and unbounded delays."""
         budget = retries.RetryBudget()
         rng = random.Random(1)
         backoffs = [budget.backoff_s(attempts=1, rng=rng) for _ in range(200)]
--- a/tests/request/test_runner.py
+++ b/tests/request/test_runner.py
@@ -13,14 +13,17 @@
 from tests import dispatch_samples as samples
 
 
-def answer(status: int, vm: str) -> work.Response:
+def make_response(status: int, endpoint_id: str) -> work.Response:
     return work.Response(
-        status=status, headers=(), body=b'', endpoint=ids.EndpointId(vm)
+        status=status,
+        headers=(),
+        body=b'',
+        endpoint=ids.EndpointId(endpoint_id),
     )
 
 
-SUCCESS = answer(200, 'w3')
-FAILED = answer(500, 'w1')
+SUCCESS = make_response(200, 'w3')
+FAILED = make_response(500, 'w1')
 LOST = endpoint.ResponseLost(
     problem=samples.make_problem('x', verdicts.Verdict.MAY_HAVE_RUN),
     endpoint=ids.EndpointId('w2'),
@@ -76,7 +79,7 @@
         return asyncio.run(run()), dispatcher.excluded
 
     def test_idempotent_single_is_retried_at_another_endpoint(self) -> None:
-        """Guards against a request that fails when its endpoint fails."""
+        """Guards against a request that fails because one endpoint fails."""
         outcome, excluded = self.run_with(FAILED, LOST, SUCCESS)
         self.assertEqual(SUCCESS, outcome)
         self.assertEqual([set(), {'w1'}, {'w1', 'w2'}], excluded)
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -22,8 +22,8 @@
 )
 from sardineproxy.version import contracts, versions
 
-WARM = ids.CustomerId('warm')
-RIVAL = ids.CustomerId('rival')
+CUSTOMER = ids.CustomerId('warm')
+OTHER_CUSTOMER = ids.CustomerId('rival')
 RATE = types.MappingProxyType({'submit_per_s': 100.0, 'submit_burst': 100})
 TERMS = types.MappingProxyType({'weight': 1.0, 'hold': 10, 'queue': 5000})
 TASK = {'method': 'POST', 'path': '/stamp', 'body_text': 'reprint'}
@@ -97,7 +97,8 @@
 
 def make_version(**terms: Any) -> versions.Version:
     contracts_by_customer = {
-        customer: make_contract(customer, **terms) for customer in (WARM, RIVAL)
+        customer: make_contract(customer, **terms)
+        for customer in (CUSTOMER, OTHER_CUSTOMER)
     }
     return versions.Version(
         number=ids.VersionNumber(1), digest='', contracts=contracts_by_customer
@@ -127,13 +128,13 @@
     """Base class with two processes; tests run on an event loop."""
 
     def issue_key(self) -> str:
-        reply = self.process.issue_keys(customer=WARM, body=b'')
+        reply = self.process.issue_keys(customer=CUSTOMER, body=b'')
         return json.loads(reply.body)['keys'][0]
 
     async def submit(self, **changes: Any) -> tuple[int, Any]:
         process = changes.pop('process', self.process)
         body = changes.pop('body', TASK)
-        arguments = {'customer': WARM, 'key_text': self.key, **changes}
+        arguments = {'customer': CUSTOMER, 'key_text': self.key, **changes}
         arguments.setdefault('kind', work.TaskKind.SINGLE)
         arguments['body'] = json.dumps(body).encode()
         reply = await process.submit(**arguments)
@@ -144,7 +145,7 @@
         return await self.submit(kind=work.TaskKind.JOB, body=job, **changes)
 
     async def call_method(
-        self, method: str, process: Any = None, customer: Any = WARM
+        self, method: str, process: Any = None, customer: Any = CUSTOMER
     ) -> tuple[int, Any]:
         bound_method = getattr(process or self.process, method)
         reply = await bound_method(customer=customer, key_text=self.key)
@@ -180,7 +181,7 @@
 
 
 class KeyTest(SubmissionsTestCase):
-    """Tests that a key's work starts at most once, for its customer only."""
+    """Tests that a key starts work at most once, for its customer only."""
 
     async def test_repeated_submission_gets_the_same_answer(self) -> None:
         answers = await asyncio.gather(
@@ -208,9 +209,13 @@
         await self.submit_job(wait=False)
         for process in (self.process, self.other_process):
             for method in ('status', 'cancel'):
-                answer = await self.call_method(method, process, customer=RIVAL)
+                answer = await self.call_method(
+                    method, process, customer=OTHER_CUSTOMER
+                )
                 self.assert_problem(answer, 'unknown_key', 'not_run', True)
-            replayed = await self.submit_job(process=process, customer=RIVAL)
+            replayed = await self.submit_job(
+                process=process, customer=OTHER_CUSTOMER
+            )
             self.assert_problem(replayed, 'unknown_key', 'not_run', True)
         self.runner.start_gate.set()
         await self.process.wait_until_idle()
@@ -242,14 +247,16 @@
         expired = await self.submit()
         self.assert_problem(expired, 'key_expired', 'may_have_run', True)
 
-    async def test_unread_submission_uses_up_its_key(self) -> None:
+    async def test_submission_with_unread_body_uses_up_its_key(self) -> None:
         for key_text, verdict in (
             (self.key, verdicts.Verdict.NOT_RUN),
             (self.key, verdicts.Verdict.MAY_HAVE_RUN),
             (None, verdicts.Verdict.NOT_RUN),
         ):
             reply = self.process.refuse(
-                customer=WARM, key_text=key_text, problem=executions.cancelled()
+                customer=CUSTOMER,
+                key_text=key_text,
+                problem=executions.cancelled(),
             )
             self.assertIs(verdict, reply.verdict)
         answer = await self.submit()
@@ -271,16 +278,16 @@
         self.assertThat(self.runner.starts, matchers.HasLength(0))
 
     async def test_job_that_the_runner_cannot_cancel(self) -> None:
-        """Guards against a wrong verdict if the runner cancels nothing.
+        """Guards against a wrong verdict if the runner cancels no task.
 
-        It has not received the tasks yet, or they are running already.
+        The runner has not received the tasks yet, or they already run.
         """
-        for handed_over, verdict in ((False, 'not_run'), (True, 'ran')):
+        for is_received, verdict in ((False, 'not_run'), (True, 'ran')):
             key = self.issue_key()
             await self.submit_job(key_text=key, wait=False)
-            if handed_over:
+            if is_received:
                 await self.runner.task_received.wait()
-            await self.process.cancel(customer=WARM, key_text=key)
+            await self.process.cancel(customer=CUSTOMER, key_text=key)
             self.runner.cancelled.clear()
             _, job = await self.submit_job(key_text=key)
             self.assert_failed(job, verdict)
@@ -329,7 +336,9 @@
 
     async def test_malformed_forward(self) -> None:
         request = key_requests.KeyRequest(
-            operation=key_requests.Operation.CANCEL, customer=WARM, key=self.key
+            operation=key_requests.Operation.CANCEL,
+            customer=CUSTOMER,
+            key=self.key,
         )
         complete = key_requests.encode_request(request)
         for size, _ in enumerate(complete):
