--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -185,7 +185,7 @@
         )
         fallback_reply = _Reply.UNAVAILABLE
         while True:
-            reply = await self._attempt(shard, make_request)
+            reply = await self._request_once(shard, make_request)
             if reply is _Reply.REFUSED and fallback_reply is _Reply.UNKNOWN:
                 # An earlier attempt may have stored the job.
                 return fallback_reply
@@ -197,7 +197,7 @@
                 return fallback_reply
             await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _attempt(
+    async def _request_once(
         self, shard: ids.ShardId, make_request: _RequestFactory
     ) -> job_manager.JobReply:
         leader = self._directory.leader(shard)
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -14,14 +14,14 @@
 
 #: Maximum number of rows in one commit. The store accepts 100 entries: a
 #: condition and a change for each row, and the condition on the writer row.
-MAX_ROWS = 49
+MAX_COMMIT_ROWS = 49
 
 #: Maximum size of the rows in one commit, in bytes. The store accepts 1 MB, and
 #: base64 adds a third.
-MAX_BYTES = 500_000
+MAX_COMMIT_BYTES = 500_000
 
 #: Maximum number of concurrent commits.
-MAX_COMMITS = 4
+MAX_CONCURRENT_COMMITS = 4
 
 #: Bounds of the exponential delay after a failed call, in seconds. The
 #: store's rate limits are shared by all entry VMs.
@@ -175,7 +175,7 @@
 
     def _next_due_in_s(self, now: float) -> float | None:
         """Return the time until the next commit, None if none can start."""
-        if self._active_commits >= MAX_COMMITS:
+        if self._active_commits >= MAX_CONCURRENT_COMMITS:
             return None
         due_times = (
             change.due_at
@@ -192,7 +192,9 @@
             if key in self._in_flight:
                 continue
             size += len(change.body or b'')
-            if batch and (len(batch) >= MAX_ROWS or size > MAX_BYTES):
+            if batch and (
+                len(batch) >= MAX_COMMIT_ROWS or size > MAX_COMMIT_BYTES
+            ):
                 break
             batch[key] = change
         for key in batch:
--- a/sardineproxy/request/admission.py
+++ b/sardineproxy/request/admission.py
@@ -59,7 +59,7 @@
                 path=task.path,
                 headers=tuple(task.headers.items()),
                 body=task.body(),
-                deadline=deadline(
+                deadline=task_deadline(
                     contract=self.contract,
                     deadline_ms=task.deadline_ms or self.document.deadline_ms,
                     now=now,
@@ -263,7 +263,7 @@
     return None
 
 
-def deadline(
+def task_deadline(
     *,
     contract: contracts.Contract,
     deadline_ms: int | None,
--- a/sardineproxy/request/documents.py
+++ b/sardineproxy/request/documents.py
@@ -198,8 +198,8 @@
     """Parse a job or a single request; a request becomes a job of one task."""
     try:
         if kind is work.TaskKind.JOB:
-            return result.Ok(_load(JobDocument, body))
-        task = _load(TaskDocument, body)
+            return result.Ok(_parse_document(JobDocument, body))
+        task = _parse_document(TaskDocument, body)
     except ValueError as exc:
         return result.Err(_malformed(exc))
     return result.Ok(JobDocument.model_construct(tasks=[task]))
@@ -208,13 +208,13 @@
 def parse_key_count(body: bytes) -> result.Result[int, problems.Problem]:
     """Return the number of requested keys, 1 for an empty body."""
     try:
-        document = _load(KeysDocument, body or b'{}')
+        document = _parse_document(KeysDocument, body or b'{}')
     except ValueError as exc:
         return result.Err(_malformed(exc))
     return result.Ok(document.count)
 
 
-def _load(model: type[_Document], body: bytes) -> _Document:
+def _parse_document(model: type[_Document], body: bytes) -> _Document:
     """Return the validated document; raise ValueError if it is malformed.
 
     Size limits are checked before parsing: without them, 8 MiB of small
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -112,7 +112,7 @@
         return digest[:MAC_CHARACTERS]
 
 
-def malformed() -> problems.Problem:
+def malformed_key() -> problems.Problem:
     """Return the refusal of a text that is not a well-formed key."""
     return problems.refusal(
         code='malformed_key',
@@ -121,7 +121,7 @@
     )
 
 
-def unknown() -> problems.Problem:
+def unknown_key() -> problems.Problem:
     """Return the refusal of a key that was not issued for the customer."""
     return problems.refusal(
         code='unknown_key',
@@ -130,7 +130,7 @@
     )
 
 
-def expired() -> problems.Problem:
+def key_expired() -> problems.Problem:
     """Return the problem for a key whose record may have been dropped."""
     return problems.doubt(
         code='key_expired',
@@ -139,7 +139,7 @@
     )
 
 
-def reused() -> problems.Problem:
+def key_reused() -> problems.Problem:
     """Return the refusal of another submission with a used key.
 
     Its verdict applies to the key: the caller may have serialized the same
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -217,8 +217,8 @@
         self._enforce_limits(now)
         return tombstone
 
-    def sizes(self) -> dict[str, dict[str, int]]:
-        """Return the number of entries by customer, for the state dump."""
+    def state(self) -> dict[str, dict[str, int]]:
+        """Return the numbers of entries by customer, for the state dump."""
         return {
             customer: {
                 'ended': len(entries.ended),
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -208,7 +208,7 @@
         """Process a request about a key, here or at the key's issuer."""
         key = keys.parse(request.key)
         if key is None:
-            return documents.render_problem(keys.malformed())
+            return documents.render_problem(keys.malformed_key())
         if self._key_issuer.is_own(key=key):
             return await self._handle_own_key(request, key)
         if key.vm == self._vm:
@@ -272,7 +272,7 @@
             'vm': self._vm,
             'incarnation': self._incarnation,
             'submissions': self._executions.state(now=now),
-            'held': self._record_store.sizes(),
+            'held': self._record_store.state(),
             'admission': self._admission.state(),
         }
 
@@ -302,9 +302,9 @@
         )
         match entry:
             case records.UnrecordedKey.UNKNOWN:
-                return documents.render_problem(keys.unknown())
+                return documents.render_problem(keys.unknown_key())
             case records.UnrecordedKey.VOID:
-                return documents.render_problem(keys.expired())
+                return documents.render_problem(keys.key_expired())
         if request.operation is _Operation.SUBMIT:
             return await self._handle_submit(request, key, entry)
         if request.operation is _Operation.CANCEL:
@@ -336,7 +336,7 @@
         if isinstance(entry, records.UnrecordedKey):
             entry = self._start_new(request, key, fingerprint)
         if entry.fingerprint not in {None, fingerprint}:
-            return documents.render_problem(keys.reused())
+            return documents.render_problem(keys.key_reused())
         if request.wait and isinstance(entry, records.Record):
             return await asyncio.shield(entry.reply_future)
         return _status_reply(entry)
--- a/tests/process/stored_jobs/test_job_manager.py
+++ b/tests/process/stored_jobs/test_job_manager.py
@@ -288,7 +288,7 @@
             self.assertEqual([], cluster.violations())
 
         # One row per commit, as when the previous commit was full.
-        self.patch(job_table, 'MAX_ROWS', 1)
+        self.patch(job_table, 'MAX_COMMIT_ROWS', 1)
         with_cluster(scenario)
 
     def test_failures_count_across_leaders(self) -> None:
--- a/tests/process/stored_jobs/test_model.py
+++ b/tests/process/stored_jobs/test_model.py
@@ -17,10 +17,10 @@
 from tests import examples, virtual_time
 from tests.process.stored_jobs import cluster as clusters
 
-JOBS = 30
+JOB_COUNT = 30
 
 #: Limit in seconds for all accepted jobs to end after the last fault.
-FINISH_S = 60
+FINISH_TIMEOUT_S = 60
 
 _FAULTS = (
     'crash of the leader',
@@ -134,14 +134,14 @@
     loop = asyncio.get_running_loop()
     for time_s, kind in events:
         scenario.schedule(time_s, kind)
-    for number in range(JOBS):
+    for number in range(JOB_COUNT):
         loop.call_later(0.2 + number * 0.2, scenario.submit, number)
     await asyncio.sleep(9)
     cluster.fault_share = 0
     cluster.store.fault_share = 0
     cluster.store.is_unavailable = False
     cluster.restart_workers()
-    deadline = cluster.rig.clock.now() + FINISH_S
+    deadline = cluster.rig.clock.now() + FINISH_TIMEOUT_S
     states = {
         job: await cluster.wait_for_end(job, deadline - cluster.rig.clock.now())
         for job in sorted(scenario.accepted)
@@ -181,5 +181,5 @@
         """Guards against a property test that passes without running jobs."""
 
         report = virtual_time.run(lambda: run_scenario(1, 0, []))
-        self.assertEqual(JOBS, len(report.states))
+        self.assertEqual(JOB_COUNT, len(report.states))
         self.assertNotIn('cancelled', report.states.values())
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -13,8 +13,8 @@
 from tests.process.shards import samples as shard_samples
 from tests.process.node import samples
 
-HOME = ids.ShardId('zone-a')
-OTHER = ids.ShardId('zone-b')
+HOME_SHARD = ids.ShardId('zone-a')
+OTHER_SHARD = ids.ShardId('zone-b')
 
 
 class Rig:
@@ -23,8 +23,8 @@
     def __init__(self, count: int = 2) -> None:
         self.clock = virtual_time.LoopClock()
         self.links: dict[ids.ShardId, Any] = {
-            HOME: shard_samples.FakeLink('vm-1'),
-            OTHER: shard_samples.FakeLink('vm-2'),
+            HOME_SHARD: shard_samples.FakeLink('vm-1'),
+            OTHER_SHARD: shard_samples.FakeLink('vm-2'),
         }
         step = jobs.Step(
             count=count,
@@ -42,12 +42,14 @@
         self.outcome = asyncio.create_task(self.coordinator.run())
 
     def default_shard(self) -> ids.ShardId | None:
-        return HOME if HOME in self.links else None
+        return HOME_SHARD if HOME_SHARD in self.links else None
 
     def leader(self, shard: ids.ShardId) -> Any:
         return self.links.get(shard)
 
-    def submitted(self, shard: ids.ShardId = HOME) -> list[messages.Submit]:
+    def submitted(
+        self, shard: ids.ShardId = HOME_SHARD
+    ) -> list[messages.Submit]:
         return [
             message
             for message in self.links[shard].sent
@@ -59,7 +61,7 @@
     ) -> None:
         self.coordinator.post_event(
             messages.RunEnded(
-                shard=HOME,
+                shard=HOME_SHARD,
                 job=self.coordinator.job.job_id,
                 step=0,
                 index=index,
@@ -73,7 +75,7 @@
     async def decline(
         self,
         *indices: int,
-        shard: ids.ShardId = HOME,
+        shard: ids.ShardId = HOME_SHARD,
         suggested_shard: str = '',
     ) -> None:
         self.coordinator.post_event(
@@ -91,9 +93,9 @@
         await asyncio.sleep(0.001)
 
     async def lose_leader(self) -> None:
-        lost = self.links.pop(HOME)
+        lost = self.links.pop(HOME_SHARD)
         self.coordinator.post_event(
-            open_tasks.LeaderLost(shard=HOME, former_leader=lost)
+            open_tasks.LeaderLost(shard=HOME_SHARD, former_leader=lost)
         )
         await asyncio.sleep(0.001)
 
@@ -154,7 +156,9 @@
 
         async def scenario(rig: Rig) -> None:
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
-            self.assertIsInstance(rig.links[HOME].sent[-1], messages.Withdraw)
+            self.assertIsInstance(
+                rig.links[HOME_SHARD].sent[-1], messages.Withdraw
+            )
 
         run_scenario(scenario)
 
@@ -176,8 +180,8 @@
         """Guards against a refusal while another shard is idle."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.decline(1, suggested_shard=OTHER)
-            submitted = rig.submitted(OTHER)[0]
+            await rig.decline(1, suggested_shard=OTHER_SHARD)
+            submitted = rig.submitted(OTHER_SHARD)[0]
             self.assertEqual(((1, 1),), submitted.tasks)
             self.assertTrue(submitted.pinned)
 
@@ -188,8 +192,8 @@
 
         async def scenario(rig: Rig) -> None:
             self.assertFalse(rig.submitted()[0].job_started)
-            await rig.decline(1, suggested_shard=OTHER)
-            self.assertTrue(rig.submitted(OTHER)[0].job_started)
+            await rig.decline(1, suggested_shard=OTHER_SHARD)
+            self.assertTrue(rig.submitted(OTHER_SHARD)[0].job_started)
 
         run_scenario(scenario)
 
@@ -197,8 +201,8 @@
         """Guards against running a late job that could still be declined."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.decline(0, 1, suggested_shard=OTHER)
-            self.assertFalse(rig.submitted(OTHER)[0].job_started)
+            await rig.decline(0, 1, suggested_shard=OTHER_SHARD)
+            self.assertFalse(rig.submitted(OTHER_SHARD)[0].job_started)
 
         run_scenario(scenario)
 
@@ -213,8 +217,8 @@
         async def scenario(rig: Rig) -> None:
             await rig.report_result(0)
             await rig.lose_leader()
-            rig.links[HOME] = shard_samples.FakeLink('vm-3')
-            rig.coordinator.post_event(open_tasks.LeaderFound(shard=HOME))
+            rig.links[HOME_SHARD] = shard_samples.FakeLink('vm-3')
+            rig.coordinator.post_event(open_tasks.LeaderFound(shard=HOME_SHARD))
             await asyncio.sleep(0.001)
             resubmitted = shard_samples.only(rig.submitted())
             self.assertTrue(resubmitted.resumed)
--- a/tests/request/test_executions.py
+++ b/tests/request/test_executions.py
@@ -49,7 +49,7 @@
         self.assertThat(self.runner.starts, matchers.HasLength(1700))
         self.assertEqual({1}, set(self.runner.starts.values()))
 
-    async def test_too_large_answers_fail_the_job(self) -> None:
+    async def test_too_large_responses_fail_the_job(self) -> None:
         large = fakes.make_response(
             body=bytes(executions.MAX_JOB_RESPONSE_BYTES // 2 + 1)
         )
@@ -61,15 +61,15 @@
             (oversized['verdict'], oversized['problem']['code']),
         )
 
-    async def test_rendering_failure_is_answered(self) -> None:
+    async def test_rendering_failure_gets_a_reply(self) -> None:
         """Guards against callers that wait forever.
 
         An exception while the reply is rendered must not leave them without
         a reply.
         """
         self.runner.outcomes[0] = fakes.make_response(status=b'fault')
-        answer = await self.submit()
-        self.assert_problem(answer, 'internal_error', 'may_have_run', True)
+        reply = await self.submit()
+        self.assert_problem(reply, 'internal_error', 'may_have_run', True)
 
     async def test_tasks_count_as_waiting_immediately(self) -> None:
         """Guards against admitting a second job beyond the queue limit.
@@ -78,7 +78,7 @@
         waiting only after they have been passed to the runner.
         """
         self.process.set_version(fakes.make_version(queue=5))
-        answers = await asyncio.gather(
+        replies = await asyncio.gather(
             self.submit_job(4), self.submit_job(4, key_text=self.spare_key)
         )
-        self.assertEqual([200, 429], [status for status, _ in answers])
+        self.assertEqual([200, 429], [status for status, _ in replies])
--- a/tests/request/test_records.py
+++ b/tests/request/test_records.py
@@ -67,7 +67,7 @@
     ) -> None:
         arguments = {
             'fingerprint': None,
-            'problem': keys.malformed(),
+            'problem': keys.malformed_key(),
             'now': now,
         }
         self.record_store.add_tombstone(key=key, customer=customer, **arguments)
@@ -151,4 +151,4 @@
         self.close_record(self.open_record(key), now=50)
         self.assertIsInstance(self.find(key, now=949), records.Record)
         self.assertIs(self.find(key, now=951), records.UnrecordedKey.VOID)
-        self.assertEqual(0, self.record_store.sizes()[CUSTOMER]['answer_bytes'])
+        self.assertEqual(0, self.record_store.state()[CUSTOMER]['answer_bytes'])
--- a/tests/request/test_runner.py
+++ b/tests/request/test_runner.py
@@ -101,7 +101,7 @@
         self.assertEqual(LOST, self.run_with(LOST, REFUSED)[0])
         self.assertEqual(FAILED, self.run_with(FAILED, LOST, LOST)[0])
 
-    def test_limits_of_retries(self) -> None:
+    def test_retries_are_limited(self) -> None:
         """Guards against retries beyond budget, deadline or cancellation."""
         for bounds in (
             {'cfg': retries.Config(max_tokens=0)},
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -24,8 +24,12 @@
 
 CUSTOMER = ids.CustomerId('warm')
 OTHER_CUSTOMER = ids.CustomerId('rival')
-RATE = types.MappingProxyType({'submit_per_s': 100.0, 'submit_burst': 100})
-TERMS = types.MappingProxyType({'weight': 1.0, 'hold': 10, 'queue': 5000})
+RATE_LIMITS = types.MappingProxyType(
+    {'submit_per_s': 100.0, 'submit_burst': 100}
+)
+CONTRACT_FIELDS = types.MappingProxyType(
+    {'weight': 1.0, 'hold': 10, 'queue': 5000}
+)
 TASK = {'method': 'POST', 'path': '/stamp', 'body_text': 'reprint'}
 
 
@@ -91,7 +95,7 @@
     return contracts.Contract(
         customer=customer,
         credential_sha256=[digest],
-        **{**TERMS, **RATE, **terms},
+        **{**CONTRACT_FIELDS, **RATE_LIMITS, **terms},
     )
 
 
@@ -152,14 +156,14 @@
         return reply.status, json.loads(reply.body)
 
     def assert_problem(
-        self, answer: tuple[int, Any], code: str, verdict: str, final: bool
+        self, reply: tuple[int, Any], code: str, verdict: str, final: bool
     ) -> None:
-        document = answer[1]
+        document = reply[1]
         self.assertEqual(
             (code, verdict, final),
             (document['code'], document['verdict'], document['final']),
         )
-        self.assertEqual(document['status'], answer[0])
+        self.assertEqual(document['status'], reply[0])
 
     def _run_test_method(self, result: Any) -> Any:
         return asyncio.run(self._run_scenario())
@@ -183,15 +187,15 @@
 class KeyTest(SubmissionsTestCase):
     """Tests that a key starts work at most once, for its customer only."""
 
-    async def test_repeated_submission_gets_the_same_answer(self) -> None:
-        answers = await asyncio.gather(
+    async def test_repeated_submission_gets_the_same_reply(self) -> None:
+        replies = await asyncio.gather(
             *(self.submit() for _ in range(3)),
             self.submit(process=self.other_process),
         )
-        answers += [await self.submit(), await self.call_method('status')]
-        self.assertEqual('reprint', answers[0][1]['body_text'])
+        replies += [await self.submit(), await self.call_method('status')]
+        self.assertEqual('reprint', replies[0][1]['body_text'])
         self.assertThat(
-            {repr(reply) for reply in answers}, matchers.HasLength(1)
+            {repr(reply) for reply in replies}, matchers.HasLength(1)
         )
         self.assertEqual({(self.key, 0): 1}, self.runner.starts)
 
@@ -209,10 +213,10 @@
         await self.submit_job(wait=False)
         for process in (self.process, self.other_process):
             for method in ('status', 'cancel'):
-                answer = await self.call_method(
+                reply = await self.call_method(
                     method, process, customer=OTHER_CUSTOMER
                 )
-                self.assert_problem(answer, 'unknown_key', 'not_run', True)
+                self.assert_problem(reply, 'unknown_key', 'not_run', True)
             replayed = await self.submit_job(
                 process=process, customer=OTHER_CUSTOMER
             )
@@ -233,15 +237,15 @@
         self.assertThat(self.runner.starts, matchers.HasLength(1))
 
     async def test_malformed_missing_and_expired_keys(self) -> None:
-        answer = await self.submit(key_text='my-key')
-        self.assert_problem(answer, 'malformed_key', 'not_run', True)
+        reply = await self.submit(key_text='my-key')
+        self.assert_problem(reply, 'malformed_key', 'not_run', True)
         idempotent = {'key_text': None, 'body': {**TASK, 'idempotent': True}}
-        for answer in (
+        for reply in (
             await self.submit(key_text=None),
             await self.submit_job(key_text=None),
             await self.submit(**idempotent, wait=False),
         ):
-            self.assert_problem(answer, 'key_required', 'not_run', True)
+            self.assert_problem(reply, 'key_required', 'not_run', True)
         self.assertEqual(200, (await self.submit(**idempotent))[0])
         self.clock.advance(901)
         expired = await self.submit()
@@ -259,8 +263,8 @@
                 problem=executions.cancelled(),
             )
             self.assertIs(verdict, reply.verdict)
-        answer = await self.submit()
-        self.assert_problem(answer, 'cancelled', 'not_run', True)
+        reply = await self.submit()
+        self.assert_problem(reply, 'cancelled', 'not_run', True)
 
 
 class CancelTest(SubmissionsTestCase):
@@ -300,41 +304,41 @@
     async def test_cancel_may_precede_the_submission(self) -> None:
         unsubmitted = await self.call_method('status')
         self.assert_problem(unsubmitted, 'not_submitted', 'may_have_run', False)
-        for answer in (await self.call_method('cancel'), await self.submit()):
-            self.assert_problem(answer, 'cancelled', 'not_run', True)
+        for reply in (await self.call_method('cancel'), await self.submit()):
+            self.assert_problem(reply, 'cancelled', 'not_run', True)
 
 
 class ForwardTest(SubmissionsTestCase):
     """Tests that only the issuer of a key reports "not run"."""
 
-    async def test_lost_issuer(self) -> None:
+    async def test_request_without_its_issuer_may_have_run(self) -> None:
         for fixed_reply, code, final in (
             (forwarding.Gone(), 'minter_gone', True),
             (forwarding.Unreachable(), 'minter_unreachable', False),
             (forwarding.Replied(payload=b'?'), 'minter_unreachable', False),
         ):
             self.forwarder.fixed_reply = fixed_reply
-            for answer in (
+            for reply in (
                 await self.submit(process=self.other_process),
                 await self.call_method('status', self.other_process),
                 await self.call_method('cancel', self.other_process),
             ):
-                self.assert_problem(answer, code, 'may_have_run', final)
+                self.assert_problem(reply, code, 'may_have_run', final)
         old_key = self.key.replace('.a1.', '.b2.')
-        answer = await self.submit(key_text=old_key)
-        self.assert_problem(answer, 'minter_gone', 'may_have_run', True)
+        reply = await self.submit(key_text=old_key)
+        self.assert_problem(reply, 'minter_gone', 'may_have_run', True)
 
-    async def test_size_limits(self) -> None:
+    async def test_too_large_forwards_get_a_problem(self) -> None:
         large = {**TASK, 'body_text': 'x' * (8_388_608 - 4000)}
-        answer = await self.submit(process=self.other_process, body=large)
+        reply = await self.submit(process=self.other_process, body=large)
         self.assert_problem(
-            answer, 'too_large_to_forward', 'may_have_run', False
+            reply, 'too_large_to_forward', 'may_have_run', False
         )
         self.runner.outcomes[0] = make_response(body=bytes(8_388_608))
-        answer = await self.submit(process=self.other_process)
-        self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
+        reply = await self.submit(process=self.other_process)
+        self.assert_problem(reply, 'answer_too_large_to_forward', 'ran', True)
 
-    async def test_malformed_forward(self) -> None:
+    async def test_malformed_forward_has_no_effect(self) -> None:
         request = key_requests.KeyRequest(
             operation=key_requests.Operation.CANCEL,
             customer=CUSTOMER,
@@ -352,7 +356,7 @@
 class ShutdownTest(SubmissionsTestCase):
     """Tests that draining refuses new work and completes the running work."""
 
-    async def test_drain(self) -> None:
+    async def test_draining_process_completes_running_work(self) -> None:
         self.runner.start_gate.clear()
         first = asyncio.create_task(self.submit())
         await asyncio.sleep(0)
@@ -394,5 +398,5 @@
             self.process = make_submissions(
                 self.runner, self.forwarder, **bounds
             )
-            answer = await self.submit(key_text=self.issue_key())
-            self.assert_problem(answer, 'overloaded', 'not_run', True)
+            reply = await self.submit(key_text=self.issue_key())
+            self.assert_problem(reply, 'overloaded', 'not_run', True)
