--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -13,8 +13,8 @@
 from tests.process.shards import samples as shard_samples
 from tests.process.node import samples
 
-HOME = ids.ShardId('zone-a')
-OTHER = ids.ShardId('zone-b')
+HOME_SHARD = ids.ShardId('zone-a')
+OTHER_SHARD = ids.ShardId('zone-b')
 
 
 class Rig:
@@ -23,8 +23,8 @@
     def __init__(self, count: int = 2) -> None:
         self.clock = virtual_time.LoopClock()
         self.links: dict[ids.ShardId, Any] = {
-            HOME: shard_samples.FakeLink('vm-1'),
-            OTHER: shard_samples.FakeLink('vm-2'),
+            HOME_SHARD: shard_samples.FakeLink('vm-1'),
+            OTHER_SHARD: shard_samples.FakeLink('vm-2'),
         }
         step = jobs.Step(
             count=count,
@@ -42,22 +42,26 @@
         self.outcome = asyncio.create_task(self.coordinator.run())
 
     def default_shard(self) -> ids.ShardId | None:
-        return HOME if HOME in self.links else None
+        return HOME_SHARD if HOME_SHARD in self.links else None
 
     def leader_link(self, shard: ids.ShardId) -> Any:
         return self.links.get(shard)
 
-    def submitted(self, shard: ids.ShardId = HOME) -> list[messages.Submit]:
+    def submitted(
+        self, shard: ids.ShardId = HOME_SHARD
+    ) -> list[messages.Submit]:
         return [
             message
             for message in self.links[shard].sent
             if isinstance(message, messages.Submit)
         ]
 
-    async def end(self, index: int, result: str = 'done', run: int = 1) -> None:
-        self.coordinator.post(
+    async def report_result(
+        self, index: int, result: str = 'done', run: int = 1
+    ) -> None:
+        self.coordinator.post_event(
             messages.RunEnded(
-                shard=HOME,
+                shard=HOME_SHARD,
                 job=self.coordinator.job.job_id,
                 step=0,
                 index=index,
@@ -71,10 +75,10 @@
     async def decline(
         self,
         *indices: int,
-        shard: ids.ShardId = HOME,
+        shard: ids.ShardId = HOME_SHARD,
         suggested_shard: str = '',
     ) -> None:
-        self.coordinator.post(
+        self.coordinator.post_event(
             messages.Declined(
                 shard=shard,
                 job=self.coordinator.job.job_id,
@@ -89,9 +93,9 @@
         await asyncio.sleep(0.001)
 
     async def lose_leader(self) -> None:
-        lost = self.links.pop(HOME)
-        self.coordinator.post(
-            open_tasks.LeaderLost(shard=HOME, former_leader=lost)
+        lost = self.links.pop(HOME_SHARD)
+        self.coordinator.post_event(
+            open_tasks.LeaderLost(shard=HOME_SHARD, former_leader=lost)
         )
         await asyncio.sleep(0.001)
 
@@ -107,18 +111,18 @@
 
 class TestOutcomes(testtools.TestCase):
     def test_job_completes_when_all_tasks_have_ended(self) -> None:
-        """Guards against an answer before the last task has ended."""
+        """Guards against an outcome before the last task has ended."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0)
+            await rig.report_result(0)
             self.assertFalse(rig.outcome.done())
-            await rig.end(1)
+            await rig.report_result(1)
             self.assertEqual(jobs.Completed(), await rig.outcome)
 
         run_scenario(scenario)
 
     def test_declined_job_ends_as_not_run(self) -> None:
-        """Guards against a refusal that is reported only at the deadline."""
+        """Guards against a declined job that ends only at its deadline."""
 
         async def scenario(rig: Rig) -> None:
             await rig.decline(0, 1)
@@ -130,7 +134,7 @@
         """Guards against "not run" for a job of which a task has ended."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0)
+            await rig.report_result(0)
             await rig.decline(1)
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
@@ -140,9 +144,9 @@
         """Guards against retries beyond the route's maximum of attempts."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0, 'failed')
+            await rig.report_result(0, 'failed')
             self.assertEqual(((0, 2),), rig.submitted()[-1].tasks)
-            await rig.end(0, 'failed', run=2)
+            await rig.report_result(0, 'failed', run=2)
             self.assertIsInstance(await rig.outcome, jobs.Failed)
 
         run_scenario(scenario)
@@ -152,15 +156,20 @@
 
         async def scenario(rig: Rig) -> None:
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
-            self.assertIsInstance(rig.links[HOME].sent[-1], messages.Withdraw)
+            self.assertIsInstance(
+                rig.links[HOME_SHARD].sent[-1], messages.Withdraw
+            )
 
         run_scenario(scenario)
 
     def test_stalled_process_ends_its_jobs(self) -> None:
-        """Guards against answers for jobs whose tasks others took over."""
+        """Guards against outcomes of jobs that other processes took over.
+
+        While the process was stalled, its peers may have declared it failed.
+        """
 
         async def scenario(rig: Rig) -> None:
-            rig.coordinator.post(coordinator.Stalled())
+            rig.coordinator.post_event(coordinator.Stalled())
             self.assertIsInstance(await rig.outcome, jobs.GivenUp)
 
         run_scenario(scenario)
@@ -171,42 +180,45 @@
         """Guards against a refusal while another shard is idle."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.decline(1, suggested_shard=OTHER)
-            submitted = rig.submitted(OTHER)[0]
+            await rig.decline(1, suggested_shard=OTHER_SHARD)
+            submitted = rig.submitted(OTHER_SHARD)[0]
             self.assertEqual(((1, 1),), submitted.tasks)
             self.assertTrue(submitted.pinned)
 
         run_scenario(scenario)
 
     def test_moved_tasks_are_submitted_with_job_started(self) -> None:
-        """Guards against declining the rest of a job that runs elsewhere."""
+        """Guards against declining tasks of a job that runs in two shards."""
 
         async def scenario(rig: Rig) -> None:
             self.assertFalse(rig.submitted()[0].job_started)
-            await rig.decline(1, suggested_shard=OTHER)
-            self.assertTrue(rig.submitted(OTHER)[0].job_started)
+            await rig.decline(1, suggested_shard=OTHER_SHARD)
+            self.assertTrue(rig.submitted(OTHER_SHARD)[0].job_started)
 
         run_scenario(scenario)
 
     def test_completely_moved_job_has_not_started(self) -> None:
-        """Guards against running a job too late instead of declining it."""
+        """Guards against running a late job that could still be declined."""
 
         async def scenario(rig: Rig) -> None:
-            await rig.decline(0, 1, suggested_shard=OTHER)
-            self.assertFalse(rig.submitted(OTHER)[0].job_started)
+            await rig.decline(0, 1, suggested_shard=OTHER_SHARD)
+            self.assertFalse(rig.submitted(OTHER_SHARD)[0].job_started)
 
         run_scenario(scenario)
 
 
 class TestLostLeader(testtools.TestCase):
     def test_open_tasks_are_resumed_at_the_new_leader(self) -> None:
-        """Guards against second runs of tasks after a takeover."""
+        """Guards against second runs of tasks after a takeover.
+
+        The former leader may have started them, so they are sent as resumed.
+        """
 
         async def scenario(rig: Rig) -> None:
-            await rig.end(0)
+            await rig.report_result(0)
             await rig.lose_leader()
-            rig.links[HOME] = shard_samples.FakeLink('vm-3')
-            rig.coordinator.post(open_tasks.LeaderFound(shard=HOME))
+            rig.links[HOME_SHARD] = shard_samples.FakeLink('vm-3')
+            rig.coordinator.post_event(open_tasks.LeaderFound(shard=HOME_SHARD))
             await asyncio.sleep(0.001)
             resubmitted = shard_samples.only(rig.submitted())
             self.assertTrue(resubmitted.resumed)
