--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -82,7 +82,7 @@
         secret: bytes,
         ttl_s: float,
     ) -> None:
-        """Sign with ``secret``, which no other process may hold."""
+        """Create an issuer; no other process may have the same ``secret``."""
         self._vm = vm
         self._incarnation = incarnation
         self._secret = secret
@@ -107,13 +107,13 @@
         )
 
     def _mac(self, signed: str, customer: ids.CustomerId) -> str:
-        covered = f'{signed}\n{customer}'.encode()
-        digest = hmac.new(self._secret, covered, hashlib.sha256).hexdigest()
+        mac_input = f'{signed}\n{customer}'.encode()
+        digest = hmac.new(self._secret, mac_input, hashlib.sha256).hexdigest()
         return digest[:MAC_CHARACTERS]
 
 
-def malformed() -> problems.Problem:
-    """Return the refusal of a text that does not have the form of a key."""
+def malformed_key() -> problems.Problem:
+    """Return the refusal of a text that is not a well-formed key."""
     return problems.refusal(
         code='malformed_key',
         status=400,
@@ -121,7 +121,7 @@
     )
 
 
-def unknown() -> problems.Problem:
+def unknown_key() -> problems.Problem:
     """Return the refusal of a key that was not issued for the customer."""
     return problems.refusal(
         code='unknown_key',
@@ -130,22 +130,22 @@
     )
 
 
-def expired() -> problems.Problem:
-    """Return the answer to a key whose record may have been dropped."""
-    return problems.doubt(
+def key_expired() -> problems.Problem:
+    """Return the problem for a key whose record may have been dropped."""
+    return problems.outcome_unknown(
         code='key_expired',
         status=410,
         detail='The key has expired and never starts work again.',
     )
 
 
-def reused() -> problems.Problem:
-    """Return the refusal of a second submission under one key.
+def key_reused() -> problems.Problem:
+    """Return the refusal of another submission with a used key.
 
-    The verdict is that of the key: the caller may have serialized the same
-    work differently and must not conclude that it did not run.
+    Its verdict applies to the key: the caller may have serialized the same
+    submission differently and must not conclude that it did not run.
     """
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='key_reused',
         status=422,
         detail=(
@@ -156,8 +156,8 @@
 
 
 def not_submitted() -> problems.Problem:
-    """Return the status of a key without a submission so far."""
-    return problems.doubt(
+    """Return the problem for a key without a submission so far."""
+    return problems.outcome_unknown(
         code='not_submitted',
         status=404,
         detail=(
@@ -169,8 +169,8 @@
 
 
 def issuer_gone() -> problems.Problem:
-    """Return the answer to a key whose incarnation has ended."""
-    return problems.doubt(
+    """Return the problem for a key whose incarnation has ended."""
+    return problems.outcome_unknown(
         code='minter_gone',
         status=410,
         detail='The process that minted the key has ended.',
@@ -178,8 +178,8 @@
 
 
 def issuer_unreachable() -> problems.Problem:
-    """Return the answer to a key whose issuer could not be reached."""
-    return problems.doubt(
+    """Return the problem for a key whose issuer could not be reached."""
+    return problems.outcome_unknown(
         code='minter_unreachable',
         status=503,
         detail='The process that minted the key cannot be reached now.',
@@ -190,7 +190,7 @@
 
 def too_large_to_forward() -> problems.Problem:
     """Return the refusal of a submission too large for a peer message."""
-    return problems.doubt(
+    return problems.outcome_unknown(
         code='too_large_to_forward',
         status=413,
         detail='Submit this body at the VM that minted the key.',
@@ -199,8 +199,8 @@
 
 
 def malformed_forward() -> problems.Problem:
-    """Return the answer to a forwarded request that could not be decoded."""
-    return problems.doubt(
+    """Return the problem for a forwarded request that could not be decoded."""
+    return problems.outcome_unknown(
         code='malformed_forward',
         status=502,
         detail='The process that minted the key could not read the forward.',
--- a/sardineproxy/verdicts.py
+++ b/sardineproxy/verdicts.py
@@ -1,4 +1,4 @@
-"""What is known about whether a request ran."""
+"""Verdicts: whether a request ran, as far as is known."""
 
 import enum
 
@@ -6,14 +6,15 @@
 class Verdict(enum.Enum):
     """What a caller may conclude about its request."""
 
-    #: Nothing of the request was written to any endpoint's connection.
+    #: No byte of the request was written to a connection to an endpoint.
     NOT_RUN = 'not_run'
 
-    #: The endpoint's whole answer is at hand.
+    #: The endpoint's complete response was received.
     RAN = 'ran'
 
-    #: The endpoint's whole answer is at hand and has an error status.
+    #: The endpoint's complete response was received and has an error status.
     RAN_AND_FAILED = 'ran_and_failed'
 
-    #: A byte may have left and no whole answer came back.
+    #: Bytes of the request may have been sent, and no complete response was
+    #: received.
     MAY_HAVE_RUN = 'may_have_run'
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -22,14 +22,18 @@
 )
 from sardineproxy.version import contracts, versions
 
-WARM = ids.CustomerId('warm')
-RIVAL = ids.CustomerId('rival')
-RATE = types.MappingProxyType({'submit_per_s': 100.0, 'submit_burst': 100})
-TERMS = types.MappingProxyType({'weight': 1.0, 'hold': 10, 'queue': 5000})
+CUSTOMER = ids.CustomerId('warm')
+OTHER_CUSTOMER = ids.CustomerId('rival')
+RATE_LIMITS = types.MappingProxyType(
+    {'submit_per_s': 100.0, 'submit_burst': 100}
+)
+CONTRACT_FIELDS = types.MappingProxyType(
+    {'weight': 1.0, 'hold': 10, 'queue': 5000}
+)
 TASK = {'method': 'POST', 'path': '/stamp', 'body_text': 'reprint'}
 
 
-def make_answer(status: int = 200, body: bytes = b'') -> work.Response:
+def make_response(status: int = 200, body: bytes = b'') -> work.Response:
     return work.Response(
         status=status, headers=(), body=body, endpoint=ids.EndpointId('e1')
     )
@@ -52,7 +56,7 @@
         if task.request_id in self.cancelled:
             return work.Refused(problem=executions.cancelled())
         self.starts[task.request_id, task.index] += 1
-        outcome = self.outcomes.get(task.index, make_answer(body=task.body))
+        outcome = self.outcomes.get(task.index, make_response(body=task.body))
         if isinstance(outcome, Exception):
             raise outcome
         return outcome
@@ -91,13 +95,14 @@
     return contracts.Contract(
         customer=customer,
         credential_sha256=[digest],
-        **{**TERMS, **RATE, **terms},
+        **{**CONTRACT_FIELDS, **RATE_LIMITS, **terms},
     )
 
 
 def make_version(**terms: Any) -> versions.Version:
     contracts_by_customer = {
-        customer: make_contract(customer, **terms) for customer in (WARM, RIVAL)
+        customer: make_contract(customer, **terms)
+        for customer in (CUSTOMER, OTHER_CUSTOMER)
     }
     return versions.Version(
         number=ids.VersionNumber(1), digest='', contracts=contracts_by_customer
@@ -127,13 +132,13 @@
     """Base class with two processes; tests run on an event loop."""
 
     def issue_key(self) -> str:
-        reply = self.process.issue_keys(customer=WARM, body=b'')
+        reply = self.process.issue_keys(customer=CUSTOMER, body=b'')
         return json.loads(reply.body)['keys'][0]
 
     async def submit(self, **changes: Any) -> tuple[int, Any]:
         process = changes.pop('process', self.process)
         body = changes.pop('body', TASK)
-        arguments = {'customer': WARM, 'key_text': self.key, **changes}
+        arguments = {'customer': CUSTOMER, 'key_text': self.key, **changes}
         arguments.setdefault('kind', work.TaskKind.SINGLE)
         arguments['body'] = json.dumps(body).encode()
         reply = await process.submit(**arguments)
@@ -144,21 +149,21 @@
         return await self.submit(kind=work.TaskKind.JOB, body=job, **changes)
 
     async def call_method(
-        self, method: str, process: Any = None, customer: Any = WARM
+        self, method: str, process: Any = None, customer: Any = CUSTOMER
     ) -> tuple[int, Any]:
         bound_method = getattr(process or self.process, method)
         reply = await bound_method(customer=customer, key_text=self.key)
         return reply.status, json.loads(reply.body)
 
     def assert_problem(
-        self, answer: tuple[int, Any], code: str, verdict: str, final: bool
+        self, reply: tuple[int, Any], code: str, verdict: str, final: bool
     ) -> None:
-        document = answer[1]
+        document = reply[1]
         self.assertEqual(
             (code, verdict, final),
             (document['code'], document['verdict'], document['final']),
         )
-        self.assertEqual(document['status'], answer[0])
+        self.assertEqual(document['status'], reply[0])
 
     def _run_test_method(self, result: Any) -> Any:
         return asyncio.run(self._run_scenario())
@@ -180,17 +185,17 @@
 
 
 class KeyTest(SubmissionsTestCase):
-    """Tests that a key's work starts at most once, for its customer only."""
+    """Tests that a key starts work at most once, for its customer only."""
 
-    async def test_repeated_submission_gets_the_same_answer(self) -> None:
-        answers = await asyncio.gather(
+    async def test_repeated_submission_gets_the_same_reply(self) -> None:
+        replies = await asyncio.gather(
             *(self.submit() for _ in range(3)),
             self.submit(process=self.other_process),
         )
-        answers += [await self.submit(), await self.call_method('status')]
-        self.assertEqual('reprint', answers[0][1]['body_text'])
+        replies += [await self.submit(), await self.call_method('status')]
+        self.assertEqual('reprint', replies[0][1]['body_text'])
         self.assertThat(
-            {repr(reply) for reply in answers}, matchers.HasLength(1)
+            {repr(reply) for reply in replies}, matchers.HasLength(1)
         )
         self.assertEqual({(self.key, 0): 1}, self.runner.starts)
 
@@ -208,9 +213,13 @@
         await self.submit_job(wait=False)
         for process in (self.process, self.other_process):
             for method in ('status', 'cancel'):
-                answer = await self.call_method(method, process, customer=RIVAL)
-                self.assert_problem(answer, 'unknown_key', 'not_run', True)
-            replayed = await self.submit_job(process=process, customer=RIVAL)
+                reply = await self.call_method(
+                    method, process, customer=OTHER_CUSTOMER
+                )
+                self.assert_problem(reply, 'unknown_key', 'not_run', True)
+            replayed = await self.submit_job(
+                process=process, customer=OTHER_CUSTOMER
+            )
             self.assert_problem(replayed, 'unknown_key', 'not_run', True)
         self.runner.start_gate.set()
         await self.process.wait_until_idle()
@@ -228,32 +237,34 @@
         self.assertThat(self.runner.starts, matchers.HasLength(1))
 
     async def test_malformed_missing_and_expired_keys(self) -> None:
-        answer = await self.submit(key_text='my-key')
-        self.assert_problem(answer, 'malformed_key', 'not_run', True)
+        reply = await self.submit(key_text='my-key')
+        self.assert_problem(reply, 'malformed_key', 'not_run', True)
         idempotent = {'key_text': None, 'body': {**TASK, 'idempotent': True}}
-        for answer in (
+        for reply in (
             await self.submit(key_text=None),
             await self.submit_job(key_text=None),
             await self.submit(**idempotent, wait=False),
         ):
-            self.assert_problem(answer, 'key_required', 'not_run', True)
+            self.assert_problem(reply, 'key_required', 'not_run', True)
         self.assertEqual(200, (await self.submit(**idempotent))[0])
         self.clock.advance(901)
         expired = await self.submit()
         self.assert_problem(expired, 'key_expired', 'may_have_run', True)
 
-    async def test_unread_submission_uses_up_its_key(self) -> None:
+    async def test_submission_with_unread_body_uses_up_its_key(self) -> None:
         for key_text, verdict in (
             (self.key, verdicts.Verdict.NOT_RUN),
             (self.key, verdicts.Verdict.MAY_HAVE_RUN),
             (None, verdicts.Verdict.NOT_RUN),
         ):
             reply = self.process.refuse(
-                customer=WARM, key_text=key_text, problem=executions.cancelled()
+                customer=CUSTOMER,
+                key_text=key_text,
+                problem=executions.cancelled(),
             )
             self.assertIs(verdict, reply.verdict)
-        answer = await self.submit()
-        self.assert_problem(answer, 'cancelled', 'not_run', True)
+        reply = await self.submit()
+        self.assert_problem(reply, 'cancelled', 'not_run', True)
 
 
 class CancelTest(SubmissionsTestCase):
@@ -271,16 +282,16 @@
         self.assertThat(self.runner.starts, matchers.HasLength(0))
 
     async def test_job_that_the_runner_cannot_cancel(self) -> None:
-        """Guards against a wrong verdict if the runner cancels nothing.
+        """Guards against a wrong verdict if the runner cancels no task.
 
-        It has not received the tasks yet, or they are running already.
+        The runner has not received the tasks yet, or they already run.
         """
-        for handed_over, verdict in ((False, 'not_run'), (True, 'ran')):
+        for is_received, verdict in ((False, 'not_run'), (True, 'ran')):
             key = self.issue_key()
             await self.submit_job(key_text=key, wait=False)
-            if handed_over:
+            if is_received:
                 await self.runner.task_received.wait()
-            await self.process.cancel(customer=WARM, key_text=key)
+            await self.process.cancel(customer=CUSTOMER, key_text=key)
             self.runner.cancelled.clear()
             _, job = await self.submit_job(key_text=key)
             self.assert_failed(job, verdict)
@@ -293,43 +304,45 @@
     async def test_cancel_may_precede_the_submission(self) -> None:
         unsubmitted = await self.call_method('status')
         self.assert_problem(unsubmitted, 'not_submitted', 'may_have_run', False)
-        for answer in (await self.call_method('cancel'), await self.submit()):
-            self.assert_problem(answer, 'cancelled', 'not_run', True)
+        for reply in (await self.call_method('cancel'), await self.submit()):
+            self.assert_problem(reply, 'cancelled', 'not_run', True)
 
 
 class ForwardTest(SubmissionsTestCase):
     """Tests that only the issuer of a key reports "not run"."""
 
-    async def test_lost_issuer(self) -> None:
+    async def test_request_without_its_issuer_may_have_run(self) -> None:
         for fixed_reply, code, final in (
             (forwarding.Gone(), 'minter_gone', True),
             (forwarding.Unreachable(), 'minter_unreachable', False),
             (forwarding.Replied(payload=b'?'), 'minter_unreachable', False),
         ):
             self.forwarder.fixed_reply = fixed_reply
-            for answer in (
+            for reply in (
                 await self.submit(process=self.other_process),
                 await self.call_method('status', self.other_process),
                 await self.call_method('cancel', self.other_process),
             ):
-                self.assert_problem(answer, code, 'may_have_run', final)
+                self.assert_problem(reply, code, 'may_have_run', final)
         old_key = self.key.replace('.a1.', '.b2.')
-        answer = await self.submit(key_text=old_key)
-        self.assert_problem(answer, 'minter_gone', 'may_have_run', True)
+        reply = await self.submit(key_text=old_key)
+        self.assert_problem(reply, 'minter_gone', 'may_have_run', True)
 
-    async def test_size_limits(self) -> None:
+    async def test_too_large_forwards_get_a_problem(self) -> None:
         large = {**TASK, 'body_text': 'x' * (8_388_608 - 4000)}
-        answer = await self.submit(process=self.other_process, body=large)
+        reply = await self.submit(process=self.other_process, body=large)
         self.assert_problem(
-            answer, 'too_large_to_forward', 'may_have_run', False
+            reply, 'too_large_to_forward', 'may_have_run', False
         )
-        self.runner.outcomes[0] = make_answer(body=bytes(8_388_608))
-        answer = await self.submit(process=self.other_process)
-        self.assert_problem(answer, 'answer_too_large_to_forward', 'ran', True)
+        self.runner.outcomes[0] = make_response(body=bytes(8_388_608))
+        reply = await self.submit(process=self.other_process)
+        self.assert_problem(reply, 'answer_too_large_to_forward', 'ran', True)
 
-    async def test_malformed_forward(self) -> None:
+    async def test_malformed_forward_has_no_effect(self) -> None:
         request = key_requests.KeyRequest(
-            operation=key_requests.Operation.CANCEL, customer=WARM, key=self.key
+            operation=key_requests.Operation.CANCEL,
+            customer=CUSTOMER,
+            key=self.key,
         )
         complete = key_requests.encode_request(request)
         for size, _ in enumerate(complete):
@@ -343,7 +356,7 @@
 class ShutdownTest(SubmissionsTestCase):
     """Tests that draining refuses new work and completes the running work."""
 
-    async def test_drain(self) -> None:
+    async def test_draining_process_completes_running_work(self) -> None:
         self.runner.start_gate.clear()
         first = asyncio.create_task(self.submit())
         await asyncio.sleep(0)
@@ -385,5 +398,5 @@
             self.process = make_submissions(
                 self.runner, self.forwarder, **bounds
             )
-            answer = await self.submit(key_text=self.issue_key())
-            self.assert_problem(answer, 'overloaded', 'not_run', True)
+            reply = await self.submit(key_text=self.issue_key())
+            self.assert_problem(reply, 'overloaded', 'not_run', True)
