--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -121,6 +121,7 @@
         a slot that was released less than half of ``idle_s`` ago are not due,
         unless they are recalled.
         """
+        # Indexed by ``Loan.recalled``.
         min_idle_by_recalled = (idle_s, min(idle_s, RECALL_BATCH_S))
         due_lenders = {
             loan.lender
--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -234,7 +234,9 @@
     )
     components.peers.live_vms.subscribe(components.submissions.set_live_vms)
     components.dispatcher.backlog.subscribe(components.peers.on_backlog)
-    components.slots.changed.subscribe(lambda _: components.dispatcher.wake())
+    components.slots.changed.subscribe(
+        lambda _: components.dispatcher.start_waiting_tasks()
+    )
 
 
 def _apply_version(
--- a/sardineproxy/process/config_exchange.py
+++ b/sardineproxy/process/config_exchange.py
@@ -15,7 +15,7 @@
     """Configuration and VM list of this process, updated by its peers."""
 
     def version_number(self) -> int:
-        """Return the number of the version in force, 0 if none."""
+        """Return the number of the active version, 0 if none."""
 
     def changes_since(self, number: int) -> bytes | None:
         """Return the changes after version ``number``, None if not stored."""
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -160,7 +160,7 @@
             )
         )
 
-    def wake(self) -> None:
+    def start_waiting_tasks(self) -> None:
         """Start waiting tasks after a change of the slot table."""
         if self._queue.waiting:
             now = self._clock.now()
@@ -199,7 +199,7 @@
 
     def _on_listing(self, vm_list: platform.VmList) -> None:
         self._matcher.router.set_listing(vm_list)
-        self.wake()
+        self.start_waiting_tasks()
 
     def _prepare_wait(self, entry: flows.QueueEntry, now: float) -> None:
         entry.waiter = asyncio.get_running_loop().create_future()
@@ -268,9 +268,9 @@
         )
         if isinstance(outcome, work.Refused):
             self._queue.undo_start(entry)
-            may_retry = not (self._closed or entry.cancelled)
+            may_requeue = not (self._closed or entry.cancelled)
             if (
-                may_retry
+                may_requeue
                 and _is_unreachable(outcome)
                 and now < entry.task.deadline
             ):
@@ -281,7 +281,7 @@
             self._queue.finish(entry, run_s=run_s)
         self._matcher.release(placement, now=now)
         if len(self._health.ranks) > in_service_before:
-            self.wake()
+            self.start_waiting_tasks()
         elif self._queue.waiting:
             self._report_backlog(now)
 
@@ -303,17 +303,15 @@
         # all others at once would cause a burst of connection attempts.
         entry.unreachable = NOTHING_EXCLUDED
         self._queue.pause(entry)
-        unreachable_back_off_s = (
-            self._cfg.unreachable_back_off_s * self._rng.uniform(0.5, 1.5)
-        )
-        asyncio.get_running_loop().call_later(
-            unreachable_back_off_s, self._resume, entry
+        back_off_s = self._cfg.unreachable_back_off_s * self._rng.uniform(
+            0.5, 1.5
         )
+        asyncio.get_running_loop().call_later(back_off_s, self._resume, entry)
 
     def _resume(self, entry: flows.QueueEntry) -> None:
         if entry.state is flows.EntryState.WAITING:
             self._queue.enqueue(entry, at_front=True)
-            self.wake()
+            self.start_waiting_tasks()
 
     def _refuse(
         self, entry: flows.QueueEntry, problem: problems.Problem
@@ -337,7 +335,7 @@
             self._next_housekeeping = now + self._cfg.housekeeping_s
             self._matcher.report_stragglers(now=now)
             self._health.decay_unused(now=now)
-        self.wake()
+        self.start_waiting_tasks()
         if not self._queue.waiting and not self._matcher.running:
             return
         for fire_at in (
@@ -365,7 +363,7 @@
 def _final_refusal(
     entry: flows.QueueEntry, *, closed: bool
 ) -> problems.Problem:
-    """Return the problem of a task that is not requeued when unreachable."""
+    """Return the problem of a task that is not requeued."""
     if entry.cancelled:
         return _cancelled()
     return _shutting_down() if closed else endpoint_conn.deadline_passed()
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -107,14 +107,16 @@
             ):
                 await self._drain(self._components)
         except TimeoutError:
-            _LOG.warning('Graceful shutdown timed out.')
+            _LOG.warning(
+                'Graceful shutdown timed out; closing connections now.'
+            )
             if not self._has_drained:
                 status = exit_status.ExitStatus.ERROR
         try:
             async with asyncio.timeout(settings.CLOSE_TIMEOUT_S):
                 await self._close(self._components)
         except TimeoutError:
-            _LOG.warning('Closing connections timed out.')
+            _LOG.warning('Closing connections timed out; exiting.')
         _LOG.info('Ended.')
         return status
 
--- a/sardineproxy/process/gossip.py
+++ b/sardineproxy/process/gossip.py
@@ -18,7 +18,7 @@
         self._list_follower = list_follower
 
     def version_number(self) -> int:
-        """Return the number of the version in force, 0 if there is none."""
+        """Return the number of the active version, 0 if there is none."""
         return self._version_follower.number()
 
     def changes_since(self, number: int) -> bytes | None:
--- a/sardineproxy/process/neighbors.py
+++ b/sardineproxy/process/neighbors.py
@@ -71,8 +71,10 @@
         for entry in listing.vms
         if entry.role is platform.VmRole.ENTRY
     }
-    others = {name: entry for name, entry in entry_vms.items() if name != vm}
-    chosen = {name: vm < name for name in others if others[name].zone == zone}
+    other_vms = {name: entry for name, entry in entry_vms.items() if name != vm}
+    chosen = {
+        name: vm < name for name in other_vms if other_vms[name].zone == zone
+    }
     zones: dict[ids.ZoneId, list[ids.VmId]] = {}
     for name, entry in entry_vms.items():
         if entry.is_live or entry.zone == zone:
@@ -85,4 +87,4 @@
                 :peers_per_zone
             ]
             chosen[name] = vm < name or vm not in chosen_by_peer
-    return Neighbors(listed=others, chosen=chosen)
+    return Neighbors(listed=other_vms, chosen=chosen)
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -43,9 +43,9 @@
 
         #: Own slots of each endpoint that are in use or lent.
         self._used_by_endpoint: dict[ids.EndpointId, int] = {}
-        self._free: dict[ids.EndpointId, int] = {}
+        self._free_by_endpoint: dict[ids.EndpointId, int] = {}
 
-        #: Cache of the keys of ``_free``; None if outdated.
+        #: Cache of the keys of ``_free_by_endpoint``; None if outdated.
         self._free_endpoints: tuple[ids.EndpointId, ...] | None = ()
 
         #: Number of own slots that are free.
@@ -119,11 +119,13 @@
         if not self._can_use_own(customer):
             return borrowed
         if self._free_endpoints is None:
-            self._free_endpoints = tuple(self._free)
+            self._free_endpoints = tuple(self._free_by_endpoint)
         if not borrowed:
             return self._free_endpoints
         return self._free_endpoints + tuple(
-            endpoint for endpoint in borrowed if endpoint not in self._free
+            endpoint
+            for endpoint in borrowed
+            if endpoint not in self._free_by_endpoint
         )
 
     def acquire(
@@ -141,7 +143,9 @@
             return None
         loan = self.borrowed.acquire(endpoint, customer, now)
         if loan is None:
-            if endpoint not in self._free or not self._can_use_own(customer):
+            if endpoint not in self._free_by_endpoint or not self._can_use_own(
+                customer
+            ):
                 return None
             self._change_usage(endpoint, customer, 1)
         self._last_number += 1
@@ -170,7 +174,7 @@
             - self._used_by_customer.get(customer, 0),
         )
         lent: dict[ids.EndpointId, int] = {}
-        for endpoint, free in list(self._free.items()):
+        for endpoint, free in list(self._free_by_endpoint.items()):
             lent_count = int(min(remaining, free))
             if lent_count <= 0:
                 break
@@ -265,12 +269,12 @@
         free = self._owned.get(endpoint, 0) - self._used_by_endpoint.get(
             endpoint, 0
         )
-        previous = self._free.get(endpoint, 0)
+        previous = self._free_by_endpoint.get(endpoint, 0)
         free = max(free, 0)
         self.free_slots += free - previous
         if free:
-            self._free[endpoint] = free
+            self._free_by_endpoint[endpoint] = free
         else:
-            self._free.pop(endpoint, None)
+            self._free_by_endpoint.pop(endpoint, None)
         if bool(free) != bool(previous):
             self._free_endpoints = None
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -145,7 +145,7 @@
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
     def check_liveness(self, now: float, heartbeat: frames.Heartbeat) -> None:
-        """Close dead and unused streams; send heartbeats on idle ones."""
+        """Close unresponsive and unused streams; send heartbeats on others."""
         for vm, stream in list(self.by_vm.items()):
             if now - stream.last_received_at >= self._cfg.peer_silent_s:
                 stream.abort('no frames from the peer before the timeout')
@@ -238,11 +238,11 @@
     async def _handshake(
         self, stream: peer.Stream, expected: ids.VmId | None
     ) -> bool:
-        handshake = await stream.handshake()
-        if isinstance(handshake, result.Err):
-            self._reject(stream, handshake.err_value)
+        received = await stream.handshake()
+        if isinstance(received, result.Err):
+            self._reject(stream, received.err_value)
             return False
-        hello = handshake.ok_value
+        hello = received.ok_value
         if hello.vm == self._vm or expected not in {None, hello.vm}:
             self._reject(stream, f'unexpected VM {hello.vm}')
             return False
--- a/sardineproxy/process/views.py
+++ b/sardineproxy/process/views.py
@@ -75,8 +75,8 @@
 class MembershipViews:
     """The membership view of this process, and its agreement with peers.
 
-    ``candidate`` is the newest view, ``owned`` are the slots that the process
-    may use now.
+    ``candidate`` is the newest view, and ``owned`` are the slots that the
+    process may use now.
     """
 
     def __init__(
@@ -196,7 +196,7 @@
     def confirm_candidate(self, now: float, *, settled: bool) -> bool:
         """Confirm the candidate, and own its slots, if all peers agree.
 
-        ``settled`` is whether this process uses no slots beyond the candidate.
+        ``settled`` is True if this process uses no slots beyond the candidate.
         Returns whether the candidate was confirmed by this call.
         """
         if self.confirmed or not settled or self._is_in_grace_period(now):
@@ -288,7 +288,10 @@
         )
 
     def _update_absent(self, now: float) -> None:
-        """Add live processes without a stream; remove expired unlisted ones."""
+        """Add live processes without a stream, and remove unlisted ones.
+
+        The latter are removed after the grace period.
+        """
         live_sizes = self._live_sizes
         self._departed_vms.intersection_update(live_sizes)
         for vm in live_sizes:
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -277,7 +277,7 @@
         runs = [rig.submit('a'), rig.submit('b')]
         await run_pending()
         rig.set_owned(1)
-        rig.dispatcher.wake()
+        rig.dispatcher.start_waiting_tasks()
         rig.dispatcher.cancel(request_id='a')
         rig.client.may_respond.set()
         await asyncio.gather(*runs)
@@ -296,7 +296,7 @@
         await run_pending()
         runs[0].cancel()
         rig.set_owned(1)
-        rig.dispatcher.wake()
+        rig.dispatcher.start_waiting_tasks()
         runs[1].cancel()
         await run_pending()
         self.assertEqual([('d', 'w0')], rig.client.started)
