--- a/sardineproxy/platform/worker_http.py
+++ b/sardineproxy/platform/worker_http.py
@@ -134,12 +134,12 @@
         return _not_understood('the answer has no clock')
     if answer.status == _CONFLICT:
         reason = answer.document.get('reason')
-        refusal = _REFUSALS.get(str(reason), workers.Refusal.NOT_DONE)
+        refusal = _REFUSALS.get(str(reason), workers.Refusal.NOT_EXECUTED)
         return workers.Refused(reason=refusal, detail=f'reason {reason}')
     if answer.status == _OTHER_WORKER:
         return workers.Refused(reason=workers.Refusal.OTHER_WORKER)
     return workers.Refused(
-        reason=workers.Refusal.NOT_DONE, detail=f'status {answer.status}'
+        reason=workers.Refusal.NOT_EXECUTED, detail=f'status {answer.status}'
     )
 
 
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -120,7 +120,7 @@
                 leader.shard,
                 leader.token.epoch,
                 leader.token.rank,
-                leader.free_tasks(now),
+                leader.count_startable_tasks(now),
                 self._job_service.managers[leader.shard].is_loaded,
             )
             for leader in self.shards.values()
--- a/sardineproxy/process/shards/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -364,7 +364,7 @@
                 self._handle_not_started(run, 'fenced')
                 self._events.superseded(self)
                 return
-            case workers.Refusal.NOT_DONE | workers.Refusal.NO_CAPACITY:
+            case workers.Refusal.NOT_EXECUTED | workers.Refusal.NO_CAPACITY:
                 self.health.record_refusal(now)
             case workers.Refusal.OTHER_WORKER:
                 self.mark_unlisted()
--- a/sardineproxy/process/shards/scheduler.py
+++ b/sardineproxy/process/shards/scheduler.py
@@ -67,7 +67,7 @@
         #: Fencing token of the leader, for the log.
         self.token = token
 
-    def free_tasks(self, now: float) -> int:
+    def count_startable_tasks(self, now: float) -> int:
         """Return how many additional tasks of average size could start."""
         free = placement.count_free(
             int(self._average_millicores),
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -175,9 +175,9 @@
         """Acknowledge results that are stored now to their workers."""
         self._stored_results.acknowledge(message)
 
-    def free_tasks(self, now: float) -> int:
+    def count_startable_tasks(self, now: float) -> int:
         """Return how many additional tasks of average size could start."""
-        return self._scheduler.free_tasks(now)
+        return self._scheduler.count_startable_tasks(now)
 
     def renew_token(self, token: fencing.FencingToken) -> None:
         """Use a higher fencing token of this leader from now on."""
--- a/sardineproxy/process/shards/workers.py
+++ b/sardineproxy/process/shards/workers.py
@@ -58,7 +58,7 @@
     NO_TICKET = 'no_ticket'
 
     #: The worker is unhealthy or could not read the order.
-    NOT_DONE = 'not_done'
+    NOT_EXECUTED = 'not_done'
 
     #: Another worker answers at this address.
     OTHER_WORKER = 'other_worker'
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -114,7 +114,7 @@
         async def scenario(rig: Rig) -> None:
             rig.server.is_unhealthy = True
             refused = await rig.start()
-            self.assertEqual(workers.Refusal.NOT_DONE, refused.reason)
+            self.assertEqual(workers.Refusal.NOT_EXECUTED, refused.reason)
 
         with_rig(scenario)
 
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -102,7 +102,7 @@
     return messages.Submit(**{**fields, **changes})
 
 
-def only(found: list[Any]) -> Any:
+def only_item(found: list[Any]) -> Any:
     """Return the one item of a list; a list of another length is an error."""
     assert len(found) == 1, found
     return found[0]
@@ -236,7 +236,7 @@
             record for model in self.models.values() for record in model.records
         ]
 
-    def complaints(self) -> list[str]:
+    def violations(self) -> list[str]:
         found = [
             complaint
             for model in self.models.values()
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -38,7 +38,7 @@
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(3)
             self.assertEqual({0: 'done'}, link.results())
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
             self.assertEqual([2], [record.run for record in rig.records()])
 
         samples.with_rig(scenario)
@@ -68,7 +68,7 @@
             leader.withdraw(link, samples.make_submit('j1').job)
             leader.submit(link, samples.make_submit('j2', 2), now)
             await asyncio.sleep(1)
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
             self.assertEqual(
                 {'j2'}, {record.task[:2] for record in rig.records()}
             )
@@ -89,7 +89,7 @@
                     now,
                 )
             await asyncio.sleep(2)
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
             self.assertEqual(6, len(rig.records()))
 
         samples.with_rig(scenario)
@@ -103,7 +103,7 @@
             submit = samples.make_submit(estimate_s=2.0, timeout_s=9.0)
             leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(0.1)
-            first = samples.only(rig.records())
+            first = samples.only_item(rig.records())
             cut = faults.FaultyWorkerApi(
                 models=rig.models,
                 clock=rig.clock,
@@ -120,7 +120,7 @@
             rig.api.poll = poll
             await asyncio.sleep(4)
             self.assertEqual({0: 'done'}, link.results())
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
             self.assertEqual(2, len(rig.records()))
 
         samples.with_rig(
@@ -144,7 +144,7 @@
             rig.list_workers(leader, list(rig.models.values()))
             await asyncio.sleep(2)
             self.assertEqual({0: 'done'}, link.results())
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
 
         samples.with_rig(scenario)
 
@@ -163,7 +163,7 @@
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
             await asyncio.sleep(0.2)
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
             self.assertEqual([], rig.records())
 
         samples.with_rig(scenario)
@@ -203,7 +203,7 @@
             leader = await rig.ready()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.01)
-            first = samples.only(rig.records())
+            first = samples.only_item(rig.records())
             await asyncio.sleep(2)
             how = {record.how for record in rig.records()}
             self.assertIn(workers.RunResult.STOPPED, how)
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -285,10 +285,10 @@
 
         async def main() -> tuple[list[str], World]:
             world = await play(seed, fault_share, events)
-            return world.rig.complaints(), world
+            return world.rig.violations(), world
 
-        complaints, world = virtual_time.run(main)
-        self.assertEqual([], complaints)
+        violations, world = virtual_time.run(main)
+        self.assertEqual([], violations)
         self.assertFalse(world.clients, 'a client got no answer')
 
     def test_most_jobs_complete_without_faults(self) -> None:
--- a/tests/process/shards/test_scheduler.py
+++ b/tests/process/shards/test_scheduler.py
@@ -28,7 +28,7 @@
             await asyncio.sleep(0.1)
             rig.is_confirmed = False
             await asyncio.sleep(3)
-            record = samples.only(rig.records())
+            record = samples.only_item(rig.records())
             self.assertIs(workers.RunResult.LEASE_EXPIRED, record.how)
             rig.is_confirmed = True
             await asyncio.sleep(1)
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -28,7 +28,7 @@
             )
             leader.submit(second, samples.make_submit('j2', 1), now)
             await asyncio.sleep(0.6)
-            declined = samples.only(second.declined())
+            declined = samples.only_item(second.declined())
             self.assertEqual((0,), declined.indices)
             self.assertEqual('', declined.suggested_shard)
             self.assertEqual(
@@ -106,7 +106,7 @@
             leader = await rig.ready()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit('j1', 5), rig.clock.now())
-            declined = samples.only(link.declined())
+            declined = samples.only_item(link.declined())
             self.assertEqual('zone-b', declined.suggested_shard)
             self.assertThat(declined.indices, matchers.HasLength(3))
 
@@ -303,7 +303,7 @@
             await asyncio.sleep(0.1)
             leader.link_lost(link, rig.clock.now())
             await asyncio.sleep(0.6)
-            record = samples.only(rig.records())
+            record = samples.only_item(rig.records())
             self.assertEqual(workers.RunResult.STOPPED, record.how)
 
         samples.with_rig(scenario, work_of=_long)
@@ -472,7 +472,7 @@
             leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(2)
             self.assertEqual({0: 'done'}, link.results())
-            self.assertEqual([], rig.complaints())
+            self.assertEqual([], rig.violations())
             self.assertEqual(2, len(rig.records()))
 
         samples.with_rig(scenario, count=2, work_of=_long)
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -309,7 +309,7 @@
     def violations(self) -> list[str]:
         run_records = self.rig.records()
         return [
-            *self.rig.complaints(),
+            *self.rig.violations(),
             *run_checks.find_repeats(run_records),
             *run_checks.find_excess(run_records, MAX_ATTEMPTS),
         ]
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -208,7 +208,7 @@
             rig.links[HOME] = shard_samples.FakeLink('vm-3')
             rig.coordinator.post(open_tasks.LeaderFound(shard=HOME))
             await asyncio.sleep(0.001)
-            resubmitted = shard_samples.only(rig.submitted())
+            resubmitted = shard_samples.only_item(rig.submitted())
             self.assertTrue(resubmitted.resumed)
             self.assertEqual(((1, 1),), resubmitted.tasks)
 
