--- a/sardineproxy/process/shards/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -104,7 +104,7 @@
         self._tasks = background.Tasks()
 
     def open(self) -> None:
-        """Start to poll the worker."""
+        """Start polling the worker."""
         self._tasks.spawn(self._poller.run())
 
     async def close(self) -> None:
@@ -148,13 +148,13 @@
         )
 
     @property
-    def extends_lease(self) -> bool:
+    def may_extend_lease(self) -> bool:
         """Return whether the lease of the worker's runs may be extended."""
         return self.is_leadership_confirmed or not self.ledger.has_stored_runs
 
     def accepts_work(self, now: float) -> bool:
         """Return whether runs may be started on the worker."""
-        if not self.extends_lease:
+        if not self.may_extend_lease:
             # A start order extends the lease of all runs of the worker.
             return False
         if self._is_unlisted or self.is_unresponsive or not self.is_synced:
@@ -175,7 +175,7 @@
         """Apply a newer list entry of the worker."""
         if worker.state is not self.worker.state:
             _LOG.info(
-                'Worker changed its state.',
+                'Worker state changed.',
                 extra={
                     'worker': worker.worker,
                     'state': worker.state.value,
@@ -190,7 +190,7 @@
             self.mark_unconfirmed('worker restarted')
 
     def mark_unlisted(self) -> None:
-        """Start no more runs: the worker is no longer listed."""
+        """Start no more runs, because the worker is no longer listed."""
         if not self._is_unlisted:
             self._is_unlisted = True
             _LOG.info(
@@ -228,13 +228,13 @@
         self._tasks.spawn(self._send_stop(run.task, run.number, run))
 
     def stop_unrequested(self) -> None:
-        """Stop the runs that another process started and nobody resumed."""
+        """Stop runs of another process that no coordinator resumed."""
         for task, active_run in self.ledger.unrequested.items():
             self._tasks.spawn(self._send_stop(task, active_run.run))
         self._poller.wake()
 
     def adopt(self, run: runs.Run, now: float) -> None:
-        """Take over a run that another process started."""
+        """Adopt a run that another process started."""
         active_run = self.ledger.unrequested.pop(run.task)
         run.state = _State.RUNNING
         run.started_at = now
@@ -260,7 +260,7 @@
                 'runs': len(self.ledger.runs),
             },
         )
-        self._poller.restart()
+        self._poller.restart_poll()
 
     # Implementation of poller.PolledAgent.
 
@@ -295,7 +295,7 @@
             'in_doubt': self._poller.is_unconfirmed,
             'silent_s': unresponsive_since
             and round(now - unresponsive_since, 3),
-            'free_millicores': self.ledger.free.millicores,
+            'free_millicores': self.ledger.free_capacity.millicores,
             'runs': {
                 run.task: run.state.value for run in self.ledger.runs.values()
             },
--- a/sardineproxy/process/shards/backlog.py
+++ b/sardineproxy/process/shards/backlog.py
@@ -9,7 +9,7 @@
 from sardineproxy.request import jobs
 
 #: Suggested retry delay after a refusal for lack of capacity, in seconds. Some
-#: of the longest typical tasks have ended by then.
+#: of the longest typical tasks have finished by then.
 NO_CAPACITY_RETRY_S = 1.0
 
 _LOG = logs.get_logger('cell')
@@ -43,7 +43,7 @@
         return len(self._batches)
 
     def get(self, key: runs.BatchKey) -> runs.Batch | None:
-        """Return a batch, None if there is none."""
+        """Return a batch, None if it does not exist."""
         return self._batches.get(key)
 
     def add(self, batch: runs.Batch) -> None:
@@ -93,9 +93,9 @@
     def record_dropped_result(
         self, run: runs.Run, result: workers.RunResult
     ) -> None:
-        """Record the result of a run whose task was dropped before it ended."""
+        """Record the result of a run whose task was dropped."""
         _LOG.info(
-            'Run of a dropped task ended.',
+            'Run of a dropped task finished.',
             extra={
                 'job': run.batch.job,
                 'task': run.task,
@@ -104,7 +104,7 @@
             },
         )
         if result is workers.RunResult.DONE:
-            self._record(run.task, run.number, jobs.TaskResult.DONE)
+            self._record_result(run.task, run.number, jobs.TaskResult.DONE)
 
     # Batches.
 
@@ -150,7 +150,7 @@
                 remaining[index] = number
         if len(remaining) < len(tasks):
             _LOG.info(
-                'Tasks already done are not repeated.',
+                'Tasks already done are not run again.',
                 extra={
                     'job': batch.job,
                     'step': batch.step,
@@ -169,7 +169,7 @@
         indices: list[int],
         *,
         cause: str,
-        other: str = '',
+        suggested_shard: str = '',
     ) -> None:
         """Notify the coordinator that tasks will not start in this shard."""
         for index in indices:
@@ -181,7 +181,7 @@
                 'job': batch.job,
                 'indices': indices,
                 'cause': cause,
-                'other': other,
+                'other': suggested_shard,
                 'age_s': round(self._clock.now() - batch.arrived_at, 4),
                 'batches': len(self._batches),
             },
@@ -194,7 +194,7 @@
                     job=batch.job,
                     step=batch.step,
                     indices=tuple(indices),
-                    suggested_shard=other,
+                    suggested_shard=suggested_shard,
                     cause=cause,
                     retry_after_s=NO_CAPACITY_RETRY_S,
                     stored=batch.stored,
@@ -230,7 +230,7 @@
         result: jobs.TaskResult,
     ) -> None:
         """Send a task's result to its coordinator, and record it."""
-        self._record(batch.task_name(index), number, result)
+        self._record_result(batch.task_name(index), number, result)
         if batch.link is not None:
             batch.link.send(
                 messages.RunEnded(
@@ -244,7 +244,7 @@
                 )
             )
 
-    def _record(
+    def _record_result(
         self, task: workers.TaskName, number: int, result: jobs.TaskResult
     ) -> None:
         self._recent_results.add(
--- a/sardineproxy/process/shards/fencing.py
+++ b/sardineproxy/process/shards/fencing.py
@@ -27,5 +27,5 @@
 
     def fence(self, count: int) -> int:
         """Return the fence for a count, which must only increase."""
-        high = (self.epoch << _RANK_BITS) | self.rank
-        return (high << _COUNT_BITS) | count
+        high_bits = (self.epoch << _RANK_BITS) | self.rank
+        return (high_bits << _COUNT_BITS) | count
--- a/sardineproxy/process/shards/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -79,7 +79,7 @@
             self._failed_jobs.clear()
             self._ejections = 0
             self.on_probation = False
-            self._learn_speed(run, now)
+            self._record_duration(run, now)
         elif result is workers.RunResult.FAILED:
             self._failed_jobs.add(run.batch.job)
             if self.is_suspect:
@@ -116,7 +116,7 @@
             EJECTION_MIN_S * 2 ** min(self._ejections - 1, 8), EJECTION_MAX_S
         )
 
-    def _learn_speed(self, run: runs.Run, now: float) -> None:
+    def _record_duration(self, run: runs.Run, now: float) -> None:
         duration_s = now - run.started_at
         if not run.started_at or duration_s <= 0 or not run.expected_s:
             return
--- a/sardineproxy/process/shards/lease.py
+++ b/sardineproxy/process/shards/lease.py
@@ -6,14 +6,14 @@
 
 
 class Lease:
-    """Newest reading of a worker's clock, and the end of the lease."""
+    """Newest reading of a worker's clock, and the expiry of the lease."""
 
     def __init__(self, *, cfg: times.CallTiming) -> None:
         """Create a lease without a clock reading."""
         self._cfg = cfg
         self._clock_ms = 0
-        self._read_at: float = 0
-        self._until: float = 0
+        self._clock_read_at: float = 0
+        self._expires_at: float = 0
 
     @property
     def has_clock(self) -> bool:
@@ -28,7 +28,7 @@
     def set_clock(self, clock_ms: int, now: float) -> None:
         """Record a reading of the worker's clock."""
         self._clock_ms = clock_ms
-        self._read_at = now
+        self._clock_read_at = now
 
     def reset_clock(self) -> None:
         """Discard the clock reading after a restart of the worker."""
@@ -40,14 +40,14 @@
         The calculation assumes the slowest permitted worker clock, so that an
         order that is executed late finds its lease expired.
         """
-        self._until = (
+        self._expires_at = (
             now
             + self._cfg.lease_s * (1 + self._cfg.clock_error)
             + self._cfg.travel_s
         )
-        since_s = (now - self._read_at) * (1 - self._cfg.clock_error)
-        return self._clock_ms + int((since_s + self._cfg.lease_s) * _MS_PER_S)
+        elapsed_s = (now - self._clock_read_at) * (1 - self._cfg.clock_error)
+        return self._clock_ms + int((elapsed_s + self._cfg.lease_s) * _MS_PER_S)
 
     def has_expired(self, now: float) -> bool:
         """Return whether the lease has expired on the worker for certain."""
-        return now >= self._until
+        return now >= self._expires_at
--- a/sardineproxy/process/shards/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -17,7 +17,7 @@
         self.unrequested: dict[workers.TaskName, workers.ActiveRun] = {}
 
         #: Capacity that no run of this process occupies.
-        self.free = capacity
+        self.free_capacity = capacity
 
     @property
     def is_empty(self) -> bool:
@@ -32,16 +32,20 @@
     def add(self, run: runs.Run) -> None:
         """Add a run and reserve its capacity."""
         self.runs[run.task] = run
-        self.free = self.free.minus(run.batch.resources)
+        self.free_capacity = self.free_capacity.minus(run.batch.resources)
 
     def remove(self, run: runs.Run) -> None:
         """Remove a run that no longer exists and free its capacity."""
         self.runs.pop(run.task)
-        self.free = self.free.plus(run.batch.resources)
+        self.free_capacity = self.free_capacity.plus(run.batch.resources)
 
-    def resize(self, before: jobs.Resources, after: jobs.Resources) -> None:
+    def resize(
+        self, old_capacity: jobs.Resources, new_capacity: jobs.Resources
+    ) -> None:
         """Apply a change of the worker's total capacity."""
-        self.free = after.minus(before.minus(self.free))
+        self.free_capacity = new_capacity.minus(
+            old_capacity.minus(self.free_capacity)
+        )
 
     def find(self, task: workers.TaskName, number: int) -> runs.Run | None:
         """Return a run that this process started, by task and number."""
--- a/sardineproxy/process/shards/placement.py
+++ b/sardineproxy/process/shards/placement.py
@@ -36,7 +36,7 @@
     )
 
 
-def choose(
+def choose_worker(
     batch: runs.Batch,
     candidates: Iterable[agent.Agent],
     *,
@@ -44,10 +44,10 @@
     distance_factor: float,
     now: float,
 ) -> agent.Agent | None:
-    """Return the candidate on which a task ends soonest, or None.
+    """Return the best candidate for a task, None if the task must wait.
 
     A task that would be late on a slow worker waits for a faster one as long
-    as that one could still complete it in time; ``fastest_speed`` is the
+    as that one could still complete it on time; ``fastest_speed`` is the
     speed of the fastest worker. On racks without its data a task takes
     ``distance_factor`` times as long.
     """
@@ -55,12 +55,12 @@
     chosen: agent.Agent | None = None
     lowest_cost: float = 0
     for candidate in candidates:
-        factor = distance_penalty(batch, candidate, distance_factor)
-        if candidate.health.speed < required_speed * factor:
+        penalty = distance_penalty(batch, candidate, distance_factor)
+        if candidate.health.speed < required_speed * penalty:
             continue
         if not _has_capacity(batch, candidate):
             continue
-        cost = _cost(batch, candidate) * factor
+        cost = _cost(batch, candidate) * penalty
         if chosen is None or cost < lowest_cost:
             chosen, lowest_cost = candidate, cost
     return chosen
@@ -69,7 +69,7 @@
 def _required_speed(
     batch: runs.Batch, fastest_speed: float, now: float
 ) -> float:
-    """Return the lowest speed that completes a task in time.
+    """Return the lowest speed that completes a task on time.
 
     Returns 0 if no worker is fast enough, so that any may be chosen.
     """
@@ -80,20 +80,20 @@
     return required_speed if required_speed <= fastest_speed else 0
 
 
-def count_free(millicores: int, candidates: Iterable[agent.Agent]) -> int:
+def count_startable(millicores: int, candidates: Iterable[agent.Agent]) -> int:
     """Return how many tasks of a size could start on the candidates."""
     if not millicores:
         return 0
     return sum(
-        max(0, candidate.ledger.free.millicores // millicores)
+        max(0, candidate.ledger.free_capacity.millicores // millicores)
         for candidate in candidates
     )
 
 
 def _has_capacity(batch: runs.Batch, candidate: agent.Agent) -> bool:
     return (
-        batch.resources.millicores <= candidate.ledger.free.millicores
-        and batch.resources.fits(candidate.ledger.free)
+        batch.resources.millicores <= candidate.ledger.free_capacity.millicores
+        and batch.resources.fits(candidate.ledger.free_capacity)
         and _is_allowed(batch, candidate)
     )
 
@@ -112,6 +112,6 @@
 def _cost(batch: runs.Batch, candidate: agent.Agent) -> float:
     capacity = candidate.worker.capacity.millicores or 1
     unused_share = (
-        candidate.ledger.free.millicores - batch.resources.millicores
+        candidate.ledger.free_capacity.millicores - batch.resources.millicores
     ) / capacity
     return (1 + EMPTY_WORKER_COST * unused_share) / candidate.health.speed
--- a/sardineproxy/process/shards/poller.py
+++ b/sardineproxy/process/shards/poller.py
@@ -36,7 +36,7 @@
         """Return the current fence of calls to the worker."""
 
     @property
-    def extends_lease(self) -> bool:
+    def may_extend_lease(self) -> bool:
         """Return whether the lease of the worker's runs may be extended."""
 
     def mark_unconfirmed(self, cause: str) -> None:
@@ -96,9 +96,9 @@
         #: last call was answered.
         self.unresponsive_since: float | None = None
         self._failed_polls = 0
-        self._ack_sent = 0
+        self._acked_position = 0
         self._wake = asyncio.Event()
-        self._released = asyncio.Event()
+        self._results_released = asyncio.Event()
         self._poll: asyncio.Task[object] | None = None
 
     def wake(self) -> None:
@@ -107,13 +107,13 @@
 
     def acknowledge(self) -> None:
         """Send the acknowledgement of released results soon."""
-        self._released.set()
+        self._results_released.set()
         self._wake.set()
 
-    def restart(self) -> None:
+    def restart_poll(self) -> None:
         """Cancel the current poll and send a new one at once."""
         self.is_unconfirmed = True
-        self._released.set()
+        self._results_released.set()
         if self._poll is not None:
             self._poll.cancel()
         self._wake.set()
@@ -126,7 +126,7 @@
         if not self.is_unconfirmed:
             self._agent.mark_unconfirmed(cause)
         _LOG.warning(
-            'Worker stopped answering.',
+            'Worker does not respond.',
             extra={'worker': self._agent.worker.worker, 'cause': cause},
         )
 
@@ -160,7 +160,7 @@
         while not self._is_poll_needed():
             self._wake.clear()
             has_new_acks = (
-                self._reconciler.unacked.acked_through > self._ack_sent
+                self._reconciler.unacked.acked_through > self._acked_position
             )
             pause_s = (
                 self._cfg.ack_pause_s
@@ -179,12 +179,12 @@
         The worker does not wait for a new result while it lists an
         unacknowledged one.
         """
-        self._released.clear()
+        self._results_released.clear()
         if self._reconciler.unacked.is_empty or self.is_unconfirmed:
             return
         try:
             async with asyncio.timeout(self._cfg.held_pause_s):
-                await self._released.wait()
+                await self._results_released.wait()
         except TimeoutError:
             return
 
@@ -194,7 +194,7 @@
         return not self._ledger.is_empty
 
     def _build_poll(self, now: float) -> workers.Poll:
-        has_needed_runs = any(
+        has_unstopped_runs = any(
             run.state is not _State.STOPPING
             for run in self._ledger.runs.values()
         )
@@ -202,16 +202,16 @@
         # The leases on an unresponsive worker are not extended, so that its
         # runs end at a known time even if it never answers again.
         is_responsive = self.unresponsive_since is None
-        may_extend = is_responsive and self._agent.extends_lease
-        if may_extend and self._lease.has_clock:
-            if has_needed_runs or self._ledger.unrequested:
+        is_extendable = is_responsive and self._agent.may_extend_lease
+        if is_extendable and self._lease.has_clock:
+            if has_unstopped_runs or self._ledger.unrequested:
                 expires_ms = self._lease.extend(now)
-        at_once = self.is_unconfirmed or self._ledger.is_empty
+        answer_at_once = self.is_unconfirmed or self._ledger.is_empty
         return workers.Poll(
             fence=self._agent.fence,
             acked=self._reconciler.unacked.acked_through,
             expires_ms=expires_ms,
-            wait_s=0 if at_once else self._cfg.look_wait_s,
+            wait_s=0 if answer_at_once else self._cfg.look_wait_s,
         )
 
     async def _handle_answer(
@@ -224,7 +224,7 @@
         match answer:
             case workers.Report():
                 self._mark_responsive(now)
-                self._ack_sent = max(self._ack_sent, poll.acked)
+                self._acked_position = max(self._acked_position, poll.acked)
                 self._apply_report(poll, answer, sent_at, now)
             case workers.Refused(reason=workers.Refusal.FENCED):
                 if poll.fence >= self._agent.fence:
@@ -234,17 +234,17 @@
                 self.mark_unresponsive(
                     f'{answer.reason.value} {answer.detail}', now
                 )
-                await self._pause()
+                await self._back_off()
             case workers.Unanswered():
                 if self.is_unconfirmed:
                     self.mark_unresponsive(answer.cause, now)
-                    await self._pause()
+                    await self._back_off()
                 else:
                     self._agent.mark_unconfirmed(
                         f'poll not answered: {answer.cause}'
                     )
 
-    async def _pause(self) -> None:
+    async def _back_off(self) -> None:
         self._failed_polls += 1
         self._drop_expired(self._clock.now())
         await asyncio.sleep(
@@ -268,7 +268,7 @@
         if self.unresponsive_since is None:
             return
         _LOG.info(
-            'Worker answers again.',
+            'Worker responds again.',
             extra={
                 'worker': self._agent.worker.worker,
                 'silent_s': round(now - self.unresponsive_since, 3),
@@ -317,7 +317,7 @@
             self._agent.mark_unconfirmed('worker restarted')
         self.started_ms = report.started_ms
         self._reconciler.unacked.reset()
-        self._ack_sent = 0
+        self._acked_position = 0
         self._lease.reset_clock()
         self._ledger.unrequested.clear()
         self._health.reset()
--- a/sardineproxy/process/shards/recent_results.py
+++ b/sardineproxy/process/shards/recent_results.py
@@ -29,9 +29,9 @@
         """Create an instance without results."""
         self._retention_s = retention_s
         self._results: dict[workers.TaskName, RecentResult] = {}
-        self._in_order: collections.deque[tuple[float, workers.TaskName]] = (
-            collections.deque()
-        )
+        self._expiry_queue: collections.deque[
+            tuple[float, workers.TaskName]
+        ] = collections.deque()
 
     def __len__(self) -> int:
         """Return the number of results."""
@@ -52,7 +52,7 @@
         self._results[task] = RecentResult(
             run=run, result=result, finished_at=now
         )
-        self._in_order.append((now, task))
+        self._expiry_queue.append((now, task))
 
     def find(self, task: workers.TaskName) -> RecentResult | None:
         """Return the recent result of a task, None if there is none."""
@@ -60,8 +60,11 @@
 
     def expire(self, now: float) -> None:
         """Remove results that are older than the retention time."""
-        while self._in_order and now - self._in_order[0][0] > self._retention_s:
-            finished_at, task = self._in_order.popleft()
+        while (
+            self._expiry_queue
+            and now - self._expiry_queue[0][0] > self._retention_s
+        ):
+            finished_at, task = self._expiry_queue.popleft()
             existing = self._results.get(task)
             if existing is not None and existing.finished_at <= finished_at:
                 self._results.pop(task)
--- a/sardineproxy/process/shards/reconciler.py
+++ b/sardineproxy/process/shards/reconciler.py
@@ -50,7 +50,7 @@
         stopper: RunStopper,
         cfg: times.CallTiming,
     ) -> None:
-        """Create a reconciler that has seen no report."""
+        """Create a reconciler for one worker."""
         self._worker = worker
         self._ledger = ledger
         self._health = health
@@ -80,19 +80,19 @@
         return self._ledger.update_unrequested(listed)
 
     def _apply_finished(self, report: workers.Report, now: float) -> None:
-        for end in report.finished:
-            if end.position <= self.unacked.last_position:
+        for finished_run in report.finished:
+            if finished_run.position <= self.unacked.last_position:
                 continue
-            self.unacked.last_position = end.position
-            self._ledger.unrequested.pop(end.task, None)
-            run = self._ledger.find(end.task, end.run)
+            self.unacked.last_position = finished_run.position
+            self._ledger.unrequested.pop(finished_run.task, None)
+            run = self._ledger.find(finished_run.task, finished_run.run)
             if run is None or run.batch.stored:
-                self.unacked.add(end, now)
+                self.unacked.add(finished_run, now)
             if run is None:
                 continue
             self._ledger.remove(run)
-            self._health.record_result(run, end.result, now)
-            self._events.run_finished(run, end.result)
+            self._health.record_result(run, finished_run.result, now)
+            self._events.run_finished(run, finished_run.result)
 
     def _apply_active(
         self, listed: Mapping[workers.TaskName, workers.ActiveRun], now: float
@@ -117,11 +117,11 @@
             run.progress_at = now
             self._health.record_progress(run, now)
             return
-        still_s = now - run.progress_at
-        bound_s = self._cfg.standstill_s + (
+        stalled_s = now - run.progress_at
+        stall_limit_s = self._cfg.standstill_s + (
             self._cfg.standstill_share * run.expected_s / self._health.speed
         )
-        if run.state is not _State.RUNNING or still_s < bound_s:
+        if run.state is not _State.RUNNING or stalled_s < stall_limit_s:
             return
         _LOG.warning(
             'Run makes no progress, stopping it.',
@@ -131,8 +131,8 @@
                 'task': run.task,
                 'run': run.number,
                 'percent': percent,
-                'still_s': round(still_s, 3),
-                'bound_s': round(bound_s, 3),
+                'still_s': round(stalled_s, 3),
+                'bound_s': round(stall_limit_s, 3),
             },
         )
         self._health.record_stall(now)
--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -96,7 +96,7 @@
     step: int
     route: ids.RouteId
 
-    #: Priority of the route; lower numbers go first.
+    #: Priority of the route; lower numbers are dispatched first.
     priority: int
     service: ids.ServiceId
     payload: str
@@ -106,7 +106,7 @@
     #: Rack that holds the tasks' data, empty for none.
     rack: str
 
-    #: Most tasks of the step on one worker, 0 for any number.
+    #: Maximum number of the step's tasks on one worker, 0 for no limit.
     per_worker: int
 
     #: Link to the coordinator that receives the results, None while it is
@@ -120,7 +120,7 @@
     expected_s: float
 
     #: Local times, in seconds: arrival of the job at its coordinator, latest
-    #: completion that is in time, latest completion that has any value, end
+    #: completion that is on time, latest completion that is of use, and end
     #: of the client's wait.
     arrived_at: float
     due_at: float
@@ -136,8 +136,8 @@
     #: True once a run of any task may have started.
     started: bool = False
 
-    #: True once a stored job's manager was notified that the job has begun.
-    begun_reported: bool = False
+    #: True once the manager of a stored job was notified of its start.
+    start_reported: bool = False
 
     tasks: dict[int, Task] = dataclasses.field(default_factory=dict)
 
@@ -161,7 +161,10 @@
 
 
 def task_name(job: ids.JobId, step: int, index: int) -> workers.TaskName:
-    """Return the name of a task of a job that does not recur."""
+    """Return the name of a task.
+
+    Its second part is 0 because the job does not recur.
+    """
     return workers.TaskName(f'{job}.0.{step}.{index}')
 
 
@@ -181,11 +184,11 @@
 ) -> Batch:
     """Return a batch without tasks for a submission.
 
-    Its results have no value after ``late_factor`` times the time in which
-    they are in time.
+    Its results are of no use after ``late_factor`` times the time in which
+    they are on time.
     """
     arrived_at = now - message.age_s
-    bound_s = message.estimate_s * message.stretch + message.slack_s
+    limit_s = message.estimate_s * message.stretch + message.slack_s
     return Batch(
         job=message.job,
         step=message.step,
@@ -204,8 +207,8 @@
         link=link,
         expected_s=message.estimate_s,
         arrived_at=arrived_at,
-        due_at=arrived_at + bound_s,
-        worthless_at=arrived_at + bound_s * late_factor,
+        due_at=arrived_at + limit_s,
+        worthless_at=arrived_at + limit_s * late_factor,
         deadline=now + message.timeout_s,
         pinned=message.pinned,
         stored=message.stored,
--- a/sardineproxy/process/shards/scheduler.py
+++ b/sardineproxy/process/shards/scheduler.py
@@ -36,7 +36,7 @@
 
 
 class Scheduler:
-    """Starts waiting tasks, and declines those that wait too long."""
+    """Starts waiting tasks, and declines those that cannot be on time."""
 
     def __init__(
         self,
@@ -69,11 +69,11 @@
 
     def count_startable_tasks(self, now: float) -> int:
         """Return how many additional tasks of average size could start."""
-        free = placement.count_free(
+        startable_count = placement.count_startable(
             int(self._average_millicores),
             placement.usable_workers(self._agents.values(), now),
         )
-        return max(0, free - self._backlog.count_waiting())
+        return max(0, startable_count - self._backlog.count_waiting())
 
     def record_task_size(self, millicores: int) -> None:
         """Include the size of a new task in the average."""
@@ -96,25 +96,27 @@
         candidates = placement.usable_workers(self._agents.values(), now)
         if candidates:
             self._fastest_speed = placement.find_fastest_speed(candidates)
-        waiting.sort(key=self._urgency)
+        waiting.sort(key=self._urgency_key)
         for batch in waiting:
             self._place(batch, candidates, now)
             if batch.waiting():
-                self._review(batch, now)
+                self._decline_or_drop(batch, now)
 
-    def move_overflow(self, batch: runs.Batch, now: float) -> None:
+    def decline_excess(self, batch: runs.Batch, now: float) -> None:
         """Decline tasks that exceed the free capacity of this shard.
 
-        The coordinator is referred to a shard with free capacity for each.
+        Their coordinator is referred to shards with free capacity.
         """
         if batch.pinned:
             return
         waiting_count = len(batch.waiting())
-        free = placement.count_free(
+        startable_count = placement.count_startable(
             batch.resources.millicores,
             placement.usable_workers(self._agents.values(), now),
         )
-        excess = min(waiting_count, self._backlog.count_waiting() - free)
+        excess = min(
+            waiting_count, self._backlog.count_waiting() - startable_count
+        )
         for shard, free_count in self._capacities.find_available(now).items():
             count = min(excess, free_count)
             if shard == self._shard or count <= 0:
@@ -124,18 +126,18 @@
                 batch,
                 batch.waiting()[-count:],
                 cause='more room there',
-                other=shard,
+                suggested_shard=shard,
             )
 
     def drop(self, batch: runs.Batch, cause: str) -> None:
         """Remove a batch and stop its runs."""
         self._backlog.drop(batch, cause, self._stop)
 
-    def report_begun_again(self, batch: runs.Batch) -> None:
+    def report_start_again(self, batch: runs.Batch) -> None:
         """Report to a reattached job manager that tasks were started."""
-        batch.begun_reported = False
+        batch.start_reported = False
         if any(task.run for task in batch.tasks.values()):
-            self._report_begun(batch)
+            self._report_start(batch)
 
     def _place(
         self, batch: runs.Batch, candidates: list[agent.Agent], now: float
@@ -144,7 +146,7 @@
         for index in batch.waiting():
             if batch.task_name(index) in self._backlog.live_runs:
                 continue
-            chosen = placement.choose(
+            chosen = placement.choose_worker(
                 batch,
                 candidates,
                 fastest_speed=self._fastest_speed,
@@ -156,7 +158,7 @@
             self._start(batch, index, chosen, now)
             placed[index] = chosen.worker.worker
         if placed:
-            self._report_begun(batch)
+            self._report_start(batch)
             _LOG.info(
                 'Tasks started on workers.',
                 extra={
@@ -197,8 +199,8 @@
         self._metrics.count('runs_ordered_total')
         chosen.start(run, now)
 
-    def _review(self, batch: runs.Batch, now: float) -> None:
-        """Decline or drop a batch whose tasks cannot complete in time."""
+    def _decline_or_drop(self, batch: runs.Batch, now: float) -> None:
+        """Decline or drop a batch whose tasks cannot complete on time."""
         if batch.stored:
             return
         if not batch.started and now > self._latest_start(batch):
@@ -206,17 +208,17 @@
                 batch, batch.waiting(), cause='no room in time'
             )
         elif now + batch.expected_s > min(batch.worthless_at, batch.deadline):
-            self._give_up(batch)
+            self._drop_as_late(batch)
 
-    def _urgency(self, batch: runs.Batch) -> tuple[int, float]:
+    def _urgency_key(self, batch: runs.Batch) -> tuple[int, float]:
         """Return the sort key of the queue, the most urgent batch first."""
         return batch.priority, self._latest_start(batch)
 
     def _latest_start(self, batch: runs.Batch) -> float:
-        """Return the latest start that is in time, in local seconds."""
+        """Return the latest start that is on time, in local seconds."""
         return batch.due_at - batch.expected_s / self._fastest_speed
 
-    def _give_up(self, batch: runs.Batch) -> None:
+    def _drop_as_late(self, batch: runs.Batch) -> None:
         for index in list(batch.tasks):
             self._backlog.send_result(
                 batch, index, batch.tasks[index].number, jobs.TaskResult.LATE
@@ -226,10 +228,10 @@
     def _stop(self, run: runs.Run) -> None:
         self._agents[run.worker].stop(run)
 
-    def _report_begun(self, batch: runs.Batch) -> None:
+    def _report_start(self, batch: runs.Batch) -> None:
         """Report to a stored job's manager that a task was started."""
-        if batch.stored and not batch.begun_reported and batch.link is not None:
-            batch.begun_reported = True
+        if batch.stored and not batch.start_reported and batch.link is not None:
+            batch.start_reported = True
             batch.link.send(
                 messages.JobStarted(shard=self._shard, job=batch.job)
             )
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -59,7 +59,7 @@
         context: ShardContext,
         cfg: times.ShardTiming,
     ) -> None:
-        """Start to lead a shard.
+        """Become the leader of a shard.
 
         ``capacities`` holds the free capacity of the other shards.
         """
@@ -71,7 +71,7 @@
         self._events = events
         self._context = context
         self._cfg = cfg
-        self._opened_at = clock.now()
+        self._leader_since = clock.now()
         self._agents: dict[ids.WorkerId, agent.Agent] = {}
 
         #: Fence counts of removed workers. A worker that is listed again
@@ -88,7 +88,7 @@
             agents=self._agents,
             backlog=self._backlog,
             cfg=cfg,
-            opened_at=self._opened_at,
+            leader_since=self._leader_since,
         )
         self._stored_results = stored_results.StoredResults(
             shard=shard,
@@ -131,9 +131,9 @@
                 self._add(worker)
             elif existing.worker != worker:
                 existing.update(worker)
-        for worker_id, unlisted in self._agents.items():
+        for worker_id, worker_agent in self._agents.items():
             if worker_id not in by_id:
-                unlisted.mark_unlisted()
+                worker_agent.mark_unlisted()
 
     def submit(
         self, source: link.Link, message: messages.Submit, now: float
@@ -159,20 +159,20 @@
                 self._scheduler.drop(batch, 'withdrawn')
         self._takeover.discard(source, job)
 
-    def link_lost(self, lost: link.Link, now: float) -> None:
+    def link_lost(self, lost_link: link.Link, now: float) -> None:
         """Detach a coordinator's batches.
 
-        They are dropped if no coordinator asks for them in time.
+        They are dropped if no coordinator submits them again in time.
         """
         for batch in self._backlog.all():
-            if batch.link is lost:
+            if batch.link is lost_link:
                 batch.link = None
                 batch.orphaned_at = now
-        self._stored_results.release_claims(lost)
-        self._takeover.discard(lost)
+        self._stored_results.release_claims(lost_link)
+        self._takeover.discard(lost_link)
 
     def acknowledge_results(self, message: messages.ResultsStored) -> None:
-        """Acknowledge results that are stored now to their workers."""
+        """Acknowledge stored results to their workers."""
         self._stored_results.acknowledge(message)
 
     def count_startable_tasks(self, now: float) -> int:
@@ -230,26 +230,28 @@
     # Implementation of agent.Events.
 
     def run_finished(self, run: runs.Run, result: workers.RunResult) -> None:
-        """Settle the task of a run that its worker reports as finished."""
+        """Apply the result of a run that its worker reports as finished."""
         worker_agent = self._agents[run.worker]
         self._backlog.release(run)
-        took_s = self._clock.now() - run.ordered_at
+        duration_s = self._clock.now() - run.ordered_at
         self._metrics.count('runs_ended_total', how=result.value)
-        self._metrics.observe('run_seconds', took_s, how=result.value)
+        self._metrics.observe('run_seconds', duration_s, how=result.value)
         if result is not workers.RunResult.DONE:
             _LOG.info(
-                'Run ended without success.',
+                'Run finished without success.',
                 extra={
                     'job': run.batch.job,
                     'task': run.task,
                     'run': run.number,
                     'worker': run.worker,
                     'how': result.value,
-                    'took_s': round(took_s, 4),
+                    'took_s': round(duration_s, 4),
                     'suspect': worker_agent.health.is_suspect,
                 },
             )
-        self._settle(run, result, is_suspect=worker_agent.health.is_suspect)
+        self._apply_result(
+            run, result, is_suspect=worker_agent.health.is_suspect
+        )
         self.dispatch(self._clock.now())
 
     def run_lost(self, run: runs.Run, cause: str) -> None:
@@ -274,7 +276,7 @@
         self.dispatch(self._clock.now())
 
     def superseded(self, source: agent.Agent) -> None:
-        """Give up the shard: a worker has seen the fence of a newer leader."""
+        """Report that a worker has seen the fence of a newer leader."""
         self._events.superseded(self)
 
     def unrequested_runs(
@@ -293,10 +295,10 @@
         miss workers that are draining. A new leader waits for a newer list,
         but no longer than ``list_wait_s``, and not if the store is down.
         """
-        if self._context.workers_listed_at() >= self._opened_at:
+        if self._context.workers_listed_at() >= self._leader_since:
             return True
-        waited = now >= self._opened_at + self._cfg.list_wait_s
-        return waited or not self._context.is_list_available()
+        has_waited = now >= self._leader_since + self._cfg.list_wait_s
+        return has_waited or not self._context.is_list_available()
 
     def _check_confirmed(self, now: float) -> None:
         """Let leases of stored jobs' runs expire if leadership is uncertain.
@@ -311,7 +313,8 @@
             _LOG.warning(
                 'Leadership confirmed again.'
                 if is_confirmed
-                else 'Leadership not confirmed, stored runs may expire.',
+                else 'Leadership not confirmed, '
+                'leases of stored jobs are no longer extended.',
                 extra={
                     'cell': self.shard,
                     'epoch': self.token.epoch,
@@ -358,7 +361,7 @@
             if index not in batch.tasks
         }
         self._backlog.reattach(batch, source, {})
-        self._scheduler.report_begun_again(batch)
+        self._scheduler.report_start_again(batch)
         if new_tasks and message.resumed:
             if self._takeover.must_defer(message, now):
                 self._takeover.defer(
@@ -380,7 +383,7 @@
         tasks = self._stored_results.send_listed(batch, source, message)
         unstarted = self._takeover.resume(batch, tasks, now)
         self._backlog.add(batch)
-        self._scheduler.report_begun_again(batch)
+        self._scheduler.report_start_again(batch)
         if unstarted:
             self._enqueue(source, message, unstarted, now)
 
@@ -400,10 +403,10 @@
             return
         self._backlog.add(batch)
         self._scheduler.record_task_size(message.millicores)
-        self._scheduler.move_overflow(batch, now)
+        self._scheduler.decline_excess(batch, now)
         self.dispatch(now)
 
-    def _settle(
+    def _apply_result(
         self, run: runs.Run, result: workers.RunResult, *, is_suspect: bool
     ) -> None:
         """Finish, requeue or ignore the task of a finished run."""
--- a/sardineproxy/process/shards/shard_capacities.py
+++ b/sardineproxy/process/shards/shard_capacities.py
@@ -15,7 +15,7 @@
     """The newest report of one shard."""
 
     #: Number of additional tasks of average size that the shard could start.
-    tasks: int
+    startable_tasks: int
 
     #: Local time of the report, in seconds.
     reported_at: float
@@ -28,9 +28,13 @@
         """Create an instance without reports."""
         self._capacities: dict[ids.ShardId, ShardCapacity] = {}
 
-    def update(self, shard: ids.ShardId, tasks: int, now: float) -> None:
+    def update(
+        self, shard: ids.ShardId, startable_tasks: int, now: float
+    ) -> None:
         """Record a leader's report."""
-        self._capacities[shard] = ShardCapacity(tasks=tasks, reported_at=now)
+        self._capacities[shard] = ShardCapacity(
+            startable_tasks=startable_tasks, reported_at=now
+        )
 
     def remove(self, shard: ids.ShardId) -> None:
         """Remove the report of a shard without a leader."""
@@ -42,9 +46,9 @@
         A free capacity is a number of additional average tasks.
         """
         fresh = {
-            shard: capacity.tasks
+            shard: capacity.startable_tasks
             for shard, capacity in self._capacities.items()
-            if capacity.tasks > 0
+            if capacity.startable_tasks > 0
             and now - capacity.reported_at <= MAX_REPORT_AGE_S
         }
         return dict(sorted(fresh.items(), key=lambda row: -row[1]))
@@ -53,7 +57,7 @@
         """Return the reports and their ages for the state dump."""
         return {
             shard: {
-                'tasks': capacity.tasks,
+                'tasks': capacity.startable_tasks,
                 'age_s': round(now - capacity.reported_at, 3),
             }
             for shard, capacity in self._capacities.items()
--- a/sardineproxy/process/shards/stored_results.py
+++ b/sardineproxy/process/shards/stored_results.py
@@ -1,4 +1,4 @@
-"""Passes results of stored jobs' tasks from workers to the job managers."""
+"""Forwards results of stored jobs' tasks to the job managers."""
 
 import types
 from typing import Mapping, Protocol
@@ -37,14 +37,14 @@
         clock: clock.Clock,
         cfg: times.ShardTiming,
     ) -> None:
-        """Create an instance for a shard that is led from now on."""
+        """Create an instance for a new leader of ``shard``."""
         self._shard = shard
         self._agents = agents
         self._job_managers = job_managers
         self._takeover = takeover
         self._clock = clock
         self._cfg = cfg
-        self._opened_at = clock.now()
+        self._leader_since = clock.now()
 
     def claim(self, run: runs.Run) -> None:
         """Record that the manager of a run's job receives the run's result."""
@@ -53,10 +53,10 @@
                 run.task, run.batch.link, self._clock.now()
             )
 
-    def release_claims(self, lost: link.Link) -> None:
+    def release_claims(self, lost_link: link.Link) -> None:
         """Release the claims of a job manager whose link is lost."""
         for worker_agent in self._agents.values():
-            worker_agent.unacked.release_claims(lost)
+            worker_agent.unacked.release_claims(lost_link)
 
     def send_listed(
         self, batch: runs.Batch, source: link.Link, message: messages.Submit
@@ -86,7 +86,7 @@
         return remaining
 
     def acknowledge(self, message: messages.ResultsStored) -> None:
-        """Acknowledge results that are stored now to their workers."""
+        """Acknowledge stored results to their workers."""
         for index, number in message.runs:
             task = runs.task_name(message.job, message.step, index)
             for worker_agent in self._agents.values():
@@ -94,7 +94,7 @@
                     worker_agent.acknowledge()
 
     def send_unclaimed(self, now: float) -> None:
-        """Send job managers the results that they did not claim.
+        """Send unclaimed results to the responsible job managers.
 
         A manager answers with ``ResultsStored`` once it has stored them, or if
         the job is not stored.
@@ -132,7 +132,7 @@
         manager = self._job_managers.find_manager(job)
         if manager is None or self._takeover.has_deferred(job):
             return None
-        since = max(manager.since, self._opened_at)
+        since = max(manager.since, self._leader_since)
         return manager.since if now >= since + self._cfg.adopt_s else None
 
 
--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -39,13 +39,13 @@
         agents: Mapping[ids.WorkerId, agent.Agent],
         backlog: backlog.Backlog,
         cfg: times.ShardTiming,
-        opened_at: float,
+        leader_since: float,
     ) -> None:
-        """Start a takeover; ``opened_at`` is local time, in seconds."""
+        """Start a takeover; ``leader_since`` is local time, in seconds."""
         self._agents = agents
         self._backlog = backlog
         self._cfg = cfg
-        self._opened_at = opened_at
+        self._leader_since = leader_since
         self._deferred: list[DeferredSubmit] = []
 
         #: True once all workers are listed that the previous leader may have
@@ -64,9 +64,9 @@
         if self.are_all_runs_reported():
             return False
         if message.stored:
-            all_ended_at = self._opened_at + self._cfg.former_runs_s
+            all_ended_at = self._leader_since + self._cfg.former_runs_s
             return not self.is_worker_list_complete or now < all_ended_at
-        return now < self._opened_at + self._cfg.sync_s
+        return now < self._leader_since + self._cfg.sync_s
 
     def are_all_runs_reported(self) -> bool:
         """Return whether all workers have reported to this leader."""
@@ -103,7 +103,10 @@
 
     def stop_unresumed(self, now: float) -> None:
         """Stop the runs that no coordinator has resumed in time."""
-        if self.accepts_resumes and now >= self._opened_at + self._cfg.adopt_s:
+        if (
+            self.accepts_resumes
+            and now >= self._leader_since + self._cfg.adopt_s
+        ):
             self.accepts_resumes = False
             for worker_agent in self._agents.values():
                 worker_agent.stop_unrequested()
--- a/sardineproxy/process/shards/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -10,8 +10,8 @@
 class CallTiming:
     """Timing of calls to workers."""
 
-    #: Longest wait for the answer to an order. A round trip within a zone
-    #: takes 0.2 ms and the worker 0.5 ms. The shortest job must complete
+    #: Timeout of an order. A round trip within a zone takes 0.2 ms and the
+    #: worker 0.5 ms. The shortest job must complete
     #: within 0.15 s even if its first order is lost.
     order_timeout_s: float = 0.06
 
@@ -87,15 +87,16 @@
     #: this long no longer extends the leases of stored jobs' runs.
     unconfirmed_s: float = 2.0
 
-    #: Runs of a coordinator are stopped this long after its link was lost.
+    #: A coordinator's runs are stopped this long after its link was lost.
     orphan_s: float = 0.3
 
     #: Retention time of results for jobs that are submitted again. A client
-    #: retries 1.3 s after a failure, and delayed copies arrive seconds later.
+    #: retries 1.3 s after a failure, and delayed duplicates of a request
+    #: arrive seconds later.
     recall_s: float = 10.0
 
-    #: A job's result has no value after this multiple of the time in which it
-    #: is in time.
+    #: A job's result is of no use after this multiple of the time in which it
+    #: is on time.
     late_factor: float = 3.0
 
     #: Factor by which a task takes longer on racks without its data.
--- a/sardineproxy/process/shards/unacked_results.py
+++ b/sardineproxy/process/shards/unacked_results.py
@@ -15,7 +15,7 @@
 #: None if no unclaimed result of the task may be sent yet.
 ClaimsValidFrom = Callable[[workers.TaskName, float], float | None]
 
-#: Results that settle their task; other results only free capacity.
+#: Results that finish their task; other results only free capacity.
 _TASK_RESULTS = frozenset((workers.RunResult.DONE, workers.RunResult.FAILED))
 
 
@@ -27,7 +27,7 @@
     #: if no manager has claimed it.
     claimant: link.Link | None
 
-    #: Local time at which the result was read or last claimed, in seconds.
+    #: Local time at which the result was added or last claimed, in seconds.
     claimed_at: float
 
 
@@ -35,7 +35,7 @@
     """Unacknowledged results of one worker process."""
 
     def __init__(self) -> None:
-        """Create an instance that has read no result."""
+        """Create an instance without results."""
         self.last_position = 0
         self._entries: dict[workers.TaskName, dict[int, _Unacked]] = {}
 
@@ -58,7 +58,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether all results that were read may be acknowledged."""
+        """Return whether all received results may be acknowledged."""
         return not self._entries
 
     def reset(self) -> None:
@@ -67,7 +67,7 @@
         self._entries.clear()
 
     def add(self, finished_run: workers.FinishedRun, now: float) -> None:
-        """Add a result unless it does not settle its task."""
+        """Add a result if it finishes its task."""
         if finished_run.result in _TASK_RESULTS:
             entries = self._entries.setdefault(finished_run.task, {})
             entries[finished_run.run] = _Unacked(
@@ -100,11 +100,11 @@
             self._entries.pop(task)
         return True
 
-    def release_claims(self, lost: link.Link) -> None:
+    def release_claims(self, lost_link: link.Link) -> None:
         """Release the claims of a lost link, so that others may claim."""
         for entries in self._entries.values():
             for entry in entries.values():
-                if entry.claimant is lost:
+                if entry.claimant is lost_link:
                     entry.claimant = None
 
     def unclaimed(
--- a/sardineproxy/process/shards/workers.py
+++ b/sardineproxy/process/shards/workers.py
@@ -57,7 +57,7 @@
     #: The order's ticket is missing or has expired.
     NO_TICKET = 'no_ticket'
 
-    #: The worker is unhealthy or could not read the order.
+    #: The worker is unhealthy or could not parse the order.
     NOT_EXECUTED = 'not_done'
 
     #: Another worker answers at this address.
@@ -114,7 +114,7 @@
     #: The lease of the run expired.
     LEASE_EXPIRED = 'lapsed'
 
-    #: Another member of the run's gang ended or did not start.
+    #: Another run of the same gang ended or did not start.
     GANG_INCOMPLETE = 'gang'
 
 
