--- a/tests/process/shards/faults.py
+++ b/tests/process/shards/faults.py
@@ -1,4 +1,4 @@
-"""Calls from owners to modelled workers, over a network that a test breaks."""
+"""Calls from leaders to modelled workers over an unreliable network."""
 
 import asyncio
 import enum
@@ -8,24 +8,24 @@
 from sardineproxy.process.shards import workers
 from sardineproxy.standin import worker_model
 
-#: Step in which a waiting look checks for new ends, in seconds.
-_LOOK_STEP_S = 0.002
+#: Interval at which a waiting poll checks for new results, in seconds.
+_POLL_STEP_S = 0.002
 
 
 class CallFault(enum.Enum):
-    """What becomes of one call."""
+    """Outcome of one call."""
 
     DONE = 'done'
     REQUEST_LOST = 'request_lost'
     ANSWER_LOST = 'answer_lost'
 
-    #: No answer; carried out seconds later.
+    #: Not answered in time; executed seconds later.
     LATE = 'late'
     REFUSED = 'refused'
 
 
 def draw_fault(rng: random.Random, fault_share: float) -> CallFault:
-    """Return what becomes of a call, a share of which is disturbed."""
+    """Return the outcome of a call; ``fault_share`` of the calls fail."""
     if rng.random() >= fault_share:
         return CallFault.DONE
     return rng.choice(
@@ -39,7 +39,7 @@
 
 
 class FaultyWorkerApi:
-    """Implements ``workers.WorkerApi`` for one owner."""
+    """Implements ``workers.WorkerApi`` for one leader."""
 
     def __init__(
         self,
@@ -88,9 +88,9 @@
     async def poll(
         self, worker: workers.Worker, poll: workers.Poll, *, timeout_s: float
     ) -> Any:
-        self.calls.append(('look', poll))
+        self.calls.append(('poll', poll))
         return await self._call(
-            'look',
+            'poll',
             worker,
             lambda model, now: model.poll(poll, now),
             timeout_s,
@@ -102,7 +102,7 @@
         self,
         kind: str,
         worker: workers.Worker,
-        act: Callable[[worker_model.WorkerModel, float], Any],
+        call: Callable[[worker_model.WorkerModel, float], Any],
         timeout_s: float,
         wait_s: float = 0,
         acked: int = 0,
@@ -117,13 +117,13 @@
                 if not model.is_up or fault is CallFault.REQUEST_LOST:
                     await asyncio.sleep(timeout_s)
                 if fault is CallFault.LATE:
-                    self._act_later(model, act)
+                    self._call_later(model, call)
                     await asyncio.sleep(timeout_s)
-                answer = act(model, self.clock.now())
+                answer = call(model, self.clock.now())
                 if fault is CallFault.ANSWER_LOST:
                     await asyncio.sleep(timeout_s)
                 if wait_s and isinstance(answer, workers.Report):
-                    answer = await self._wait(model, act, wait_s, acked)
+                    answer = await self._wait(model, call, wait_s, acked)
                 await asyncio.sleep(self.delay_s())
                 return answer
         except TimeoutError:
@@ -132,31 +132,31 @@
     async def _wait(
         self,
         model: worker_model.WorkerModel,
-        act: Callable[[worker_model.WorkerModel, float], Any],
+        call: Callable[[worker_model.WorkerModel, float], Any],
         wait_s: float,
         acked: int,
     ) -> Any:
-        """Wait for an end as a worker does; the fence counts on arrival."""
+        """Wait for a result; the fence of the poll is already in effect."""
         until = self.clock.now() + wait_s
         while self.clock.now() < until and model.is_up:
             model.advance(self.clock.now())
             if model.has_ends(acked):
                 break
-            await asyncio.sleep(_LOOK_STEP_S)
-        return act(model, self.clock.now())
+            await asyncio.sleep(_POLL_STEP_S)
+        return call(model, self.clock.now())
 
-    def _act_later(
+    def _call_later(
         self,
         model: worker_model.WorkerModel,
-        act: Callable[[worker_model.WorkerModel, float], Any],
+        call: Callable[[worker_model.WorkerModel, float], Any],
     ) -> None:
-        # A worker that holds an order back loses it with its life.
-        life = model.worker.started_ms
+        # A delayed order is lost if the worker restarts.
+        started_ms = model.worker.started_ms
 
         async def later() -> None:
             await asyncio.sleep(self.late_s)
-            if model.is_up and model.worker.started_ms == life:
-                act(model, self.clock.now())
+            if model.is_up and model.worker.started_ms == started_ms:
+                call(model, self.clock.now())
 
         task = asyncio.create_task(later())
         self.background.add(task)
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -1,4 +1,4 @@
-"""Workers, links and submissions for tests of cells."""
+"""Workers, links and submissions for tests of shards."""
 
 import asyncio
 from typing import Any, Callable
@@ -41,7 +41,7 @@
 
 
 class FakeLink:
-    """Keeps what a cell sends to a coordinator."""
+    """Records the messages that a shard leader sends to a coordinator."""
 
     def __init__(self, vm: str = 'vm-1') -> None:
         self.peer = messages.Greeting(
@@ -102,10 +102,10 @@
     return messages.Submit(**{**fields, **changes})
 
 
-def only_item(found: list[Any]) -> Any:
-    """Return the one item of a list; a list of another length is an error."""
-    assert len(found) == 1, found
-    return found[0]
+def only_item(items: list[Any]) -> Any:
+    """Return the only item of a list; fail if there is not exactly one."""
+    assert len(items) == 1, items
+    return items[0]
 
 
 def typical_work(
@@ -120,14 +120,14 @@
 
 
 class UnstoredJobManager:
-    """Says of all ends that their jobs are not stored."""
+    """Acknowledges all results at once, as for jobs that are not stored."""
 
     def __init__(self) -> None:
         self.shards: list[shards.ShardLeader] = []
 
     def send(self, message: Any) -> bool:
-        for each in self.shards:
-            each.acknowledge_results(
+        for leader in self.shards:
+            leader.acknowledge_results(
                 messages.ResultsStored(
                     shard=message.shard,
                     job=message.job,
@@ -139,7 +139,7 @@
 
 
 class Rig:
-    """Modelled workers and owners of one cell."""
+    """Modelled workers and the leaders of one shard."""
 
     def __init__(
         self,
@@ -158,16 +158,16 @@
             for number in range(count)
         }
         self.api = faults.FaultyWorkerApi(models=self.models, clock=self.clock)
-        self.list_is_new = True
+        self.is_list_current = True
         self.is_confirmed = True
         self.superseded_shards: list[shards.ShardLeader] = []
         self.capacities = shard_capacities.ShardCapacities()
         self.unstored_manager = UnstoredJobManager()
         self.shards = self.unstored_manager.shards
-        self._tickers: list[asyncio.Task[None]] = []
+        self._tick_tasks: list[asyncio.Task[None]] = []
 
     def workers_listed_at(self) -> float:
-        return self.clock.now() if self.list_is_new else 0
+        return self.clock.now() if self.is_list_current else 0
 
     def confirmed_at(self, shard: ids.ShardId, now: float) -> float:
         return now if self.is_confirmed else 0
@@ -181,8 +181,8 @@
     def manager_link(self, job: ids.JobId) -> Any:
         return self.unstored_manager
 
-    def superseded(self, lost: shards.ShardLeader) -> None:
-        self.superseded_shards.append(lost)
+    def superseded(self, leader: shards.ShardLeader) -> None:
+        self.superseded_shards.append(leader)
 
     def lead(
         self,
@@ -207,7 +207,7 @@
         self.list_workers(leader, list(self.models.values()), complete=complete)
         self.shards.append(leader)
         if ticks:
-            self._tickers.append(asyncio.create_task(self._tick(leader)))
+            self._tick_tasks.append(asyncio.create_task(self._tick(leader)))
         return leader
 
     def list_workers(
@@ -217,14 +217,14 @@
         *,
         complete: bool = True,
     ) -> None:
-        """Hand an owner the list of its workers."""
+        """Pass a list of workers to a leader."""
         leader.set_workers(
             [model.worker for model in models],
             complete=complete,
         )
 
-    async def ready(self, **kwargs: Any) -> shards.ShardLeader:
-        """Own the cell and wait for the first reports."""
+    async def lead_and_sync(self, **kwargs: Any) -> shards.ShardLeader:
+        """Lead the shard and wait for the first reports."""
         leader = self.lead(**kwargs)
         await asyncio.sleep(0.01)
         return leader
@@ -237,12 +237,12 @@
         ]
 
     def violations(self) -> list[str]:
-        found = [
-            complaint
+        violations = [
+            violation
             for model in self.models.values()
-            for complaint in model.complaints
+            for violation in model.complaints
         ]
-        return found + run_checks.find_doubles(self.records())
+        return violations + run_checks.find_doubles(self.records())
 
     async def _tick(self, leader: shards.ShardLeader) -> None:
         while leader not in self.superseded_shards:
@@ -250,10 +250,10 @@
             await asyncio.sleep(0.025)
 
 
-def with_rig(test: Callable[..., Any], **settings: Any) -> Any:
+def with_rig(test: Callable[..., Any], **rig_options: Any) -> Any:
     """Run ``test(rig)`` in virtual time."""
 
     async def main() -> Any:
-        return await test(Rig(**settings))
+        return await test(Rig(**rig_options))
 
     return virtual_time.run(main)
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -1,4 +1,4 @@
-"""Orders to one worker: lost answers, late orders, silence, new lives."""
+"""Orders to one worker: lost answers, delayed orders, outages, restarts."""
 
 import asyncio
 
@@ -11,30 +11,38 @@
 from tests.process.shards import samples, faults
 
 
-def _fates(*fates: faults.CallFault, kind: str = 'start'):
-    """Return a function that gives the first calls of a kind these fates."""
-    left = list(fates)
+def _with_faults(*call_faults: faults.CallFault, kind: str = 'start'):
+    """Return a function that disturbs the first calls of a kind."""
+    remaining = list(call_faults)
 
-    def fault_of(called: str) -> faults.CallFault:
-        return left.pop(0) if called == kind and left else faults.CallFault.DONE
+    def fault_of(call_kind: str) -> faults.CallFault:
+        return (
+            remaining.pop(0)
+            if call_kind == kind and remaining
+            else faults.CallFault.DONE
+        )
 
     return fault_of
 
 
 def _never_ends(task: workers.TaskName, run: int) -> worker_model.Work:
-    usual = samples.typical_work(task, run)
-    return worker_model.Work(resources=usual.resources, work_s=0.2, how=None)
+    typical = samples.typical_work(task, run)
+    return worker_model.Work(resources=typical.resources, work_s=0.2, how=None)
 
 
 class TestAgent(testtools.TestCase):
-    def test_unanswered_order_is_not_carried_out_later(self) -> None:
-        """Guards against a run that starts seconds after its replacement."""
+    def test_unanswered_order_is_not_executed_later(self) -> None:
+        """Guards against a delayed start order that is executed after all.
+
+        The order times out and its task is started again. The worker refuses
+        the delayed order, as it has seen a higher fence by then.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.api.fault_of = _fates(faults.CallFault.LATE)
+            rig.api.fault_of = _with_faults(faults.CallFault.LATE)
             rig.api.late_s = 0.2
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(3)
             self.assertEqual({0: 'done'}, link.results())
@@ -44,12 +52,15 @@
         samples.with_rig(scenario)
 
     def test_lost_answer_does_not_start_a_second_run(self) -> None:
-        """Guards against a repeat of an order that was carried out."""
+        """Guards against a second run if only the answer to an order is lost.
+
+        The worker has started the run, and lists it in its next report.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.api.fault_of = _fates(faults.CallFault.ANSWER_LOST)
+            rig.api.fault_of = _with_faults(faults.CallFault.ANSWER_LOST)
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
             self.assertEqual({0: 'done'}, link.results())
@@ -57,12 +68,15 @@
 
         samples.with_rig(scenario, count=2)
 
-    def test_run_stopped_before_its_order_left_takes_no_room(self) -> None:
-        """Guards the bug by which a withdrawn order still went out."""
+    def test_run_stopped_before_its_order_is_sent_does_not_start(self) -> None:
+        """Guards against a bug that sent the order of a withdrawn job.
+
+        The job is withdrawn before the coroutine that sends the order runs.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             now = rig.clock.now()
             leader.submit(link, samples.make_submit('j1', 2), now)
             leader.withdraw(link, samples.make_submit('j1').job)
@@ -75,12 +89,15 @@
 
         samples.with_rig(scenario)
 
-    def test_capacity_counts_orders_on_their_way(self) -> None:
-        """Guards against orders beyond a worker's capacity."""
+    def test_pending_orders_occupy_capacity(self) -> None:
+        """Guards against orders that exceed a worker's capacity.
+
+        All jobs are submitted before the first order is answered.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             now = rig.clock.now()
             for number in range(6):
                 leader.submit(
@@ -94,27 +111,33 @@
 
         samples.with_rig(scenario)
 
-    def test_silent_worker_keeps_its_runs_until_their_lease_ends(self) -> None:
-        """Guards against a second run beside one on a worker cut off."""
+    def test_run_on_unresponsive_worker_is_replaced_after_its_lease(
+        self,
+    ) -> None:
+        """Guards against a second run beside one on an unreachable worker.
+
+        The worker becomes unreachable while it runs the task. The task may
+        start on another worker only when the lease has expired.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             submit = samples.make_submit(estimate_s=2.0, timeout_s=9.0)
             leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(0.1)
             first = samples.only_item(rig.records())
-            cut = faults.FaultyWorkerApi(
+            unreachable = faults.FaultyWorkerApi(
                 models=rig.models,
                 clock=rig.clock,
                 fault_of=lambda _: faults.CallFault.REQUEST_LOST,
             )
-            silent = rig.models[first.worker].worker.worker
+            silent_worker = rig.models[first.worker].worker.worker
 
-            async def poll(worker, asked, *, timeout_s):
-                api = cut if worker.worker == silent else rig.api
+            async def poll(worker, request, *, timeout_s):
+                api = unreachable if worker.worker == silent_worker else rig.api
                 return await faults.FaultyWorkerApi.poll(
-                    api, worker, asked, timeout_s=timeout_s
+                    api, worker, request, timeout_s=timeout_s
                 )
 
             rig.api.poll = poll
@@ -129,12 +152,15 @@
             work_of=lambda task, run: samples.typical_work(task, run, 1.5),
         )
 
-    def test_new_life_of_a_worker_knows_nothing(self) -> None:
-        """Guards against waiting for runs that ended with a former life."""
+    def test_runs_of_a_restarted_worker_are_requeued(self) -> None:
+        """Guards against waiting for runs that a crash of the worker ended.
+
+        The worker restarts under the same id and lists no runs.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             submit = samples.make_submit(estimate_s=2.0, timeout_s=9.0)
             leader.submit(link, submit, rig.clock.now())
             await asyncio.sleep(0.1)
@@ -148,11 +174,15 @@
 
         samples.with_rig(scenario)
 
-    def test_new_life_gets_no_orders_before_it_is_listed(self) -> None:
-        """Guards against orders by the capacity of a former life."""
+    def test_restarted_worker_gets_no_orders_before_it_is_listed(self) -> None:
+        """Guards against orders based on the capacity before a restart.
+
+        The worker has less capacity after its restart, which the leader
+        learns from the next list of workers.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             model = rig.models['w0']
             model.crash(rig.clock.now())
             model.restart(rig.clock.now())
@@ -168,15 +198,16 @@
 
         samples.with_rig(scenario)
 
-    def test_late_order_after_a_long_rest_finds_its_lease_expired(self) -> None:
-        """Guards against a run on a slow clock after its replacement.
+    def test_delayed_order_after_idle_time_is_refused_as_expired(self) -> None:
+        """Guards against a run that starts after its replacement.
 
-        The order leaves no answer and the worker stays silent, but carries it
-        out after the lease that the owner has waited for.
+        The worker's slow clock drifts for 200 s. Then the worker answers no
+        call, and receives the order after the lease that the leader has
+        waited for.
         """
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             rig.models['w0'].slow_down(0.98)
             await asyncio.sleep(200)
             rig.api.late_s = 1.1
@@ -195,12 +226,15 @@
 
         samples.with_rig(scenario)
 
-    def test_run_that_stands_still_starts_elsewhere(self) -> None:
-        """Guards against tasks held on a hung worker to the deadline."""
+    def test_stalled_run_is_started_on_another_worker(self) -> None:
+        """Guards against tasks that a hung worker holds until their deadline.
+
+        The worker answers polls, but its runs make no progress.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             link = samples.FakeLink()
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.01)
             first = samples.only_item(rig.records())
@@ -211,11 +245,14 @@
 
         samples.with_rig(scenario, count=2, work_of=_never_ends)
 
-    def test_ends_are_acknowledged_when_nothing_runs_any_more(self) -> None:
-        """Guards against ends that a worker has to list for good."""
+    def test_results_are_acknowledged_without_active_runs(self) -> None:
+        """Guards against results that an idle worker lists forever.
+
+        Results are acknowledged in polls, and idle workers are not polled.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
@@ -224,11 +261,11 @@
 
         samples.with_rig(scenario)
 
-    def test_idle_worker_is_not_looked_at(self) -> None:
-        """Guards against looks that nothing needs; each is priced."""
+    def test_idle_worker_is_not_polled(self) -> None:
+        """Guards against needless polls; each one is charged for."""
 
         async def scenario(rig: samples.Rig) -> None:
-            await rig.ready()
+            await rig.lead_and_sync()
             before = len(rig.api.calls)
             await asyncio.sleep(5)
             self.assertEqual(before, len(rig.api.calls))
@@ -236,10 +273,10 @@
         samples.with_rig(scenario)
 
     def test_draining_worker_gets_no_orders(self) -> None:
-        """Guards against work for workers that are about to leave."""
+        """Guards against runs on workers that are about to shut down."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
@@ -248,8 +285,10 @@
 
         samples.with_rig(scenario, state=workers.WorkerState.DRAINING)
 
-    def test_failing_worker_is_closed_and_then_tried_with_one_run(self) -> None:
-        """Guards against failing many tasks on a worker that fails all."""
+    def test_failing_worker_is_ejected_and_then_gets_one_run_at_a_time(
+        self,
+    ) -> None:
+        """Guards against many failed tasks on a worker that fails every run."""
 
         def work_of(task: workers.TaskName, run: int) -> worker_model.Work:
             return worker_model.Work(
@@ -259,7 +298,7 @@
             )
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             for number in range(30):
                 leader.submit(
                     samples.FakeLink(),
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -1,7 +1,7 @@
-"""Owners, coordinators and workers under random faults.
+"""Leaders, coordinators and workers under random faults.
 
-Owners replace each other, links and answers are lost, orders are carried out
-late, workers crash and start anew. The modelled workers note what they ran.
+Leaders are replaced, links and answers are lost, orders are executed late, and
+workers crash and restart. The modelled workers record their runs.
 """
 
 import asyncio
@@ -22,11 +22,11 @@
 from tests import examples, virtual_time
 from tests.process.shards import samples, faults
 
-#: Time from a failed answer until a client sends its job again, in seconds.
-RESEND_S = 1.3
+#: Time from a failure until a client submits its job again, in seconds.
+RETRY_DELAY_S = 1.3
 
-#: Longest time until one end of a cut link notices, in seconds.
-NOTICE_S = 0.45
+#: Longest time until one end of a broken link detects it, in seconds.
+MAX_DETECTION_S = 0.45
 
 ROUTE = routes.Route(
     route=ids.RouteId('r'),
@@ -40,14 +40,14 @@
 )
 
 
-class _End:
-    """One end of a link between a coordinator's VM and an owner."""
+class _LinkEnd:
+    """One end of a link between a coordinator's VM and a shard leader."""
 
-    def __init__(self, world: 'World', deliver: Any) -> None:
-        self.world = world
+    def __init__(self, simulation: 'Simulation', deliver: Any) -> None:
+        self.simulation = simulation
         self.deliver = deliver
-        self.other: '_End'
-        self.is_cut = False
+        self.opposite_end: '_LinkEnd'
+        self.is_broken = False
         self.peer = messages.Greeting(
             vm=ids.VmId('vm'),
             incarnation=ids.Incarnation('1'),
@@ -55,72 +55,80 @@
         )
 
     def send(self, message: Any) -> bool:
-        if self.is_cut:
+        if self.is_broken:
             return False
-        delay_s = self.world.rng.uniform(0.0001, 0.003)
+        delay_s = self.simulation.rng.uniform(0.0001, 0.003)
         asyncio.get_running_loop().call_later(delay_s, self._arrive, message)
         return True
 
     def is_closing(self) -> bool:
-        return self.is_cut
+        return self.is_broken
 
     def _arrive(self, message: Any) -> None:
-        if not self.is_cut:
-            self.deliver(self.other, message)
+        if not self.is_broken:
+            self.deliver(self.opposite_end, message)
 
 
 class Vm:
-    """An accepting VM: a board, and links to owners."""
+    """An entry VM that coordinates jobs, and its links to shard leaders."""
 
-    def __init__(self, world: 'World') -> None:
-        self.world = world
-        self.board = active_jobs.ActiveJobs()
-        self.ends: dict[shards.ShardLeader, _End] = {}
+    def __init__(self, simulation: 'Simulation') -> None:
+        self.simulation = simulation
+        self.active_jobs = active_jobs.ActiveJobs()
+        self.links: dict[shards.ShardLeader, _LinkEnd] = {}
 
     def default_shard(self) -> ids.ShardId | None:
-        return samples.SHARD if self.world.leader in self.ends else None
+        return samples.SHARD if self.simulation.leader in self.links else None
 
     def leader(self, shard: ids.ShardId) -> Any:
-        return self.ends.get(self.world.leader)
+        return self.links.get(self.simulation.leader)
 
     def connect(self, leader: shards.ShardLeader) -> None:
-        near = _End(
-            self.world,
-            lambda end, message: self._to_leader(leader, end, message),
+        coordinator_end = _LinkEnd(
+            self.simulation,
+            lambda end, message: self._deliver_to_leader(leader, end, message),
         )
-        far = _End(self.world, lambda _, message: self.board.deliver(message))
-        near.other = far
-        far.other = near
-        self.ends[leader] = near
-        self.board.notify_leader_found(samples.SHARD)
-
-    def cut(self, leader: shards.ShardLeader) -> None:
-        """Cut a link; both ends notice some time later."""
-        near = self.ends.pop(leader, None)
-        if near is None:
+        leader_end = _LinkEnd(
+            self.simulation,
+            lambda _, message: self.active_jobs.deliver(message),
+        )
+        coordinator_end.opposite_end = leader_end
+        leader_end.opposite_end = coordinator_end
+        self.links[leader] = coordinator_end
+        self.active_jobs.notify_leader_found(samples.SHARD)
+
+    def break_link(self, leader: shards.ShardLeader) -> None:
+        """Break a link; both ends detect it after a delay."""
+        coordinator_end = self.links.pop(leader, None)
+        if coordinator_end is None:
             return
-        near.is_cut = True
-        near.other.is_cut = True
+        coordinator_end.is_broken = True
+        coordinator_end.opposite_end.is_broken = True
         loop = asyncio.get_running_loop()
-        rng = self.world.rng
+        rng = self.simulation.rng
         loop.call_later(
-            rng.uniform(0, NOTICE_S),
-            self.board.notify_leader_lost,
+            rng.uniform(0, MAX_DETECTION_S),
+            self.active_jobs.notify_leader_lost,
             samples.SHARD,
-            near,
+            coordinator_end,
         )
         loop.call_later(
-            rng.uniform(0, NOTICE_S), self._notice, leader, near.other
+            rng.uniform(0, MAX_DETECTION_S),
+            self._detect_break,
+            leader,
+            coordinator_end.opposite_end,
         )
 
-    def _notice(self, leader: shards.ShardLeader, far: Any) -> None:
-        leader.link_lost(far, self.world.rig.clock.now())
+    def _detect_break(
+        self, leader: shards.ShardLeader, leader_end: Any
+    ) -> None:
+        leader.link_lost(leader_end, self.simulation.rig.clock.now())
 
-    def _to_leader(
+    def _deliver_to_leader(
         self, leader: shards.ShardLeader, end: Any, message: Any
     ) -> None:
-        now = self.world.rig.clock.now()
-        if leader in self.world.rig.superseded_shards:
+        now = self.simulation.rig.clock.now()
+        if leader in self.simulation.rig.superseded_shards:
             end.send(messages.ShardReleased(shard=samples.SHARD))
         elif isinstance(message, messages.Submit):
             leader.submit(end, message, now)
@@ -128,8 +136,8 @@
             leader.withdraw(end, message.job)
 
 
-class World:
-    """A cell, its owners in turn, two accepting VMs and their clients."""
+class Simulation:
+    """A shard, its successive leaders, two entry VMs and their clients."""
 
     def __init__(self, seed: int, fault_share: float) -> None:
         self.rng = random.Random(seed)
@@ -166,7 +174,7 @@
         for vm in self.vms:
             vm.connect(self.leader)
 
-    def happen(self, kind: str) -> None:
+    def apply_event(self, kind: str) -> None:
         now = self.rig.clock.now()
         model = self.rng.choice(list(self.rig.models.values()))
         match kind:
@@ -174,11 +182,11 @@
                 old = self.leader
                 self.take_over()
                 for vm in self.vms:
-                    vm.cut(old)
+                    vm.break_link(old)
             case 'silent takeover':
                 self.take_over()
             case 'cut':
-                self.rng.choice(self.vms).cut(self.leader)
+                self.rng.choice(self.vms).break_link(self.leader)
             case 'reconnect':
                 self.reconnect()
             case 'crash':
@@ -190,19 +198,19 @@
 
     def reconnect(self) -> None:
         for vm in self.vms:
-            if self.leader not in vm.ends:
+            if self.leader not in vm.links:
                 vm.connect(self.leader)
 
     def restart_workers(self, now: float) -> None:
-        for each in self.rig.models.values():
-            if not each.is_up:
-                each.restart(now)
+        for model in self.rig.models.values():
+            if not model.is_up:
+                model.restart(now)
         self.leader.set_workers(
-            [each.worker for each in self.rig.models.values()], complete=True
+            [model.worker for model in self.rig.models.values()], complete=True
         )
 
     async def client(self, number: int) -> None:
-        """Send a job, and send it again to another VM after a failure."""
+        """Submit a job, and submit it to another VM after a failure."""
         job = jobs.Job(
             job_id=ids.JobId(f'{number:016x}'),
             payload='text',
@@ -216,7 +224,7 @@
         )
         for vm in self.rng.sample(self.vms, 2):
             now = self.rig.clock.now()
-            outcome = await vm.board.run(
+            outcome = await vm.active_jobs.run(
                 coordinator.Coordinator(
                     job=job,
                     route=ROUTE,
@@ -229,7 +237,7 @@
             self.outcomes.append(outcome)
             if not isinstance(outcome, jobs.GivenUp):
                 return
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     def start_client(self, number: int) -> None:
         task = asyncio.create_task(self.client(number))
@@ -256,19 +264,19 @@
 )
 
 
-async def play(
+async def simulate(
     seed: int, fault_share: float, events: list[tuple[float, str]]
-) -> World:
-    """Play six seconds of jobs and faults, and what follows from them."""
-    world = World(seed, fault_share)
-    world.take_over()
+) -> Simulation:
+    """Simulate jobs and faults for 6 s, and wait 8 s for the outcomes."""
+    simulation = Simulation(seed, fault_share)
+    simulation.take_over()
     loop = asyncio.get_running_loop()
-    for at, kind in events:
-        loop.call_later(at, world.happen, kind)
+    for at_s, kind in events:
+        loop.call_later(at_s, simulation.apply_event, kind)
     for number in range(60):
-        loop.call_later(number * 0.1, world.start_client, number)
+        loop.call_later(number * 0.1, simulation.start_client, number)
     await asyncio.sleep(14)
-    return world
+    return simulation
 
 
 class TestModel(testtools.TestCase):
@@ -281,26 +289,26 @@
     def test_no_double_run_and_no_run_over_capacity(
         self, seed: int, fault_share: float, events: list[tuple[float, str]]
     ) -> None:
-        """Guards what must hold whatever is lost, late or replaced."""
+        """Guards against violations under any combination of faults."""
 
-        async def main() -> tuple[list[str], World]:
-            world = await play(seed, fault_share, events)
-            return world.rig.violations(), world
+        async def main() -> tuple[list[str], Simulation]:
+            simulation = await simulate(seed, fault_share, events)
+            return simulation.rig.violations(), simulation
 
-        violations, world = virtual_time.run(main)
+        violations, simulation = virtual_time.run(main)
         self.assertEqual([], violations)
-        self.assertFalse(world.clients, 'a client got no answer')
+        self.assertFalse(simulation.clients, 'a client got no answer')
 
     def test_most_jobs_complete_without_faults(self) -> None:
-        """Guards against a model in which nothing happens."""
+        """Guards against a simulation in which no job is run."""
 
-        async def main() -> World:
-            return await play(1, 0, [])
+        async def main() -> Simulation:
+            return await simulate(1, 0, [])
 
-        world = virtual_time.run(main)
+        simulation = virtual_time.run(main)
         completed = [
             outcome
-            for outcome in world.outcomes
+            for outcome in simulation.outcomes
             if isinstance(outcome, jobs.Completed)
         ]
         self.assertGreater(len(completed), 50)
--- a/tests/process/shards/test_scheduler.py
+++ b/tests/process/shards/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Where tasks are ordered, and when they must not be."""
+"""Placement of tasks, and their start while leadership is unconfirmed."""
 
 import asyncio
 import dataclasses
@@ -16,10 +16,14 @@
 
 class TestConfirmation(testtools.TestCase):
     def test_stored_runs_expire_while_another_leader_may_exist(self) -> None:
-        """Guards against two runs, one by an owner that is cut off."""
+        """Guards against two runs at a time, one of them by an isolated leader.
+
+        A leader that is not confirmed stops extending the leases of stored
+        jobs' runs, because a new leader may start their tasks again.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(stored=True),
@@ -36,11 +40,11 @@
 
         samples.with_rig(scenario, work_of=long_work)
 
-    def test_other_runs_go_on_while_another_leader_may_exist(self) -> None:
-        """Guards against outages for jobs that need not be kept."""
+    def test_other_jobs_run_while_another_leader_may_exist(self) -> None:
+        """Guards against an outage for jobs that are not stored."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             rig.is_confirmed = False
             await asyncio.sleep(3)
             link = samples.FakeLink()
@@ -52,11 +56,11 @@
 
 
 class TestEstimates(testtools.TestCase):
-    def test_task_without_an_estimate_runs(self) -> None:
-        """Guards against a watch that ends over an expected time of 0."""
+    def test_task_without_an_estimate_is_run(self) -> None:
+        """Guards against a poller that fails on an expected run time of 0."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(
                 link,
@@ -73,38 +77,38 @@
 
 
 class TestPlacement(testtools.TestCase):
-    def test_task_goes_to_the_rack_of_its_data(self) -> None:
-        """Guards against tasks that take longer for want of their data."""
+    def test_task_is_placed_on_the_rack_of_its_data(self) -> None:
+        """Guards against tasks that are slow because their data is far away."""
 
         async def scenario(rig: samples.Rig) -> None:
             for name, model in rig.models.items():
                 model.worker = dataclasses.replace(
                     model.worker, labels=('a', f'rack-{name}')
                 )
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(count=2, rack='rack-w2'),
                 rig.clock.now(),
             )
             await asyncio.sleep(0.1)
-            found = {record.worker for record in rig.records()}
-            self.assertEqual({'w2'}, found)
+            used_workers = {record.worker for record in rig.records()}
+            self.assertEqual({'w2'}, used_workers)
 
         samples.with_rig(scenario, count=4)
 
-    def test_tasks_of_a_step_are_spread_as_asked(self) -> None:
-        """Guards against more tasks on one worker than the job allows."""
+    def test_number_of_tasks_on_one_worker_is_limited(self) -> None:
+        """Guards against more tasks on one worker than their job allows."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(count=3, per_worker=1, pinned=True),
                 rig.clock.now(),
             )
             await asyncio.sleep(0.1)
-            found = [record.worker for record in rig.records()]
-            self.assertEqual(['w0', 'w1'], sorted(found))
+            used_workers = [record.worker for record in rig.records()]
+            self.assertEqual(['w0', 'w1'], sorted(used_workers))
 
         samples.with_rig(scenario, count=2)
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -1,4 +1,4 @@
-"""Queue, placement, hand-over and takeover of a cell."""
+"""Queue, placement, handover and takeover of a shard."""
 
 import asyncio
 
@@ -11,16 +11,16 @@
 from tests.process.shards import samples, faults
 
 
-def _long(task: workers.TaskName, run: int) -> worker_model.Work:
+def _work_of_1_s(task: workers.TaskName, run: int) -> worker_model.Work:
     return samples.typical_work(task, run, 1.0)
 
 
 class TestQueue(testtools.TestCase):
-    def test_job_that_cannot_be_in_time_is_declined_unstarted(self) -> None:
-        """Guards against work for a job whose client gains nothing."""
+    def test_job_that_cannot_be_on_time_is_declined_unstarted(self) -> None:
+        """Guards against running a job whose result comes too late to be used."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             now = rig.clock.now()
             first, second = samples.FakeLink(), samples.FakeLink()
             leader.submit(
@@ -35,13 +35,13 @@
                 {'j1'}, {record.task[:2] for record in rig.records()}
             )
 
-        samples.with_rig(scenario, work_of=_long)
+        samples.with_rig(scenario, work_of=_work_of_1_s)
 
-    def test_tasks_of_a_job_that_has_begun_are_not_declined(self) -> None:
-        """Guards against work thrown away for a task that waits a little."""
+    def test_tasks_of_a_started_job_are_not_declined(self) -> None:
+        """Guards against wasting the other tasks of a job for one late task."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             now = rig.clock.now()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit('j1', 2), now)
@@ -56,11 +56,11 @@
 
         samples.with_rig(scenario)
 
-    def test_task_with_less_time_left_goes_first(self) -> None:
-        """Guards against short jobs late behind long ones."""
+    def test_task_with_less_remaining_time_is_started_first(self) -> None:
+        """Guards against short jobs that are late after long ones."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             now = rig.clock.now()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit('first', 2), now)
@@ -78,11 +78,11 @@
 
         samples.with_rig(scenario)
 
-    def test_lower_priority_number_goes_first(self) -> None:
-        """Guards against urgent jobs behind a backlog of others."""
+    def test_lower_priority_number_is_started_first(self) -> None:
+        """Guards against urgent jobs that wait for a backlog of other jobs."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             now = rig.clock.now()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit('first', 2), now)
@@ -99,11 +99,11 @@
         samples.with_rig(scenario)
 
     def test_tasks_without_free_capacity_go_to_another_shard(self) -> None:
-        """Guards against waiting while another cell is idle."""
+        """Guards against tasks that wait while another shard is idle."""
 
         async def scenario(rig: samples.Rig) -> None:
             rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit('j1', 5), rig.clock.now())
             declined = samples.only_item(link.declined())
@@ -112,12 +112,12 @@
 
         samples.with_rig(scenario)
 
-    def test_room_that_was_told_long_ago_is_not_used(self) -> None:
-        """Guards against tasks sent to an owner that is lost."""
+    def test_outdated_capacity_report_is_not_used(self) -> None:
+        """Guards against tasks sent to a leader that has stopped reporting."""
 
         async def scenario(rig: samples.Rig) -> None:
             rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             await asyncio.sleep(0.6)
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit('j1', 5), rig.clock.now())
@@ -125,12 +125,12 @@
 
         samples.with_rig(scenario)
 
-    def test_firm_tasks_stay(self) -> None:
-        """Guards against tasks that are sent to and fro between cells."""
+    def test_pinned_tasks_are_not_declined(self) -> None:
+        """Guards against tasks that are sent back and forth between shards."""
 
         async def scenario(rig: samples.Rig) -> None:
             rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(
                 link, samples.make_submit('j1', 5, pinned=True), rig.clock.now()
@@ -139,11 +139,11 @@
 
         samples.with_rig(scenario)
 
-    def test_required_label_is_kept(self) -> None:
-        """Guards against starts on workers of another kind."""
+    def test_task_is_not_started_without_its_required_label(self) -> None:
+        """Guards against starts on workers of another machine type."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(requires='b'),
@@ -154,11 +154,11 @@
 
         samples.with_rig(scenario)
 
-    def test_failed_run_is_told(self) -> None:
-        """Guards against jobs that never fail."""
+    def test_failed_run_is_reported(self) -> None:
+        """Guards against failures that never reach the coordinator."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(1)
@@ -173,85 +173,94 @@
             ),
         )
 
-    def test_done_tasks_of_a_job_sent_again_are_not_repeated(self) -> None:
-        """Guards against a second original after an answer was lost."""
+    def test_done_tasks_of_a_resubmitted_job_are_not_repeated(self) -> None:
+        """Guards against second runs after the answer to a client was lost."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             leader.submit(
                 samples.FakeLink(),
                 samples.make_submit(count=2),
                 rig.clock.now(),
             )
             await asyncio.sleep(4)
-            again = samples.FakeLink('vm-2')
-            leader.submit(again, samples.make_submit(count=2), rig.clock.now())
-            self.assertEqual({0: 'done', 1: 'done'}, again.results())
+            new_link = samples.FakeLink('vm-2')
+            leader.submit(
+                new_link, samples.make_submit(count=2), rig.clock.now()
+            )
+            self.assertEqual({0: 'done', 1: 'done'}, new_link.results())
             await asyncio.sleep(1)
             self.assertThat(rig.records(), matchers.HasLength(2))
 
         samples.with_rig(scenario)
 
     def test_task_done_after_its_job_was_dropped_is_not_repeated(self) -> None:
-        """Guards against a second run of what ended as it was stopped."""
+        """Guards against a second run of a task that completed when stopped.
+
+        The job is withdrawn 0.1 ms after its task has completed, before the
+        leader has received the result.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.2006)
             leader.withdraw(link, ids.JobId('j1'))
             await asyncio.sleep(1.3)
-            again = samples.FakeLink('vm-2')
-            leader.submit(again, samples.make_submit(), rig.clock.now())
-            self.assertEqual({0: 'done'}, again.results())
+            new_link = samples.FakeLink('vm-2')
+            leader.submit(new_link, samples.make_submit(), rig.clock.now())
+            self.assertEqual({0: 'done'}, new_link.results())
 
         samples.with_rig(scenario)
 
-    def test_ends_are_forgotten_after_a_while(self) -> None:
-        """Guards against memory that grows with each task."""
+    def test_recent_results_expire(self) -> None:
+        """Guards against memory use that grows with each task."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
-            for at in range(3):
+            leader = await rig.lead_and_sync()
+            for number in range(3):
                 leader.submit(
                     samples.FakeLink(),
-                    samples.make_submit(f'j{at}'),
+                    samples.make_submit(f'j{number}'),
                     rig.clock.now(),
                 )
                 await asyncio.sleep(6)
-            again = samples.FakeLink()
-            leader.submit(again, samples.make_submit('j0'), rig.clock.now())
-            self.assertEqual({}, again.results())
+            new_link = samples.FakeLink()
+            leader.submit(new_link, samples.make_submit('j0'), rig.clock.now())
+            self.assertEqual({}, new_link.results())
 
         samples.with_rig(scenario)
 
     def test_new_leader_waits_for_the_list_of_workers(self) -> None:
-        """Guards against starts on workers that have said that they leave.
+        """Guards against starts on workers that are already draining.
 
-        In a sweep of 30 VMs a VM that read the list every 15 s won a cell, and
-        started a task on a worker that had been draining for 3 s.
+        In a test with 30 VMs, a VM that read the list every 15 s became
+        leader, and started a task on a worker that had drained for 3 s.
         """
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.list_is_new = False
-            leader = await rig.ready()
+            rig.is_list_current = False
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.3)
             self.assertEqual([], rig.records())
-            rig.list_is_new = True
+            rig.is_list_current = True
             await asyncio.sleep(0.3)
             self.assertEqual({0: 'done'}, link.results())
 
         samples.with_rig(scenario)
 
-    def test_new_leader_works_without_the_store(self) -> None:
-        """Guards against a zone without work while the store is silent."""
+    def test_new_leader_starts_tasks_without_a_new_worker_list(self) -> None:
+        """Guards against an idle shard while the store does not answer.
+
+        No newer list arrives; the leader waits for it no longer than 0.7 s.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.list_is_new = False
-            leader = await rig.ready()
+            rig.is_list_current = False
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             submit = samples.make_submit(estimate_s=0.5)
             leader.submit(link, submit, rig.clock.now())
@@ -260,11 +269,11 @@
 
         samples.with_rig(scenario)
 
-    def test_worker_that_left_is_not_asked_for_ever(self) -> None:
-        """Guards against looks at workers that are gone, which are priced."""
+    def test_removed_worker_is_not_polled_forever(self) -> None:
+        """Guards against polls of removed workers; each one is charged for."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             rig.models['w0'].crash(rig.clock.now())
             rig.list_workers(leader, [])
             await asyncio.sleep(3)
@@ -275,11 +284,15 @@
 
         samples.with_rig(scenario)
 
-    def test_returning_worker_knows_the_same_leader(self) -> None:
-        """Guards against a lower fence after a worker was away."""
+    def test_relisted_worker_accepts_orders_of_the_same_leader(self) -> None:
+        """Guards against fences that restart when a worker is listed again.
+
+        The worker has seen higher fences of the same leader and would refuse
+        the lower ones.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             for _ in range(3):
                 rig.list_workers(leader, [])
                 await asyncio.sleep(3)
@@ -293,11 +306,11 @@
 
         samples.with_rig(scenario)
 
-    def test_lost_coordinator_s_runs_are_stopped(self) -> None:
-        """Guards against work for a client whose VM is gone."""
+    def test_runs_of_a_lost_coordinator_are_stopped(self) -> None:
+        """Guards against work for a client whose entry VM has failed."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.1)
@@ -306,34 +319,34 @@
             record = samples.only_item(rig.records())
             self.assertEqual(workers.RunResult.STOPPED, record.how)
 
-        samples.with_rig(scenario, work_of=_long)
+        samples.with_rig(scenario, work_of=_work_of_1_s)
 
-    def test_coordinator_back_in_time_keeps_its_runs(self) -> None:
-        """Guards against repeated work after a reset of a link."""
+    def test_reconnected_coordinator_keeps_its_runs(self) -> None:
+        """Guards against repeated work after a connection reset."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
-            link, again = samples.FakeLink(), samples.FakeLink()
+            leader = await rig.lead_and_sync()
+            link, new_link = samples.FakeLink(), samples.FakeLink()
             leader.submit(link, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.1)
             leader.link_lost(link, rig.clock.now())
             await asyncio.sleep(0.1)
             leader.submit(
-                again, samples.make_submit(resumed=True), rig.clock.now()
+                new_link, samples.make_submit(resumed=True), rig.clock.now()
             )
             await asyncio.sleep(1.5)
-            self.assertEqual({0: 'done'}, again.results())
+            self.assertEqual({0: 'done'}, new_link.results())
             self.assertEqual(1, len(rig.records()))
 
-        samples.with_rig(scenario, work_of=_long)
+        samples.with_rig(scenario, work_of=_work_of_1_s)
 
 
 class TestTakeover(testtools.TestCase):
-    def test_new_leader_takes_over_what_runs(self) -> None:
-        """Guards against lost work when an owner dies."""
+    def test_new_leader_adopts_active_runs(self) -> None:
+        """Guards against lost work when a leader fails."""
 
         async def scenario(rig: samples.Rig) -> None:
-            old = await rig.ready()
+            old = await rig.lead_and_sync()
             old.submit(
                 samples.FakeLink(),
                 samples.make_submit('j1', 2),
@@ -341,7 +354,7 @@
             )
             await asyncio.sleep(0.2)
             await old.close()
-            new, link = await rig.ready(epoch=2), samples.FakeLink()
+            new, link = await rig.lead_and_sync(epoch=2), samples.FakeLink()
             new.submit(
                 link,
                 samples.make_submit('j1', 2, resumed=True),
@@ -351,14 +364,14 @@
             self.assertEqual({0: 'done', 1: 'done'}, link.results())
             self.assertEqual(2, len(rig.records()))
 
-        samples.with_rig(scenario, work_of=_long)
+        samples.with_rig(scenario, work_of=_work_of_1_s)
 
     def test_old_leader_is_fenced(self) -> None:
-        """Guards against two owners that order on one worker."""
+        """Guards against two leaders that start runs on the same worker."""
 
         async def scenario(rig: samples.Rig) -> None:
-            old = await rig.ready()
-            await rig.ready(epoch=2)
+            old = await rig.lead_and_sync()
+            await rig.lead_and_sync(epoch=2)
             old.submit(
                 samples.FakeLink(),
                 samples.make_submit('j1', 2),
@@ -370,32 +383,35 @@
 
         samples.with_rig(scenario)
 
-    def test_run_on_an_unknown_worker_is_not_started_again(self) -> None:
-        """Guards the bug by which an incomplete list hid running tasks."""
+    def test_task_on_an_unlisted_worker_is_not_started_again(self) -> None:
+        """Guards against a bug by which an incomplete list hid active runs.
+
+        The new leader's list lacks the worker that runs the task.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
-            old = await rig.ready()
+            old = await rig.lead_and_sync()
             old.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
             await asyncio.sleep(0.1)
             await old.close()
-            hidden = rig.models.pop('w0')
-            new = await rig.ready(epoch=2, complete=False)
+            unlisted_model = rig.models.pop('w0')
+            new = await rig.lead_and_sync(epoch=2, complete=False)
             link = samples.FakeLink()
             new.submit(link, samples.make_submit(resumed=True), rig.clock.now())
             await asyncio.sleep(1.0)
-            rig.models['w0'] = hidden
+            rig.models['w0'] = unlisted_model
             self.assertEqual({0: 'late'}, link.results())
             self.assertEqual(1, len(rig.records()))
 
-        samples.with_rig(scenario, count=2, work_of=_long)
+        samples.with_rig(scenario, count=2, work_of=_work_of_1_s)
 
-    def test_resumed_task_waits_for_a_worker_that_does_not_report(self) -> None:
-        """Guards against a second run beside one on a worker cut off."""
+    def test_task_on_an_unreachable_worker_is_not_started_again(self) -> None:
+        """Guards against a second run beside one that no report has shown."""
 
         async def scenario(rig: samples.Rig) -> None:
-            old = await rig.ready()
+            old = await rig.lead_and_sync()
             old.submit(
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
@@ -411,13 +427,13 @@
             await asyncio.sleep(0.4)
             self.assertEqual({0: 'late'}, link.results())
 
-        samples.with_rig(scenario, work_of=_long)
+        samples.with_rig(scenario, work_of=_work_of_1_s)
 
-    def test_runs_that_nobody_resumes_are_stopped(self) -> None:
-        """Guards against room that is lost to runs of a dead coordinator."""
+    def test_unresumed_runs_are_stopped(self) -> None:
+        """Guards against capacity that a failed coordinator's runs occupy."""
 
         async def scenario(rig: samples.Rig) -> None:
-            old = await rig.ready()
+            old = await rig.lead_and_sync()
             old.submit(
                 samples.FakeLink(),
                 samples.make_submit('j1', 2),
@@ -425,7 +441,7 @@
             )
             await asyncio.sleep(0.1)
             await old.close()
-            await rig.ready(epoch=2)
+            await rig.lead_and_sync(epoch=2)
             await asyncio.sleep(0.8)
             self.assertEqual(
                 {workers.RunResult.STOPPED},
@@ -437,11 +453,11 @@
             work_of=lambda task, run: samples.typical_work(task, run, 5),
         )
 
-    def test_same_job_from_another_vm_replaces_the_first(self) -> None:
-        """Guards against two runs when a client sends a job again."""
+    def test_job_resubmitted_by_another_vm_is_reattached(self) -> None:
+        """Guards against a second run if a client retries through another VM."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             first, second = samples.FakeLink('vm-1'), samples.FakeLink('vm-2')
             leader.submit(first, samples.make_submit(), rig.clock.now())
             await asyncio.sleep(0.1)
@@ -451,13 +467,13 @@
             self.assertEqual({0: 'done'}, second.results())
             self.assertEqual(1, len(rig.records()))
 
-        samples.with_rig(scenario, work_of=_long)
+        samples.with_rig(scenario, work_of=_work_of_1_s)
 
-    def test_task_waits_for_the_end_of_its_withdrawn_run(self) -> None:
-        """Guards against two runs of a job that is withdrawn and sent again."""
+    def test_resubmitted_task_waits_for_its_withdrawn_run(self) -> None:
+        """Guards against two runs at a time if a stop order is lost."""
 
         async def scenario(rig: samples.Rig) -> None:
-            leader = await rig.ready()
+            leader = await rig.lead_and_sync()
             link = samples.FakeLink()
             submit = samples.make_submit()
             leader.submit(link, submit, rig.clock.now())
@@ -475,4 +491,4 @@
             self.assertEqual([], rig.violations())
             self.assertEqual(2, len(rig.records()))
 
-        samples.with_rig(scenario, count=2, work_of=_long)
+        samples.with_rig(scenario, count=2, work_of=_work_of_1_s)
