--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of real node processes; ``make soak`` runs it."""
+"""Randomized soak test of real node processes; run it with ``make soak``."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Run the soak: random faults at real node processes on loopback.
+"""Run the soak test: random faults in real node processes on loopback.
 
-Each seed is one run. The plan of a run that failed is printed, and its logs
-are kept. Seeds that failed once stand in tests/soak/cases.txt.
+Each seed is one run. The plan of a failed run is printed, and its logs are
+kept. Seeds that have failed before are listed in tests/soak/cases.txt.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from absl import flags
 
 from sardineproxy import command_line, exit_status
-from tests.soak import play
+from tests.soak import soak_run
 
 CASES = pathlib.Path(__file__).with_name('cases.txt')
 
@@ -24,12 +24,12 @@
 
 
 def main(argv: list[str]) -> exit_status.ExitStatus:
-    """Run seeds one after the other; fail if one breaks a promise."""
+    """Run seeds one after the other; fail if one violates a guarantee."""
     cfg = _define_flags()
     status = command_line.parse(cfg, argv, __doc__ or '')
     if status is not None:
         return status
-    size = play.Size(
+    size = soak_run.Size(
         zones=cfg.zones,
         vms=cfg.vms,
         workers=cfg.workers,
@@ -40,7 +40,7 @@
     failed = [
         seed
         for seed in _seeds(cfg)
-        if not run_seed(seed, size, keep=pathlib.Path(cfg.logs))
+        if not run_seed(seed, size, log_directory=pathlib.Path(cfg.logs))
     ]
     sys.stdout.write(f'failed seeds: {failed}\n')
     return exit_status.ExitStatus.ERROR if failed else _SUCCESS
@@ -50,7 +50,7 @@
 
 
 def read_cases() -> list[int]:
-    """Return the seeds that failed once."""
+    """Return the seeds that have failed before."""
     return [
         int(line.split()[0])
         for line in CASES.read_text(encoding='utf-8').splitlines()
@@ -58,23 +58,25 @@
     ]
 
 
-def run_seed(seed: int, size: play.Size, *, keep: pathlib.Path) -> bool:
-    """Run one seed, print what it showed, and keep the logs of a failure."""
+def run_seed(
+    seed: int, size: soak_run.Size, *, log_directory: pathlib.Path
+) -> bool:
+    """Run one seed, print its report, and keep the logs of a failed run."""
     started = time.monotonic()
     with tempfile.TemporaryDirectory(prefix='sardineproxy-soak-') as name:
         directory = pathlib.Path(name)
-        report = asyncio.run(play.play(seed, size, directory))
-        took_s = time.monotonic() - started
-        sys.stdout.write(f'seed {seed}: {report.summary}, {took_s:.0f} s\n')
-        if not report.complaints:
+        report = asyncio.run(soak_run.run(seed, size, directory))
+        duration_s = time.monotonic() - started
+        sys.stdout.write(f'seed {seed}: {report.summary}, {duration_s:.0f} s\n')
+        if not report.violations:
             return True
-        for complaint in report.complaints[:20]:
-            sys.stdout.write(f'  FAILED: {complaint}\n')
+        for violation in report.violations[:20]:
+            sys.stdout.write(f'  FAILED: {violation}\n')
         for fault in report.plan:
             sys.stdout.write(f'  {dataclasses.astuple(fault)}\n')
-        kept = keep / f'seed-{seed}'
-        shutil.copytree(directory, kept, dirs_exist_ok=True)
-        sys.stdout.write(f'  logs: {kept}\n')
+        run_logs = log_directory / f'seed-{seed}'
+        shutil.copytree(directory, run_logs, dirs_exist_ok=True)
+        sys.stdout.write(f'  logs: {run_logs}\n')
     return False
 
 
@@ -90,16 +92,24 @@
 
 def _define_flags() -> flags.FlagValues:
     cfg = command_line.new_flags()
-    size = play.Size()
+    size = soak_run.Size()
     flags.DEFINE_integer(
-        'seed', None, 'First seed; a random one by default.', flag_values=cfg
+        'seed', None, 'First seed, random by default.', flag_values=cfg
+    )
+    flags.DEFINE_integer(
+        'count', 1, 'Number of seeds to run.', 1, flag_values=cfg
     )
-    flags.DEFINE_integer('count', 1, 'Seeds to run.', 1, flag_values=cfg)
     flags.DEFINE_bool(
-        'cases', False, 'Run the seeds that failed once.', flag_values=cfg
+        'cases',
+        False,
+        'Run the seeds that have failed before.',
+        flag_values=cfg,
     )
     flags.DEFINE_string(
-        'logs', 'build/soak', 'Where logs of failures go.', flag_values=cfg
+        'logs',
+        'build/soak',
+        'Directory for the logs of failed runs.',
+        flag_values=cfg,
     )
     for name in ('zones', 'vms', 'workers', 'clients', 'faults'):
         flags.DEFINE_integer(
@@ -108,7 +118,7 @@
     flags.DEFINE_float(
         'length_s',
         size.length_s,
-        'Time in which faults begin, in seconds.',
+        'Period in which faults start, in seconds.',
         flag_values=cfg,
     )
     return cfg
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""Promises that must hold in each run, checked from what was seen."""
+"""Checks of the guarantees that must hold in each run."""
 
 import math
 from typing import Iterator
@@ -7,197 +7,228 @@
 from sardineproxy.standin import run_checks, worker_model
 from tests.soak import fleet, trace
 
-#: Bounds of the deployment, in seconds.
-CONFIG_S = 2.0
+#: Time until a new version is in force, time until a draining worker gets no
+#: more runs, and time without faults that a check requires, in seconds.
+CONFIG_APPLY_S = 2.0
 DRAIN_S = 2.0
-STABLE_S = 3.0
+UNDISTURBED_S = 3.0
 
-#: Time after a term in which a request may still reach the process, seconds.
+#: Time after SIGTERM in which requests may still reach a process, in seconds.
 GRACE_S = 6.0
 
 #: Allowance for a busy machine, in seconds.
 SLACK_S = 1.0
 
-#: Share of the jobs sent after the recovery that must be completed, as the
-#: platform's rules say.
+#: Share of the jobs submitted after the recovery that must be completed
+#: according to the platform's rules.
 RECOVERED_SHARE = 0.25
 
 
-def find_complaints(around: fleet.Fleet) -> list[str]:
-    """Return a sentence for each promise that was broken."""
+def find_violations(fleet: fleet.Fleet) -> list[str]:
+    """Return a description of each violation."""
     return [
-        *around.trace.exits,
-        *_check_workers(around),
-        *_check_answers(around),
-        *_check_stored(around),
-        *_check_waits(around.trace),
-        *_check_shutdowns(around.trace),
-        *_check_versions(around),
-        *_check_draining(around),
+        *fleet.trace.unexpected_exits,
+        *_check_workers(fleet),
+        *_check_answers(fleet),
+        *_check_stored(fleet),
+        *_check_waits(fleet.trace),
+        *_check_shutdowns(fleet.trace),
+        *_check_versions(fleet),
+        *_check_draining(fleet),
     ]
 
 
-def share_completed(seen: trace.Trace, jobs: set[str]) -> float:
-    """Return the share of jobs that were answered as completed."""
+def completed_share(trace: trace.Trace, jobs: set[str]) -> float:
+    """Return the share of the jobs whose answer reports completion."""
     completed = sum(
-        any(attempt.state == 'completed' for attempt in seen.attempts[job])
+        any(attempt.state == 'completed' for attempt in trace.attempts[job])
         for job in jobs
     )
     return completed / max(1, len(jobs))
 
 
-def _records(around: fleet.Fleet) -> list[worker_model.Record]:
+def _records(fleet: fleet.Fleet) -> list[worker_model.Record]:
     return [
-        record for each in around.all_workers() for record in each.model.records
+        record
+        for worker in fleet.all_workers()
+        for record in worker.model.records
     ]
 
 
-def _check_workers(around: fleet.Fleet) -> Iterator[str]:
-    """No start over capacity, none twice at a time, none with other text."""
-    for each in around.all_workers():
-        yield from each.model.complaints
-        for task, payload in each.server.payloads.items():
+def _check_workers(fleet: fleet.Fleet) -> Iterator[str]:
+    """Check the runs on the workers.
+
+    No run exceeds the capacity, runs beside another run of its task, or has a
+    payload other than its job's.
+    """
+    for worker in fleet.all_workers():
+        yield from worker.model.complaints
+        for task, payload in worker.server.payloads.items():
             job = task.partition('.')[0]
-            sent = around.trace.jobs.get(job)
-            if sent is None or sent.payload != payload:
-                yield f'{task} was ordered with {payload!r}'
-    records = _records(around)
+            job_record = fleet.trace.jobs.get(job)
+            if job_record is None or job_record.payload != payload:
+                yield f'{task} was started with the payload {payload!r}'
+    records = _records(fleet)
     yield from run_checks.find_doubles(records)
     yield from run_checks.find_repeats(
-        [each for each in records if _is_stored(around, each)]
+        [record for record in records if _is_stored(fleet, record)]
     )
 
 
-def _is_stored(around: fleet.Fleet, record: worker_model.Record) -> bool:
-    job = around.trace.jobs.get(record.task.partition('.')[0])
+def _is_stored(fleet: fleet.Fleet, record: worker_model.Record) -> bool:
+    job = fleet.trace.jobs.get(record.task.partition('.')[0])
     return job is not None and job.is_stored
 
 
-def _check_answers(around: fleet.Fleet) -> Iterator[str]:
-    """Refused jobs never start; completed jobs are complete."""
+def _check_answers(fleet: fleet.Fleet) -> Iterator[str]:
+    """Check that refused jobs never start and completed jobs are complete."""
     started: dict[str, set[str]] = {}
     done: dict[str, set[str]] = {}
-    for record in _records(around):
+    for record in _records(fleet):
         job = record.task.partition('.')[0]
         started.setdefault(job, set()).add(record.task)
         if record.how is workers.RunResult.DONE:
             done.setdefault(job, set()).add(record.task)
-    for job, attempts in around.trace.attempts.items():
+    for job, attempts in fleet.trace.attempts.items():
         statuses = {attempt.status for attempt in attempts}
         if statuses == {503} and job in started:
-            yield f'{job} was refused as not run and started'
+            yield f'{job} was refused, but was started'
         states = {attempt.state for attempt in attempts}
-        count = around.trace.jobs[job].tasks
+        count = fleet.trace.jobs[job].tasks
         if 'completed' in states and len(done.get(job, ())) != count:
-            yield f'{job} is said to be completed with {done.get(job)}'
-        odd = statuses.difference({200, 503, 504, None})
-        if odd:
-            yield f'{job} was answered with {odd}'
+            yield f'{job} was reported as completed, done: {done.get(job)}'
+        unexpected = statuses.difference({200, 503, 504, None})
+        if unexpected:
+            yield f'{job} was answered with {unexpected}'
 
 
-def _check_stored(around: fleet.Fleet) -> Iterator[str]:
-    """Accepted jobs are known, and end as their tasks did."""
+def _check_stored(fleet: fleet.Fleet) -> Iterator[str]:
+    """Check that accepted jobs are stored and report their tasks' results."""
     done: dict[str, set[str]] = {}
-    for record in _records(around):
+    for record in _records(fleet):
         if record.how is workers.RunResult.DONE:
             job = record.task.partition('.')[0]
             done.setdefault(job, set()).add(record.task)
-    for name, sent in around.trace.jobs.items():
-        attempts = around.trace.attempts[name]
+    for name, job_record in fleet.trace.jobs.items():
+        attempts = fleet.trace.attempts[name]
         is_accepted = any(attempt.status == 200 for attempt in attempts)
-        if not sent.is_stored or not is_accepted:
+        if not job_record.is_stored or not is_accepted:
             continue
         allowed = {'completed', 'failed'}
-        if sent.is_cancelled:
+        if job_record.is_cancelled:
             allowed.add('cancelled')
-        if sent.state not in allowed:
-            yield f'{name} was accepted and is {sent.state or "not known"}'
-        if sent.state == 'completed' and len(done.get(name, ())) != sent.tasks:
-            yield f'{name} is said to be completed with {done.get(name)}'
-
-
-def _check_waits(seen: trace.Trace) -> Iterator[str]:
-    """A calm VM answers each request in the client's time."""
-    for attempts in seen.attempts.values():
+        if job_record.state not in allowed:
+            yield (
+                f'{name} was accepted, but is {job_record.state or "not known"}'
+            )
+        if (
+            job_record.state == 'completed'
+            and len(done.get(name, ())) != job_record.tasks
+        ):
+            yield f'{name} was reported as completed, done: {done.get(name)}'
+
+
+def _check_waits(trace: trace.Trace) -> Iterator[str]:
+    """Check that an undisturbed VM answers each request in time."""
+    for attempts in trace.attempts.values():
         for attempt in attempts:
             if attempt.cause != 'no answer in time':
                 continue
-            if seen.is_calm(attempt.vm, attempt.sent_at - 1, attempt.ended_at):
+            if trace.is_undisturbed(
+                attempt.vm, attempt.sent_at - 1, attempt.ended_at
+            ):
                 yield f'{attempt.job} got no answer from {attempt.vm}'
 
 
-def _check_shutdowns(seen: trace.Trace) -> Iterator[str]:
-    """A process that is asked to end answers what it has taken."""
-    for name, at in seen.terms:
-        others = [
-            each
-            for each in seen.disturbances
-            if each.target in {name, 'store'} and each.kind != 'terminate'
+def _check_shutdowns(trace: trace.Trace) -> Iterator[str]:
+    """Check that a terminated process answers the requests it accepted."""
+    for name, terminated_at in trace.terminations:
+        other_disturbances = [
+            disturbance
+            for disturbance in trace.disturbances
+            if disturbance.target in {name, 'store'}
+            and disturbance.kind != 'terminate'
         ]
-        for attempts in seen.attempts.values():
+        for attempts in trace.attempts.values():
             for attempt in attempts:
                 is_cut = attempt.vm == name and 'Disconnected' in attempt.cause
-                in_time = at - attempt.wait_s < attempt.sent_at < at + GRACE_S
-                is_alone = not any(
-                    each.begin < attempt.ended_at and each.end > at - STABLE_S
-                    for each in others
+                in_time = (
+                    terminated_at - attempt.wait_s
+                    < attempt.sent_at
+                    < terminated_at + GRACE_S
                 )
-                if is_cut and in_time and is_alone:
-                    yield f'{attempt.job} was cut off by the end of {name}'
+                is_only_fault = not any(
+                    disturbance.started_at < attempt.ended_at
+                    and disturbance.ended_at > terminated_at - UNDISTURBED_S
+                    for disturbance in other_disturbances
+                )
+                if is_cut and in_time and is_only_fault:
+                    yield f'{attempt.job} was cut off by the shutdown of {name}'
 
 
-def _check_versions(around: fleet.Fleet) -> Iterator[str]:
-    """Versions are in force in time and never go back."""
-    seen = around.trace
+def _check_versions(fleet: fleet.Fleet) -> Iterator[str]:
+    """Check that versions are in force in time and are never rolled back."""
+    trace = fleet.trace
     newest: dict[tuple[str, int], int] = {}
-    for sighting in seen.sightings:
-        process = (sighting.vm, sighting.start)
-        if sighting.version < newest.get(process, 0):
-            yield f'{sighting.vm} went back to version {sighting.version}'
-        newest[process] = max(sighting.version, newest.get(process, 0))
-        since = sighting.asked_at - STABLE_S - CONFIG_S
-        is_calm = seen.is_calm(sighting.vm, since, sighting.at)
-        if not is_calm or not seen.is_calm('store', since, sighting.at):
+    for observation in trace.version_observations:
+        process = (observation.vm, observation.start)
+        if observation.version < newest.get(process, 0):
+            yield f'{observation.vm} went back to version {observation.version}'
+        newest[process] = max(observation.version, newest.get(process, 0))
+        since = observation.requested_at - UNDISTURBED_S - CONFIG_APPLY_S
+        is_undisturbed = trace.is_undisturbed(
+            observation.vm, since, observation.answered_at
+        )
+        if not is_undisturbed or not trace.is_undisturbed(
+            'store', since, observation.answered_at
+        ):
             continue
-        due = max(
+        expected_version = max(
             number
-            for number, at in seen.versions.items()
-            if at <= sighting.asked_at - CONFIG_S - SLACK_S or number == 1
+            for number, published_at in trace.version_times.items()
+            if published_at
+            <= observation.requested_at - CONFIG_APPLY_S - SLACK_S
+            or number == 1
         )
-        if sighting.version < due:
-            yield f'{sighting.vm} has version {sighting.version}, not {due}'
-
-
-def _check_draining(around: fleet.Fleet) -> Iterator[str]:
-    """A worker that drains gets no starts after a while."""
-    seen = around.trace
-    for drain in seen.drainings:
-        model = around.find_worker(drain.worker).model
+        if observation.version < expected_version:
+            yield (
+                f'{observation.vm} has version {observation.version}, '
+                f'not {expected_version}'
+            )
+
+
+def _check_draining(fleet: fleet.Fleet) -> Iterator[str]:
+    """Check that draining workers get no runs after ``DRAIN_S``."""
+    trace = fleet.trace
+    for notice in trace.drain_notices:
+        model = fleet.find_worker(notice.worker).model
         for record in model.records:
-            age_s = record.started_at - drain.at
+            age_s = record.started_at - notice.announced_at
             if not DRAIN_S + SLACK_S < age_s < GRACE_S:
                 continue
-            since = drain.at - STABLE_S
-            names = ('store', drain.worker, *around.vms)
+            since = notice.announced_at - UNDISTURBED_S
+            names = ('store', notice.worker, *fleet.vms)
             if all(
-                seen.is_calm(name, since, record.started_at) for name in names
+                trace.is_undisturbed(name, since, record.started_at)
+                for name in names
             ):
-                yield f'{record.task} started on draining {drain.worker}'
+                yield f'{record.task} started on draining {notice.worker}'
 
 
-def describe(seen: trace.Trace) -> str:
-    """Return one line about what happened."""
+def describe(trace: trace.Trace) -> str:
+    """Return a summary of a run in one line."""
     attempts = [
         attempt
-        for of_job in seen.attempts.values()
-        for attempt in of_job
+        for attempts_of_job in trace.attempts.values()
+        for attempt in attempts_of_job
         if attempt.ended_at < math.inf
     ]
     completed = sum(attempt.state == 'completed' for attempt in attempts)
     refused = sum(attempt.status == 503 for attempt in attempts)
     given_up = sum(attempt.status == 504 for attempt in attempts)
     return (
-        f'{len(seen.jobs)} jobs, {len(attempts)} requests: '
+        f'{len(trace.jobs)} jobs, {len(attempts)} requests: '
         f'{completed} completed, {refused} refused, {given_up} given up, '
-        f'{len(seen.disturbances)} faults, {len(seen.sightings)} sightings'
+        f'{len(trace.disturbances)} faults, '
+        f'{len(trace.version_observations)} version checks'
     )
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The deployment of one run: store, workers, entry VMs and the operator."""
+"""Deployment of one run: store, workers, entry VMs and the operator."""
 
 import asyncio
 import json
@@ -15,12 +15,13 @@
 from tests.platform import samples, store_server
 from tests.soak import trace, vm, worker
 
-#: Time between two checks of readiness, and of the version in force.
-CHECK_S = 0.5
-SIGHT_S = 0.25
+#: Intervals of the checks of readiness and of the version in force, in
+#: seconds.
+CHECK_INTERVAL_S = 0.5
+VERSION_CHECK_INTERVAL_S = 0.25
 
-#: Failed checks after which a VM gets no new clients.
-MAX_MISSES = 2
+#: Number of failed checks in a row after which a VM gets no new clients.
+MAX_FAILED_CHECKS = 2
 
 _MEMBER = 'sardineproxy/member/'
 HOST = 'jobs.example'
@@ -28,7 +29,7 @@
 
 
 class Fleet:
-    """Everything that runs, and what was seen of it."""
+    """All servers and processes of a run, and the trace of the run."""
 
     def __init__(
         self,
@@ -45,30 +46,30 @@
         self.zones = [f'zone-{number}' for number in range(zones)]
         self.rows = row_store.RowStore()
         self.store = store_server.StoreServer(rows=self.rows, rng=rng)
-        self.store.rewrite = self._relay_members
+        self.store.rewrite = self._list_members_at_relays
         self.vms: dict[str, vm.Vm] = {}
         self.workers: dict[str, worker.Worker] = {}
         self.version = 0
 
-        #: Workers that have left for good.
-        self.gone: list[worker.Worker] = []
+        #: Workers that were removed permanently.
+        self.removed_workers: list[worker.Worker] = []
         self._directory = directory
         self._counts = (vms, workers)
-        self._out: set[str] = set()
-        self._misses: dict[str, int] = {}
+        self._unready: set[str] = set()
+        self._failed_checks: dict[str, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self._session: aiohttp.ClientSession
 
     async def start(self) -> None:
-        """Start everything and wait until all VMs are ready."""
+        """Start all servers, processes and periodic checks."""
         self._session = aiohttp.ClientSession()
         port = await self.store.listen()
         address = deployment.Address(host='127.0.0.1', port=port)
         self.change_configuration()
         await self._add_workers()
         await self._add_vms(address)
-        for each in self.vms.values():
-            await each.start()
+        for entry_vm in self.vms.values():
+            await entry_vm.start()
         self._tasks = [
             asyncio.create_task(self._check_readiness()),
             asyncio.create_task(self._watch_versions()),
@@ -76,39 +77,55 @@
         ]
 
     async def stop(self) -> None:
-        """End all processes that were started."""
+        """Kill all processes that were started."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.gather(*(each.kill() for each in self.vms.values()))
+        await asyncio.gather(
+            *(entry_vm.kill() for entry_vm in self.vms.values())
+        )
         await self._session.close()
 
-    async def all_ready(self, limit_s: float) -> bool:
-        """Wait until all VMs report ready."""
+    async def wait_until_ready(self, limit_s: float) -> bool:
+        """Wait until all VMs are ready; return False after ``limit_s``."""
         until = self.clock.now() + limit_s
         while self.clock.now() < until:
             if all(await asyncio.gather(*map(self._is_ready, self.vms))):
                 return True
-            await asyncio.sleep(CHECK_S / 2)
+            await asyncio.sleep(CHECK_INTERVAL_S / 2)
         return False
 
-    def pick(
-        self, zone: str, rng: random.Random, other: vm.Vm | None = None
+    def pick_vm(
+        self, zone: str, rng: random.Random, excluded: vm.Vm | None = None
     ) -> vm.Vm:
-        """Return a VM that the balancer would give a new connection."""
-        of_zone = [each for each in self.vms.values() if each.zone == zone]
-        ready = [each for each in of_zone if each.name not in self._out]
-        candidates = ready if 2 * len(ready) >= len(of_zone) else of_zone
+        """Return a VM to which a load balancer would connect a client."""
+        zone_vms = [
+            entry_vm for entry_vm in self.vms.values() if entry_vm.zone == zone
+        ]
+        ready = [
+            entry_vm
+            for entry_vm in zone_vms
+            if entry_vm.name not in self._unready
+        ]
+        candidates = ready if 2 * len(ready) >= len(zone_vms) else zone_vms
         if not ready:
-            away = [each for each in self.vms.values() if each.zone != zone]
+            other_zone_vms = [
+                entry_vm
+                for entry_vm in self.vms.values()
+                if entry_vm.zone != zone
+            ]
             candidates = [
-                each for each in away if each.name not in self._out
-            ] or of_zone
-        fresh = [each for each in candidates if each is not other]
-        return rng.choice(fresh or candidates)
+                entry_vm
+                for entry_vm in other_zone_vms
+                if entry_vm.name not in self._unready
+            ] or zone_vms
+        not_excluded = [
+            entry_vm for entry_vm in candidates if entry_vm is not excluded
+        ]
+        return rng.choice(not_excluded or candidates)
 
     def change_configuration(self) -> None:
-        """Put a new version into the store; it alone has its probe route."""
+        """Write a new version to the store; only it has its probe route."""
         self.version += 1
         number = self.version
         body = samples.configuration(
@@ -124,54 +141,63 @@
             ),
         )
         self.rows.put('op/config', body)
-        self.trace.versions[number] = self.clock.now()
+        self.trace.version_times[number] = self.clock.now()
 
     def all_workers(self) -> list[worker.Worker]:
-        """Return all workers there were."""
-        return [*self.workers.values(), *self.gone]
+        """Return all current and former workers."""
+        return [*self.workers.values(), *self.removed_workers]
 
     def find_worker(self, name: str) -> worker.Worker:
-        """Return a worker by its name."""
-        return next(each for each in self.all_workers() if each.name == name)
+        """Return a current or former worker by its name."""
+        return next(
+            candidate
+            for candidate in self.all_workers()
+            if candidate.name == name
+        )
 
-    def write_settings(self, of: vm.Vm, extra: str = '') -> None:
-        """Write a VM's settings file anew."""
-        of.write_settings(
+    def write_settings(self, target: vm.Vm, extra: str = '') -> None:
+        """Replace the settings file of a VM."""
+        target.write_settings(
             zones=self.zones,
-            seeds=[each.ports['links'] for each in self.vms.values()][:3],
+            seeds=[entry_vm.ports['links'] for entry_vm in self.vms.values()][
+                :3
+            ],
             extra=extra,
         )
 
     async def _add_workers(self) -> None:
         for number in range(self._counts[1]):
-            added = worker.Worker(
+            new_worker = worker.Worker(
                 name=f'w{number}',
                 zone=self.zones[number % len(self.zones)],
                 clock=self.clock,
                 rows=self.rows,
                 rng=self.rng,
             )
-            await added.listen()
-            self.workers[added.name] = added
+            await new_worker.listen()
+            self.workers[new_worker.name] = new_worker
 
     async def _add_vms(self, address: deployment.Address) -> None:
-        # Addresses of other runs at the same time must not be the same.
+        # Concurrent runs must use different addresses.
         high, low = divmod(os.getpid() % 62_500, 250)
         for number in range(self._counts[0]):
-            added = vm.Vm(
+            new_vm = vm.Vm(
                 name=f'vm{number}',
                 zone=self.zones[number % len(self.zones)],
                 host=f'127.{high + 1}.{low + 1}.{number + 1}',
                 directory=self._directory,
                 store=address,
             )
-            await added.listen()
-            self.vms[added.name] = added
-        for each in self.vms.values():
-            self.write_settings(each)
+            await new_vm.listen()
+            self.vms[new_vm.name] = new_vm
+        for entry_vm in self.vms.values():
+            self.write_settings(entry_vm)
 
-    def _relay_members(self, write: store.Write) -> store.Write:
-        """List VMs at their relays, so that links can be disturbed."""
+    def _list_members_at_relays(self, write: store.Write) -> store.Write:
+        """Replace the listed address of a VM by that of its relay.
+
+        Links between VMs can be disturbed there.
+        """
         if not write.key.startswith(_MEMBER):
             return write
         name = write.key.removeprefix(_MEMBER)
@@ -181,17 +207,19 @@
         return store.Write(key=write.key, body=json.dumps(document).encode())
 
     async def _is_ready(self, name: str) -> bool:
-        of = self.vms[name]
-        status = await self._ask(of, of.ready_port, '/v1/ready', 'x')
+        target = self.vms[name]
+        status = await self._get_status(
+            target, target.ready_port, '/v1/ready', 'x'
+        )
         return status == 200
 
-    async def _ask(
-        self, of: vm.Vm, port: int, path: str, host: str
+    async def _get_status(
+        self, target: vm.Vm, port: int, path: str, host: str
     ) -> int | None:
         try:
-            async with asyncio.timeout(CHECK_S):
+            async with asyncio.timeout(CHECK_INTERVAL_S):
                 async with self._session.get(
-                    f'http://{of.host}:{port}{path}', headers={'Host': host}
+                    f'http://{target.host}:{port}{path}', headers={'Host': host}
                 ) as reply:
                     return reply.status
         except (aiohttp.ClientError, TimeoutError):
@@ -200,36 +228,40 @@
     async def _check_readiness(self) -> None:
         while True:
             for name in self.vms:
-                self._note_readiness(name, is_ready=await self._is_ready(name))
-            await asyncio.sleep(CHECK_S)
+                self._record_readiness(
+                    name, is_ready=await self._is_ready(name)
+                )
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _note_readiness(self, name: str, *, is_ready: bool) -> None:
-        self._misses[name] = 0 if is_ready else self._misses.get(name, 0) + 1
+    def _record_readiness(self, name: str, *, is_ready: bool) -> None:
+        self._failed_checks[name] = (
+            0 if is_ready else self._failed_checks.get(name, 0) + 1
+        )
         if is_ready:
-            self._out.discard(name)
-        elif self._misses[name] >= MAX_MISSES:
-            self._out.add(name)
+            self._unready.discard(name)
+        elif self._failed_checks[name] >= MAX_FAILED_CHECKS:
+            self._unready.add(name)
 
     async def _watch_versions(self) -> None:
-        """Ask each VM for the probe routes of the two newest versions."""
+        """Request the probe routes of the two newest versions of each VM."""
         while True:
-            await asyncio.gather(*map(self._sight, self.vms.values()))
-            await asyncio.sleep(SIGHT_S)
+            await asyncio.gather(*map(self._observe_version, self.vms.values()))
+            await asyncio.sleep(VERSION_CHECK_INTERVAL_S)
 
-    async def _sight(self, of: vm.Vm) -> None:
+    async def _observe_version(self, target: vm.Vm) -> None:
         for version in (self.version, self.version - 1):
-            asked_at = self.clock.now()
-            start = of.starts
-            status = await self._ask(
-                of, of.front_port, f'/v{version}/', PROBE_HOST
+            requested_at = self.clock.now()
+            start = target.start_count
+            status = await self._get_status(
+                target, target.front_port, f'/v{version}/', PROBE_HOST
             )
-            if status == 200 and of.starts == start:
-                self.trace.sightings.append(
-                    trace.Sighting(
-                        vm=of.name,
+            if status == 200 and target.start_count == start:
+                self.trace.version_observations.append(
+                    trace.VersionObservation(
+                        vm=target.name,
                         start=start,
-                        asked_at=asked_at,
-                        at=self.clock.now(),
+                        requested_at=requested_at,
+                        answered_at=self.clock.now(),
                         version=version,
                     )
                 )
@@ -237,11 +269,11 @@
 
     async def _watch_processes(self) -> None:
         while True:
-            for each in self.vms.values():
-                if each.has_ended():
-                    each.is_wanted = False
-                    self.trace.exits.append(
-                        f'{each.name} ended by itself with status '
-                        f'{each.exit_status}; see {each.log_path}'
+            for entry_vm in self.vms.values():
+                if entry_vm.has_exited_unexpectedly():
+                    entry_vm.should_run = False
+                    self.trace.unexpected_exits.append(
+                        f'{entry_vm.name} exited unexpectedly with status '
+                        f'{entry_vm.exit_status}; see {entry_vm.log_path}'
                     )
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
--- a/tests/soak/trace.py
+++ b/tests/soak/trace.py
@@ -1,4 +1,4 @@
-"""What clients, workers and the operator saw during a run."""
+"""Records of requests, faults and observations during a run."""
 
 import collections
 import dataclasses
@@ -7,36 +7,36 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Attempt:
-    """One request of a client; times are in seconds of the loop's clock."""
+    """One request of a client; times are in seconds on the local clock."""
 
     job: str
     vm: str
     sent_at: float
 
-    #: How long the client waits for the answer.
+    #: Time that the client waits for the answer.
     wait_s: float
     ended_at: float = math.inf
 
-    #: Status of the whole answer, None if there was none.
+    #: Status of the complete answer, None if there was none.
     status: int | None = None
 
-    #: State of the job that the answer gives.
+    #: State of the job according to the answer.
     state: str = ''
 
-    #: Why there was no answer.
+    #: Reason why there was no answer.
     cause: str = ''
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class SentJob:
-    """A job as its client sent it, and what a client of stored ones saw."""
+class SubmittedJob:
+    """A job as its client submitted it, and its state if it is stored."""
 
     payload: str
     tasks: int
     is_stored: bool = False
     is_cancelled: bool = False
 
-    #: Newest state of a stored job.
+    #: Last known state of a stored job.
     state: str = ''
 
 
@@ -46,58 +46,69 @@
 
     target: str
     kind: str
-    begin: float
-    end: float = math.inf
+    started_at: float
+    ended_at: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Sighting:
-    """Newest version that a VM's answers showed."""
+class VersionObservation:
+    """Newest configuration version that a VM had in force."""
 
     vm: str
+
+    #: Number of the VM's process, counted from 1.
     start: int
-    asked_at: float
-    at: float
+    requested_at: float
+    answered_at: float
     version: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Draining:
-    """A worker that said that it leaves."""
+class DrainNotice:
+    """Announcement of a worker that it will shut down."""
 
     worker: str
     zone: str
-    at: float
+    announced_at: float
 
 
 class Trace:
-    """Everything that the checks need."""
+    """Everything that the checks evaluate."""
 
     def __init__(self) -> None:
-        self.jobs: dict[str, SentJob] = {}
+        self.jobs: dict[str, SubmittedJob] = {}
         self.attempts: dict[str, list[Attempt]] = collections.defaultdict(list)
         self.disturbances: list[Disturbance] = []
-        self.versions: dict[int, float] = {}
-        self.sightings: list[Sighting] = []
-        self.drainings: list[Draining] = []
-        self.terms: list[tuple[str, float]] = []
-
-        #: Sentences about processes that ended by themselves.
-        self.exits: list[str] = []
-
-    def disturb(self, target: str, kind: str, now: float) -> Disturbance:
-        """Note the beginning of a fault."""
-        noted = Disturbance(target=target, kind=kind, begin=now)
-        self.disturbances.append(noted)
-        return noted
-
-    def note_draining(self, name: str, zone: str, now: float) -> None:
-        """Note that a worker has said that it leaves."""
-        self.drainings.append(Draining(worker=name, zone=zone, at=now))
-
-    def is_calm(self, target: str, since: float, until: float) -> bool:
-        """Tell whether nothing disturbed a target in a time."""
+        #: Local times of the publication of versions, in seconds.
+        self.version_times: dict[int, float] = {}
+        self.version_observations: list[VersionObservation] = []
+        self.drain_notices: list[DrainNotice] = []
+
+        #: Names of terminated VMs and local times of SIGTERM, in seconds.
+        self.terminations: list[tuple[str, float]] = []
+
+        #: Descriptions of processes that exited unexpectedly.
+        self.unexpected_exits: list[str] = []
+
+    def record_disturbance(
+        self, target: str, kind: str, now: float
+    ) -> Disturbance:
+        """Record the start of a fault."""
+        disturbance = Disturbance(target=target, kind=kind, started_at=now)
+        self.disturbances.append(disturbance)
+        return disturbance
+
+    def record_drain_notice(self, name: str, zone: str, now: float) -> None:
+        """Record that a worker has announced its shutdown."""
+        self.drain_notices.append(
+            DrainNotice(worker=name, zone=zone, announced_at=now)
+        )
+
+    def is_undisturbed(self, target: str, since: float, until: float) -> bool:
+        """Return whether a target had no fault in a period."""
         return not any(
-            each.target == target and each.begin < until and each.end > since
-            for each in self.disturbances
+            disturbance.target == target
+            and disturbance.started_at < until
+            and disturbance.ended_at > since
+            for disturbance in self.disturbances
         )
--- a/tests/soak/vm.py
+++ b/tests/soak/vm.py
@@ -1,4 +1,4 @@
-"""One entry VM of the soak: a real process behind relays."""
+"""One entry VM of the soak test: a real process behind relays."""
 
 import asyncio
 import contextlib
@@ -66,14 +66,14 @@
         self.store = relay_server.Relay(host=store.host, port=store.port)
         self.ports: dict[str, int] = {}
 
-        #: How often the process was started.
-        self.starts = 0
+        #: Number of starts of the process.
+        self.start_count = 0
 
-        #: True while the harness wants the process to run.
-        self.is_wanted = False
+        #: True while the process must not exit.
+        self.should_run = False
         self._directory = directory
         self._process: asyncio.subprocess.Process | None = None
-        self._starting = asyncio.Lock()
+        self._start_lock = asyncio.Lock()
 
     async def listen(self) -> None:
         """Open the relays."""
@@ -83,13 +83,13 @@
 
     @property
     def log_path(self) -> pathlib.Path:
-        """Return where the process writes its logs."""
+        """Return the path of the log file."""
         return self._directory / f'{self.name}.log'
 
     def write_settings(
         self, *, zones: list[str], seeds: list[int], extra: str = ''
     ) -> None:
-        """Write the settings file anew."""
+        """Replace the settings file."""
         text = _SETTINGS.format(
             name=self.name,
             zone=self.zone,
@@ -102,28 +102,28 @@
             store=self.ports['store'],
             extra=extra,
         )
-        fresh = self._settings_path.with_suffix('.new')
-        fresh.write_text(text)
-        fresh.replace(self._settings_path)
+        new_path = self._settings_path.with_suffix('.new')
+        new_path.write_text(text)
+        new_path.replace(self._settings_path)
 
     async def start(self) -> None:
-        """Start the process unless it runs; faults that overlap may ask."""
-        async with self._starting:
+        """Start the process, unless an overlapping fault already has."""
+        async with self._start_lock:
             if self._process is None or self._process.returncode is not None:
-                self.starts += 1
+                self.start_count += 1
                 await self._spawn()
-                self.is_wanted = True
+                self.should_run = True
 
     async def kill(self) -> None:
-        """End the process at once."""
-        self.is_wanted = False
+        """Kill the process, and wait for its exit."""
+        self.should_run = False
         self.send_signal(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
 
     async def terminate(self, grace_s: float) -> None:
-        """Ask the process to end, and kill it after the grace."""
-        self.is_wanted = False
+        """Send SIGTERM, and kill the process after the grace period."""
+        self.should_run = False
         self.send_signal(signal.SIGTERM)
         assert self._process is not None
         with contextlib.suppress(TimeoutError):
@@ -138,13 +138,13 @@
 
     @property
     def exit_status(self) -> int | None:
-        """Return how the last process ended, a signal as a negative number."""
+        """Return the last process's exit status, a signal as a negative one."""
         return None if self._process is None else self._process.returncode
 
-    def has_ended(self) -> bool:
-        """Tell whether the process ended though nobody asked it to."""
+    def has_exited_unexpectedly(self) -> bool:
+        """Return whether the process exited without a signal from a fault."""
         return (
-            self.is_wanted
+            self.should_run
             and self._process is not None
             and self._process.returncode is not None
         )
@@ -174,11 +174,11 @@
 
 
 def free_ports(host: str) -> tuple[int, int, int]:
-    """Return three ports that the kernel finds free on an address."""
+    """Return three free ports of an address."""
     sockets = [socket.socket() for _ in range(3)]
-    for each in sockets:
-        each.bind((host, 0))
-    first, second, third = (each.getsockname()[1] for each in sockets)
-    for opened in sockets:
-        opened.close()
+    for unbound in sockets:
+        unbound.bind((host, 0))
+    first, second, third = (bound.getsockname()[1] for bound in sockets)
+    for sock in sockets:
+        sock.close()
     return first, second, third
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -1,4 +1,4 @@
-"""One worker of the soak: a modelled worker behind a relay, and its beats."""
+"""One worker of the soak test: a modelled worker behind a relay."""
 
 import asyncio
 import random
@@ -11,8 +11,8 @@
 from tests.platform import worker_server
 from tests.process.shards import samples
 
-#: Time between two writes of a worker's entry, in seconds.
-BEAT_S = 1.5
+#: Interval at which a worker writes its list entry, in seconds.
+ENTRY_INTERVAL_S = 1.5
 
 #: Run times of tasks on a worker of speed 1, in seconds.
 WORK_S = (0.06, 0.2, 0.9)
@@ -21,7 +21,7 @@
 
 
 class Worker:
-    """A worker, its HTTP server and its entry in the list."""
+    """A worker, its HTTP server and its entry in the worker list."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._clock = clock
         self._rows = rows
 
-        #: Share of the runs that fail, and whether runs stand still.
+        #: Whether new runs fail, and whether they hang.
         self.fails = False
         self.hangs = False
         self.state = workers.WorkerState.READY
@@ -52,43 +52,43 @@
         )
         self.server = worker_server.WorkerServer(model=self.model, clock=clock)
         self.relay: relay_server.Relay
-        self._beating: asyncio.Task[None] | None = None
+        self._entry_task: asyncio.Task[None] | None = None
 
     async def listen(self) -> None:
-        """Open the server and its relay, and begin to beat."""
+        """Open the server and its relay, and start writing entries."""
         port = await self.server.listen()
         self.relay = relay_server.Relay(host='127.0.0.1', port=port)
         self.server.move(await self.relay.listen('127.0.0.1', 0))
-        self._beating = asyncio.create_task(self._beat())
+        self._entry_task = asyncio.create_task(self._write_entries())
 
     def crash(self) -> None:
-        """End everything that runs, and answer nothing."""
+        """End all runs, and answer no more calls."""
         self.model.crash(self._clock.now())
 
     def restart(self) -> None:
-        """Begin a new life under the same id."""
+        """Restart under the same id, unless the worker is running."""
         if not self.model.is_up:
             self.model.restart(self._clock.now())
             self.state = workers.WorkerState.READY
             self.write_entry()
 
-    def leave(self) -> None:
-        """Be gone for good."""
+    def remove(self) -> None:
+        """Crash, and remove the list entry permanently."""
         self.crash()
-        if self._beating is not None:
-            self._beating.cancel()
+        if self._entry_task is not None:
+            self._entry_task.cancel()
         self._rows.put(f'servers/{self.name}', None)
 
     def write_entry(self) -> None:
-        """Write the entry as the worker is now."""
+        """Write a list entry with the current state."""
         self.model.set_state(self.state)
         self._rows.put(f'servers/{self.name}', self.server.worker_entry())
 
-    async def _beat(self) -> None:
+    async def _write_entries(self) -> None:
         while True:
             if self.model.is_up:
                 self.write_entry()
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(ENTRY_INTERVAL_S)
 
     def _work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
         how: workers.RunResult | None = workers.RunResult.DONE
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and what its checks find."""
+"""A short run of the soak test, and tests of its checks."""
 
 import asyncio
 import pathlib
@@ -12,18 +12,18 @@
 from sardineproxy.standin import worker_model
 from tests.process.shards import samples
 from tests.soak import __main__ as soak
-from tests.soak import checks, play, trace
+from tests.soak import checks, soak_run, trace
 
 #: Seed and size of the run in CI.
 SEED = 7
-SIZE = play.Size(vms=3, workers=4, clients=3, faults=6, length_s=5)
+SIZE = soak_run.Size(vms=3, workers=4, clients=3, faults=6, length_s=5)
 
 JOB = '00000000000000a1'
 TASK = f'{JOB}.0.0.0'
 
 
 class _Worker:
-    """A worker that ran what a test says."""
+    """A worker with the runs that a test adds."""
 
     def __init__(self) -> None:
         self.name = 'w0'
@@ -33,10 +33,10 @@
             worker=samples.make_worker(), work_of=samples.typical_work
         )
 
-    def ran(
+    def add_run(
         self,
         task: str = TASK,
-        begin: float = 10,
+        started_at: float = 10,
         how: workers.RunResult = workers.RunResult.DONE,
     ) -> None:
         self.model.records.append(
@@ -44,8 +44,8 @@
                 task=workers.TaskName(task),
                 run=len(self.model.records) + 1,
                 worker='w0',
-                started_at=begin,
-                ended_at=begin + 0.2,
+                started_at=started_at,
+                ended_at=started_at + 0.2,
                 how=how,
                 resources=samples.make_worker().capacity,
             )
@@ -53,14 +53,14 @@
 
 
 class _Fleet:
-    """What the checks read of a deployment."""
+    """The parts of a deployment that the checks read."""
 
     def __init__(self) -> None:
         self.trace = trace.Trace()
         self.vms = ('vm0',)
         self.worker = _Worker()
-        self.trace.jobs[JOB] = trace.SentJob(payload='text', tasks=1)
-        self.trace.versions[1] = 0
+        self.trace.jobs[JOB] = trace.SubmittedJob(payload='text', tasks=1)
+        self.trace.version_times[1] = 0
 
     def all_workers(self) -> list[_Worker]:
         return [self.worker]
@@ -68,13 +68,13 @@
     def find_worker(self, name: str) -> _Worker:
         return self.worker
 
-    def store(self, state: str) -> None:
-        """Accept the job as a stored one, which is last seen in a state."""
+    def accept_stored_job(self, state: str) -> None:
+        """Accept the job as a stored one, with ``state`` as its last state."""
         self.trace.jobs[JOB].is_stored = True
         self.trace.jobs[JOB].state = state
-        self.answer(state='queued')
+        self.add_attempt(state='queued')
 
-    def answer(self, **changes: Any) -> None:
+    def add_attempt(self, **changes: Any) -> None:
         fields: dict[str, Any] = {
             'job': JOB,
             'vm': 'vm0',
@@ -86,126 +86,132 @@
         }
         self.trace.attempts[JOB].append(trace.Attempt(**{**fields, **changes}))
 
-    def show(self, version: int, at: float, start: int = 1) -> None:
-        self.trace.sightings.append(
-            trace.Sighting(
-                vm='vm0', start=start, asked_at=at, at=at, version=version
+    def observe_version(self, version: int, at: float, start: int = 1) -> None:
+        self.trace.version_observations.append(
+            trace.VersionObservation(
+                vm='vm0',
+                start=start,
+                requested_at=at,
+                answered_at=at,
+                version=version,
             )
         )
 
-    def complaints(self) -> list[str]:
-        return checks.find_complaints(self)  # type: ignore[arg-type]
+    def violations(self) -> list[str]:
+        return checks.find_violations(self)  # type: ignore[arg-type]
 
 
 class TestRun(testtools.TestCase):
-    def test_short_run_keeps_all_promises(self) -> None:
-        """Guards against a node that fails as soon as faults overlap."""
+    def test_short_run_has_no_violations(self) -> None:
+        """Guards against a node that fails when several faults overlap."""
         with tempfile.TemporaryDirectory() as name:
-            report = asyncio.run(play.play(SEED, SIZE, pathlib.Path(name)))
-        self.assertEqual([], report.complaints, report.plan)
+            report = asyncio.run(soak_run.run(SEED, SIZE, pathlib.Path(name)))
+        self.assertEqual([], report.violations, report.plan)
 
-    def test_cases_are_seeds(self) -> None:
-        """Guards against a list of cases that cannot be run."""
+    def test_cases_are_valid_seeds(self) -> None:
+        """Guards against a list of cases that cannot be parsed."""
         self.assertThat(
             soak.read_cases(), matchers.AllMatch(matchers.IsInstance(int))
         )
 
 
 class TestChecks(testtools.TestCase):
-    """Guards against checks that cannot fail."""
-
-    def test_sound_run_has_no_complaints(self) -> None:
-        around = _Fleet()
-        around.worker.ran()
-        around.answer()
-        around.show(1, at=10)
-        self.assertEqual([], around.complaints())
-
-    def test_refused_job_that_started_is_found(self) -> None:
-        around = _Fleet()
-        around.worker.ran()
-        around.answer(status=503, state='')
-        self.assertThat(around.complaints()[0], matchers.Contains('refused'))
-
-    def test_completed_job_without_all_tasks_is_found(self) -> None:
-        around = _Fleet()
-        around.worker.ran(how=workers.RunResult.STOPPED)
-        around.answer()
-        self.assertThat(around.complaints()[0], matchers.Contains('completed'))
-
-    def test_two_runs_at_a_time_are_found(self) -> None:
-        around = _Fleet()
-        around.worker.ran(begin=10)
-        around.worker.ran(begin=10.1)
-        self.assertThat(around.complaints()[0], matchers.Contains('same time'))
-
-    def test_other_payload_is_found(self) -> None:
-        around = _Fleet()
-        around.worker.payloads[TASK] = 'other'
-        self.assertThat(around.complaints()[0], matchers.Contains('other'))
-
-    def test_missing_answer_of_a_calm_vm_is_found(self) -> None:
-        around = _Fleet()
-        around.answer(status=None, state='', cause='no answer in time')
-        self.assertThat(around.complaints()[0], matchers.Contains('no answer'))
+    """Guards against checks that never report a violation."""
+
+    def test_correct_run_has_no_violations(self) -> None:
+        fleet = _Fleet()
+        fleet.worker.add_run()
+        fleet.add_attempt()
+        fleet.observe_version(1, at=10)
+        self.assertEqual([], fleet.violations())
+
+    def test_refused_job_that_started_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.worker.add_run()
+        fleet.add_attempt(status=503, state='')
+        self.assertThat(fleet.violations()[0], matchers.Contains('refused'))
+
+    def test_completed_job_without_all_tasks_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.worker.add_run(how=workers.RunResult.STOPPED)
+        fleet.add_attempt()
+        self.assertThat(fleet.violations()[0], matchers.Contains('completed'))
+
+    def test_two_simultaneous_runs_are_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.worker.add_run(started_at=10)
+        fleet.worker.add_run(started_at=10.1)
+        self.assertThat(fleet.violations()[0], matchers.Contains('same time'))
+
+    def test_other_payload_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.worker.payloads[TASK] = 'other'
+        self.assertThat(fleet.violations()[0], matchers.Contains('other'))
+
+    def test_missing_answer_of_an_undisturbed_vm_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.add_attempt(status=None, state='', cause='no answer in time')
+        self.assertThat(fleet.violations()[0], matchers.Contains('no answer'))
 
     def test_missing_answer_of_a_frozen_vm_is_allowed(self) -> None:
-        around = _Fleet()
-        around.trace.disturb('vm0', 'freeze', 10.1)
-        around.answer(status=None, state='', cause='no answer in time')
-        self.assertEqual([], around.complaints())
-
-    def test_request_cut_off_by_a_shutdown_is_found(self) -> None:
-        around = _Fleet()
-        around.trace.terms.append(('vm0', 10.1))
-        around.answer(status=None, state='', cause='ServerDisconnectedError')
-        self.assertThat(around.complaints()[0], matchers.Contains('cut off'))
-
-    def test_version_that_goes_back_is_found(self) -> None:
-        around = _Fleet()
-        around.trace.versions[2] = 100
-        around.show(2, at=100.5)
-        around.show(1, at=100.6)
-        self.assertThat(around.complaints()[0], matchers.Contains('went back'))
-
-    def test_restarted_vm_may_show_an_older_version(self) -> None:
-        around = _Fleet()
-        around.trace.versions[2] = 100
-        around.show(2, at=100.5)
-        around.show(1, at=100.6, start=2)
-        self.assertEqual([], around.complaints())
-
-    def test_version_that_is_late_is_found(self) -> None:
-        around = _Fleet()
-        around.trace.versions[2] = 100
-        around.show(1, at=104)
-        self.assertThat(around.complaints()[0], matchers.Contains('not 2'))
-
-    def test_start_on_a_draining_worker_is_found(self) -> None:
-        around = _Fleet()
-        around.trace.note_draining('w0', 'zone-0', 5)
-        around.worker.ran(begin=9)
-        self.assertThat(around.complaints()[0], matchers.Contains('draining'))
-
-    def test_accepted_job_that_is_lost_is_found(self) -> None:
-        around = _Fleet()
-        around.store('')
-        self.assertThat(around.complaints()[0], matchers.Contains('not known'))
-
-    def test_job_that_nobody_cancelled_is_found(self) -> None:
-        around = _Fleet()
-        around.store('cancelled')
-        self.assertThat(around.complaints()[0], matchers.Contains('cancelled'))
-
-    def test_stored_job_without_all_tasks_is_found(self) -> None:
-        around = _Fleet()
-        around.store('completed')
-        self.assertThat(around.complaints()[0], matchers.Contains('completed'))
-
-    def test_repeated_task_of_a_stored_job_is_found(self) -> None:
-        around = _Fleet()
-        around.store('completed')
-        around.worker.ran(begin=10)
-        around.worker.ran(begin=12)
-        around.worker.model.records[0].acked_at = 10.5
-        self.assertThat(around.complaints()[0], matchers.Contains('after'))
+        fleet = _Fleet()
+        fleet.trace.record_disturbance('vm0', 'freeze', 10.1)
+        fleet.add_attempt(status=None, state='', cause='no answer in time')
+        self.assertEqual([], fleet.violations())
+
+    def test_request_cut_off_by_a_shutdown_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.trace.terminations.append(('vm0', 10.1))
+        fleet.add_attempt(
+            status=None, state='', cause='ServerDisconnectedError'
+        )
+        self.assertThat(fleet.violations()[0], matchers.Contains('cut off'))
+
+    def test_version_rollback_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.trace.version_times[2] = 100
+        fleet.observe_version(2, at=100.5)
+        fleet.observe_version(1, at=100.6)
+        self.assertThat(fleet.violations()[0], matchers.Contains('went back'))
+
+    def test_restarted_vm_may_have_an_older_version(self) -> None:
+        fleet = _Fleet()
+        fleet.trace.version_times[2] = 100
+        fleet.observe_version(2, at=100.5)
+        fleet.observe_version(1, at=100.6, start=2)
+        self.assertEqual([], fleet.violations())
+
+    def test_late_version_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.trace.version_times[2] = 100
+        fleet.observe_version(1, at=104)
+        self.assertThat(fleet.violations()[0], matchers.Contains('not 2'))
+
+    def test_start_on_a_draining_worker_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.trace.record_drain_notice('w0', 'zone-0', 5)
+        fleet.worker.add_run(started_at=9)
+        self.assertThat(fleet.violations()[0], matchers.Contains('draining'))
+
+    def test_lost_accepted_job_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.accept_stored_job('')
+        self.assertThat(fleet.violations()[0], matchers.Contains('not known'))
+
+    def test_cancellation_without_a_request_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.accept_stored_job('cancelled')
+        self.assertThat(fleet.violations()[0], matchers.Contains('cancelled'))
+
+    def test_stored_job_without_all_tasks_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.accept_stored_job('completed')
+        self.assertThat(fleet.violations()[0], matchers.Contains('completed'))
+
+    def test_repeated_task_of_a_stored_job_is_reported(self) -> None:
+        fleet = _Fleet()
+        fleet.accept_stored_job('completed')
+        fleet.worker.add_run(started_at=10)
+        fleet.worker.add_run(started_at=12)
+        fleet.worker.model.records[0].acked_at = 10.5
+        self.assertThat(fleet.violations()[0], matchers.Contains('after'))
