--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -184,8 +184,8 @@
 ) -> Batch:
     """Return a batch without tasks for a submission.
 
-    Its results are of no use after ``late_factor`` times the time in which
-    they are on time.
+    Its results are of no use after ``late_factor`` times the time limit for
+    results that are on time.
     """
     arrived_at = now - message.age_s
     limit_s = message.estimate_s * message.stretch + message.slack_s
--- a/sardineproxy/process/shards/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -11,8 +11,8 @@
     """Timing of calls to workers."""
 
     #: Timeout of an order. A round trip within a zone takes 0.2 ms and the
-    #: worker 0.5 ms. The shortest job must complete
-    #: within 0.15 s even if its first order is lost.
+    #: worker 0.5 ms. The shortest job must complete within 0.15 s even if its
+    #: first order is lost.
     order_timeout_s: float = 0.06
 
     #: Longest wait of a worker for a new result before it answers a poll. The
@@ -95,8 +95,8 @@
     #: arrive seconds later.
     recall_s: float = 10.0
 
-    #: A job's result is of no use after this multiple of the time in which it
-    #: is on time.
+    #: A job's result is of no use after this multiple of the time limit for
+    #: results that are on time.
     late_factor: float = 3.0
 
     #: Factor by which a task takes longer on racks without its data.
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -80,7 +80,7 @@
     def default_shard(self) -> ids.ShardId | None:
         return samples.SHARD if self.simulation.leader in self.links else None
 
-    def leader(self, shard: ids.ShardId) -> Any:
+    def leader_link(self, shard: ids.ShardId) -> Any:
         return self.links.get(self.simulation.leader)
 
     def connect(self, leader: shards.ShardLeader) -> None:
