--- a/sardineproxy/process/shards/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -381,13 +381,13 @@
     async def _send_stop(
         self,
         task: workers.TaskName,
-        number: int,
+        run_number: int,
         run: runs.Run | None = None,
     ) -> None:
         answer = await self._api.stop(
             self.worker,
             task=task,
-            run=number,
+            run=run_number,
             fence=self.fence,
             timeout_s=self._cfg.order_timeout_s,
         )
--- a/sardineproxy/process/shards/backlog.py
+++ b/sardineproxy/process/shards/backlog.py
@@ -76,7 +76,7 @@
         batch = self._batches.get(run.batch.key)
         if batch is not None and run.index in batch.tasks:
             task = batch.tasks[run.index]
-            task.number = max(task.number, run.number + 1)
+            task.next_run_number = max(task.next_run_number, run.number + 1)
 
     def requeue(self, run: runs.Run) -> None:
         """Return the task of a run that no longer exists to the queue."""
@@ -118,15 +118,15 @@
         if batch.link is not None and batch.link is not source:
             for index, task in batch.tasks.items():
                 self.send_result(
-                    batch, index, task.number, jobs.TaskResult.REPLACED
+                    batch, index, task.next_run_number, jobs.TaskResult.REPLACED
                 )
         batch.link = source
-        for index, number in tasks.items():
+        for index, run_number in tasks.items():
             if index in batch.tasks:
                 continue
             recent_result = self._recent_results.find(batch.task_name(index))
-            if recent_result is None or number > recent_result.run:
-                batch.tasks[index] = runs.Task(number=number)
+            if recent_result is None or run_number > recent_result.run:
+                batch.tasks[index] = runs.Task(next_run_number=run_number)
             else:
                 self.send_result(
                     batch, index, recent_result.run, recent_result.result
@@ -137,7 +137,7 @@
     ) -> dict[int, int]:
         """Send the results of tasks already done; return the other tasks."""
         remaining: dict[int, int] = {}
-        for index, number in tasks.items():
+        for index, run_number in tasks.items():
             recent_result = self._recent_results.find(batch.task_name(index))
             if (
                 recent_result is not None
@@ -147,7 +147,7 @@
                     batch, index, recent_result.run, recent_result.result
                 )
             else:
-                remaining[index] = number
+                remaining[index] = run_number
         if len(remaining) < len(tasks):
             _LOG.info(
                 'Tasks already done are not run again.',
@@ -226,11 +226,11 @@
         self,
         batch: runs.Batch,
         index: int,
-        number: int,
+        run_number: int,
         result: jobs.TaskResult,
     ) -> None:
         """Send a task's result to its coordinator, and record it."""
-        self._record_result(batch.task_name(index), number, result)
+        self._record_result(batch.task_name(index), run_number, result)
         if batch.link is not None:
             batch.link.send(
                 messages.RunEnded(
@@ -238,17 +238,17 @@
                     job=batch.job,
                     step=batch.step,
                     index=index,
-                    run=number,
+                    run=run_number,
                     result=result.value,
                     stored=batch.stored,
                 )
             )
 
     def _record_result(
-        self, task: workers.TaskName, number: int, result: jobs.TaskResult
+        self, task: workers.TaskName, run_number: int, result: jobs.TaskResult
     ) -> None:
         self._recent_results.add(
-            task, run=number, result=result, now=self._clock.now()
+            task, run=run_number, result=result, now=self._clock.now()
         )
 
     def _remove_if_empty(self, batch: runs.Batch) -> None:
--- a/sardineproxy/process/shards/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -47,10 +47,10 @@
             old_capacity.minus(self.free_capacity)
         )
 
-    def find(self, task: workers.TaskName, number: int) -> runs.Run | None:
-        """Return a run that this process started, by task and number."""
+    def find(self, task: workers.TaskName, run_number: int) -> runs.Run | None:
+        """Return a run that this process started, None if it is not found."""
         run = self.runs.get(task)
-        return run if run is not None and run.number == number else None
+        return run if run is not None and run.number == run_number else None
 
     def count_tasks(self, batch: runs.Batch) -> int:
         """Return how many tasks of a batch may run on the worker."""
--- a/sardineproxy/process/shards/placement.py
+++ b/sardineproxy/process/shards/placement.py
@@ -102,7 +102,10 @@
     """Return whether a task may run on a worker regardless of capacity."""
     if candidate.worker.service != batch.service:
         return False
-    if batch.requires and batch.requires not in candidate.worker.labels:
+    if (
+        batch.required_label
+        and batch.required_label not in candidate.worker.labels
+    ):
         return False
     if not batch.per_worker:
         return True
--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -83,8 +83,7 @@
 class Task:
     """An unfinished task of a batch."""
 
-    #: Number of the task's next run.
-    number: int
+    next_run_number: int
     run: Run | None = None
 
 
@@ -101,7 +100,7 @@
     service: ids.ServiceId
     payload: str
     resources: jobs.Resources
-    requires: str
+    required_label: str
 
     #: Rack that holds the tasks' data, empty for none.
     rack: str
@@ -124,7 +123,7 @@
     #: of the client's wait.
     arrived_at: float
     due_at: float
-    worthless_at: float
+    useful_until: float
     deadline: float
 
     #: True if the tasks must not be moved to another shard.
@@ -201,14 +200,14 @@
             memory_mb=message.memory_mb,
             gpus=message.gpus,
         ),
-        requires=message.requires,
+        required_label=message.requires,
         rack=message.rack,
         per_worker=message.per_worker,
         link=link,
         expected_s=message.estimate_s,
         arrived_at=arrived_at,
         due_at=arrived_at + limit_s,
-        worthless_at=arrived_at + limit_s * late_factor,
+        useful_until=arrived_at + limit_s * late_factor,
         deadline=now + message.timeout_s,
         pinned=message.pinned,
         stored=message.stored,
--- a/sardineproxy/process/shards/scheduler.py
+++ b/sardineproxy/process/shards/scheduler.py
@@ -182,7 +182,7 @@
         task = batch.tasks[index]
         run = runs.Run(
             task=batch.task_name(index),
-            number=task.number,
+            number=task.next_run_number,
             batch=batch,
             index=index,
             worker=chosen.worker.worker,
@@ -192,7 +192,7 @@
             ),
             ordered_at=now,
         )
-        task.number += 1
+        task.next_run_number += 1
         task.run = run
         batch.started = True
         self._backlog.live_runs[run.task] = run
@@ -207,7 +207,7 @@
             self._backlog.decline(
                 batch, batch.waiting(), cause='no room in time'
             )
-        elif now + batch.expected_s > min(batch.worthless_at, batch.deadline):
+        elif now + batch.expected_s > min(batch.useful_until, batch.deadline):
             self._drop_as_late(batch)
 
     def _urgency_key(self, batch: runs.Batch) -> tuple[int, float]:
@@ -221,7 +221,10 @@
     def _drop_as_late(self, batch: runs.Batch) -> None:
         for index in list(batch.tasks):
             self._backlog.send_result(
-                batch, index, batch.tasks[index].number, jobs.TaskResult.LATE
+                batch,
+                index,
+                batch.tasks[index].next_run_number,
+                jobs.TaskResult.LATE,
             )
         self.drop(batch, 'too late')
 
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -199,7 +199,7 @@
         self._takeover.stop_unresumed(now)
         self._remove_unlisted(now)
         self._stored_results.send_unclaimed(now)
-        self._check_confirmed(now)
+        self._update_confirmation(now)
         for batch in self._backlog.all():
             if batch.link is None and self._stored_results.is_abandoned(
                 batch, now
@@ -300,7 +300,7 @@
         has_waited = now >= self._leader_since + self._cfg.list_wait_s
         return has_waited or not self._context.is_worker_list_available()
 
-    def _check_confirmed(self, now: float) -> None:
+    def _update_confirmation(self, now: float) -> None:
         """Let leases of stored jobs' runs expire if leadership is uncertain.
 
         Another leader may exist then, and it starts the runs elsewhere even
@@ -358,8 +358,8 @@
         """Reattach a stored job's batch and add its further tasks."""
         tasks = self._stored_results.send_listed(batch, source, message)
         new_tasks = {
-            index: number
-            for index, number in tasks.items()
+            index: run_number
+            for index, run_number in tasks.items()
             if index not in batch.tasks
         }
         self._backlog.reattach(batch, source, {})
@@ -399,8 +399,10 @@
         batch = self._backlog.get((message.job, message.step))
         if batch is None:
             batch = self._make_batch(source, message, now)
-        for index, number in self._backlog.report_done(batch, tasks).items():
-            batch.tasks[index] = runs.Task(number=number)
+        for index, run_number in self._backlog.report_done(
+            batch, tasks
+        ).items():
+            batch.tasks[index] = runs.Task(next_run_number=run_number)
         if not batch.tasks:
             return
         self._backlog.add(batch)
--- a/sardineproxy/process/shards/shard_capacities.py
+++ b/sardineproxy/process/shards/shard_capacities.py
@@ -51,7 +51,7 @@
             if capacity.startable_tasks > 0
             and now - capacity.reported_at <= MAX_REPORT_AGE_S
         }
-        return dict(sorted(fresh.items(), key=lambda row: -row[1]))
+        return dict(sorted(fresh.items(), key=lambda item: -item[1]))
 
     def state(self, now: float) -> dict[str, object]:
         """Return the reports and their ages for the state dump."""
--- a/sardineproxy/process/shards/stored_results.py
+++ b/sardineproxy/process/shards/stored_results.py
@@ -68,7 +68,7 @@
         remaining = dict(message.tasks)
         if not message.stored:
             return remaining
-        for index, number in message.tasks:
+        for index, run_number in message.tasks:
             finished_runs = [
                 finished_run
                 for worker_agent in self._agents.values()
@@ -80,17 +80,17 @@
                 finished_runs, key=lambda finished_run: finished_run.run
             ):
                 source.send(_make_run_ended(self._shard, finished_run))
-                is_new = finished_run.run >= number
+                is_new = finished_run.run >= run_number
                 if is_new or finished_run.result is workers.RunResult.DONE:
                     remaining.pop(index, None)
         return remaining
 
     def acknowledge(self, message: messages.ResultsStored) -> None:
         """Acknowledge stored results to their workers."""
-        for index, number in message.runs:
+        for index, run_number in message.runs:
             task = runs.task_name(message.job, message.step, index)
             for worker_agent in self._agents.values():
-                if worker_agent.unacked.release(task, number):
+                if worker_agent.unacked.release(task, run_number):
                     worker_agent.acknowledge()
 
     def send_unclaimed(self, now: float) -> None:
--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -96,8 +96,8 @@
         ready: list[DeferredSubmit] = []
         remaining: list[DeferredSubmit] = []
         for deferred in self._deferred:
-            waits = self.must_defer(deferred.submit, now)
-            (remaining if waits else ready).append(deferred)
+            must_wait = self.must_defer(deferred.submit, now)
+            (remaining if must_wait else ready).append(deferred)
         self._deferred = remaining
         return ready
 
@@ -121,8 +121,8 @@
         started.
         """
         missing = {
-            index: number
-            for index, number in tasks.items()
+            index: run_number
+            for index, run_number in tasks.items()
             if not self._adopt(batch, index, now)
         }
         may_start_missing = batch.stored or self.are_all_runs_reported()
@@ -138,9 +138,9 @@
         if may_start_missing:
             return missing
         # The tasks may be running on a worker that has not reported.
-        for index, number in missing.items():
+        for index, run_number in missing.items():
             self._backlog.send_result(
-                batch, index, number, jobs.TaskResult.LATE
+                batch, index, run_number, jobs.TaskResult.LATE
             )
         return {}
 
@@ -150,7 +150,9 @@
         for worker_agent in self._agents.values():
             if name in worker_agent.ledger.unrequested:
                 run = self._adopt_run(worker_agent, batch, index, now)
-                batch.tasks[index] = runs.Task(number=run.number + 1, run=run)
+                batch.tasks[index] = runs.Task(
+                    next_run_number=run.number + 1, run=run
+                )
                 batch.started = True
                 return True
         finished_run = self._find_done_run(name)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -21,7 +21,7 @@
 
 #: Share of the jobs submitted after the recovery that must be completed
 #: according to the platform's rules.
-RECOVERED_SHARE = 0.25
+MIN_COMPLETED_SHARE = 0.25
 
 
 def find_violations(fleet: fleet.Fleet) -> list[str]:
@@ -31,7 +31,7 @@
         *_check_workers(fleet),
         *_check_answers(fleet),
         *_check_stored(fleet),
-        *_check_waits(fleet.trace),
+        *_check_unanswered(fleet.trace),
         *_check_shutdowns(fleet.trace),
         *_check_versions(fleet),
         *_check_draining(fleet),
@@ -128,7 +128,7 @@
             yield f'{name} was reported as completed, done: {done.get(name)}'
 
 
-def _check_waits(trace: trace.Trace) -> Iterator[str]:
+def _check_unanswered(trace: trace.Trace) -> Iterator[str]:
     """Check that an undisturbed VM answers each request in time."""
     for attempts in trace.attempts.values():
         for attempt in attempts:
@@ -225,10 +225,10 @@
     ]
     completed = sum(attempt.state == 'completed' for attempt in attempts)
     refused = sum(attempt.status == 503 for attempt in attempts)
-    given_up = sum(attempt.status == 504 for attempt in attempts)
+    timed_out = sum(attempt.status == 504 for attempt in attempts)
     return (
         f'{len(trace.jobs)} jobs, {len(attempts)} requests: '
-        f'{completed} completed, {refused} refused, {given_up} given up, '
+        f'{completed} completed, {refused} refused, {timed_out} timed out, '
         f'{len(trace.disturbances)} faults, '
         f'{len(trace.version_observations)} version checks'
     )
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -100,7 +100,7 @@
     }
     await asyncio.gather(*(open_client.close() for open_client in clients))
     share = checks.completed_share(soak_fleet.trace, new_jobs)
-    if share < checks.RECOVERED_SHARE:
+    if share < checks.MIN_COMPLETED_SHARE:
         violations.append(
             f'{share:.2f} of {len(new_jobs)} jobs completed after the recovery'
         )
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -15,7 +15,7 @@
 ENTRY_INTERVAL_S = 1.5
 
 #: Run times of tasks on a worker of speed 1, in seconds.
-WORK_S = (0.06, 0.2, 0.9)
+RUN_TIMES_S = (0.06, 0.2, 0.9)
 
 SERVICE = ids.ServiceId('service')
 
@@ -100,6 +100,8 @@
             resources=jobs.Resources(
                 millicores=samples.TASK_MILLICORES, memory_mb=64, gpus=0
             ),
-            work_s=0.01 if self.fails else random.Random(task).choice(WORK_S),
+            work_s=0.01
+            if self.fails
+            else random.Random(task).choice(RUN_TIMES_S),
             how=how,
         )
