--- a/sardineproxy/process/shards/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -13,7 +13,7 @@
 EJECTION_MAX_S = 4.0
 
 #: Weight of one run time in the speed estimate. Clients' estimates are off by
-#: a factor of 1.5 (standard deviation), so that one run time says little.
+#: a factor of 1.5 (standard deviation), so that a single one proves little.
 SPEED_WEIGHT = 0.05
 
 #: Number of run times that weigh as much as the prior speed of 1.
--- a/sardineproxy/process/shards/reconciler.py
+++ b/sardineproxy/process/shards/reconciler.py
@@ -111,7 +111,7 @@
     def _track_progress(
         self, run: runs.Run, percent: float, now: float
     ) -> None:
-        """Stop a run without progress, so that it restarts elsewhere."""
+        """Stop a run without progress; its task restarts on another worker."""
         if percent > run.percent or not run.progress_at:
             run.percent = percent
             run.progress_at = now
--- a/sardineproxy/process/shards/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -41,7 +41,7 @@
     stop_retry_s: float = 0.15
 
     #: A run without progress for ``standstill_s`` plus ``standstill_share``
-    #: of its expected time is started elsewhere. Progress is reported in
+    #: of its expected time is stopped and requeued. Progress is reported in
     #: percent, at least every ``look_wait_s``.
     standstill_s: float = 0.4
     standstill_share: float = 0.05
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -183,7 +183,7 @@
                 self.take_over()
                 for vm in self.vms:
                     vm.break_link(old)
-            case 'silent takeover':
+            case 'unnoticed takeover':
                 self.take_over()
             case 'cut':
                 self.rng.choice(self.vms).break_link(self.leader)
@@ -251,7 +251,7 @@
         strategies.sampled_from(
             (
                 'takeover',
-                'silent takeover',
+                'unnoticed takeover',
                 'cut',
                 'reconnect',
                 'crash',
