--- a/sardineproxy/connection/__init__.py
+++ b/sardineproxy/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection."""
+"""Connections to callers, endpoints and other entry processes."""
--- a/sardineproxy/connection/admin.py
+++ b/sardineproxy/connection/admin.py
@@ -12,44 +12,44 @@
 
 
 class AdminSource(Protocol):
-    """What the admin listener asks of its process."""
+    """Interface of a process to its admin listener."""
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send new callers."""
+        """Return whether the load balancer may send new callers."""
 
     def state(self) -> dict[str, object]:
-        """Return the state dump, as JSON can hold it."""
+        """Return the state dump, which has to be serializable to JSON."""
 
 
 class AdminHandlers:
-    """Answers the admin listener's requests."""
+    """HTTP handlers of the admin listener."""
 
     def __init__(
         self, *, process: AdminSource, metrics: metrics.Metrics
     ) -> None:
-        """Report on ``process``."""
+        """Serve the state and metrics of ``process``."""
         self._process = process
         self._metrics = metrics
 
     async def live(self, _: web.Request) -> web.Response:
-        """Answer 200 as long as the event loop runs."""
+        """Respond with 200 as long as the event loop runs."""
         return web.Response(text='live\n')
 
     async def ready(self, _: web.Request) -> web.Response:
-        """Answer 200 if the balancer may send new callers, else 503."""
+        """Respond with 200 if the process accepts new callers, else 503."""
         if self._process.is_ready():
             return web.Response(text='ready\n')
         return web.Response(status=503, text='not ready\n')
 
     async def metrics(self, _: web.Request) -> web.Response:
-        """Answer all metrics as text."""
+        """Respond with all metrics in the Prometheus text format."""
         return web.Response(
             body=self._metrics.render().encode(),
             headers={'Content-Type': METRICS_CONTENT_TYPE},
         )
 
     async def state(self, _: web.Request) -> web.Response:
-        """Answer the state dump as JSON."""
+        """Respond with the state dump as JSON."""
         text = json.dumps(self._process.state(), indent=2, default=str)
         return web.json_response(text=f'{text}\n')
 
--- a/sardineproxy/connection/caller.py
+++ b/sardineproxy/connection/caller.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for callers."""
+"""HTTP listener for callers, and its handlers."""
 
 import asyncio
 import types
@@ -22,22 +22,22 @@
 
 
 class CallerHandlers:
-    """Answers callers' HTTP requests."""
+    """HTTP handlers of the listener for callers."""
 
     def __init__(
         self, *, submissions: submissions.Submissions, limits: ConnectionLimits
     ) -> None:
-        """Pass on to ``submissions`` what is within the limits."""
+        """Pass requests that are within the limits to ``submissions``."""
         self._submissions = submissions
         self._limits = limits
 
     async def issue_keys(self, req: web.Request) -> web.Response:
-        """Answer ``POST /v1/keys``."""
+        """Handle ``POST /v1/keys``."""
         customer, body = await self._read_request(req)
         if isinstance(customer, result.Err):
-            return _refusal(customer.err_value, None)
+            return _render_refusal(customer.err_value, None)
         if isinstance(body, result.Err):
-            return _refusal(body.err_value, None)
+            return _render_refusal(body.err_value, None)
         return caller_connection.render(
             self._submissions.issue_keys(
                 customer=customer.ok_value, body=body.ok_value
@@ -45,11 +45,11 @@
         )
 
     async def submit(self, req: web.Request) -> web.Response:
-        """Answer ``POST /v1/requests`` and ``POST /v1/jobs``."""
+        """Handle ``POST /v1/requests`` and ``POST /v1/jobs``."""
         key_text = req.headers.get(caller_connection.KEY_HEADER)
         customer, body = await self._read_request(req)
         if isinstance(customer, result.Err):
-            return _refusal(customer.err_value, key_text)
+            return _render_refusal(customer.err_value, key_text)
         wait = WAIT_VALUES.get(req.query.get('wait', 'true'))
         if wait is None and isinstance(body, result.Ok):
             body = result.Err(_malformed_wait())
@@ -70,24 +70,26 @@
         return caller_connection.render(reply)
 
     async def status(self, req: web.Request) -> web.Response:
-        """Answer ``GET`` on a request or job."""
-        return await self._query(req, self._submissions.status)
+        """Handle ``GET`` on a request or job."""
+        return await self._handle_key_request(req, self._submissions.status)
 
     async def cancel(self, req: web.Request) -> web.Response:
-        """Answer ``DELETE`` on a request or job."""
-        return await self._query(req, self._submissions.cancel)
+        """Handle ``DELETE`` on a request or job."""
+        return await self._handle_key_request(req, self._submissions.cancel)
 
-    async def _query(
-        self, req: web.Request, ask: Callable[..., Awaitable[documents.Reply]]
+    async def _handle_key_request(
+        self,
+        req: web.Request,
+        operation: Callable[..., Awaitable[documents.Reply]],
     ) -> web.Response:
         key_text = req.match_info['key']
         customer, body = await self._read_request(req)
         if isinstance(customer, result.Err):
-            return _refusal(customer.err_value, key_text)
+            return _render_refusal(customer.err_value, key_text)
         if isinstance(body, result.Err):
-            return _refusal(body.err_value, key_text)
+            return _render_refusal(body.err_value, key_text)
         return caller_connection.render(
-            await ask(customer=customer.ok_value, key_text=key_text)
+            await operation(customer=customer.ok_value, key_text=key_text)
         )
 
     async def _read_request(
@@ -95,7 +97,7 @@
     ) -> tuple[
         result.Result[ids.CustomerId, problems.Problem], caller_connection.Body
     ]:
-        """Authenticate the caller, and only then read the body."""
+        """Authenticate the caller, then read the body if that succeeded."""
         customer = self._authenticate(req)
         problem = caller_connection.check_head(req, self._limits)
         if problem is not None:
@@ -117,18 +119,18 @@
 
 
 class Listener:
-    """An open port for callers."""
+    """A listening socket for callers."""
 
     def __init__(
         self, *, runner: web.AppRunner, server: asyncio.Server
     ) -> None:
-        """Own ``runner`` and ``server`` from now on."""
+        """Take ownership of ``runner`` and ``server``."""
         self._runner = runner
         self._server = server
         self.port: int = server.sockets[0].getsockname()[1]
 
     async def close(self) -> None:
-        """Stop listening, let answers leave and close all connections."""
+        """Stop listening, send pending responses and close all connections."""
         self._server.close()
         await self._runner.cleanup()
 
@@ -139,7 +141,7 @@
     limits: ConnectionLimits,
     clock: clock.Clock,
 ) -> web.Application:
-    """Return the application that serves callers."""
+    """Return the web application that serves callers."""
     handlers = CallerHandlers(submissions=submissions, limits=limits)
     app = web.Application(client_max_size=limits.body_bytes)
     collection = '/v1/{collection:requests|jobs}'
@@ -154,7 +156,7 @@
 async def start(
     *, app: web.Application, limits: ConnectionLimits, host: str, port: int
 ) -> Listener:
-    """Serve ``app``; port 0 lets the kernel choose."""
+    """Serve ``app``; for port 0 the kernel chooses a free port."""
     runner = web.AppRunner(app, shutdown_timeout=limits.close_timeout_s)
     await runner.setup()
     web_server = runner.server
@@ -172,7 +174,9 @@
     return Listener(runner=runner, server=server)
 
 
-def _refusal(problem: problems.Problem, key_text: str | None) -> web.Response:
+def _render_refusal(
+    problem: problems.Problem, key_text: str | None
+) -> web.Response:
     return caller_connection.render(
         documents.render_problem(keys.without_issuer_verdict(problem, key_text))
     )
--- a/sardineproxy/connection/caller_connection.py
+++ b/sardineproxy/connection/caller_connection.py
@@ -1,6 +1,6 @@
-"""Limits on what a caller's connection may send, and for how long.
+"""Callers' connections, with limits on the size and duration of requests.
 
-The aiohttp parser refuses requests that two parsers could interpret
+The aiohttp parser rejects requests that two parsers could interpret
 differently. It bounds neither the size of a whole head nor the time that a
 request takes to arrive; ``Connection`` adds both.
 """
@@ -17,22 +17,22 @@
 
 KEY_HEADER = 'Idempotency-Key'
 
-#: Headers of which a request may have one only, as the last or the first
-#: could count.
+#: Headers that a request may contain only once, as one parser could use the
+#: first and another the last.
 SINGLE_HEADERS = ('Authorization', KEY_HEADER)
 
-#: Most header lines in a request.
+#: Largest number of header lines in a request.
 MAX_HEADER_LINES = 100
 
-#: Bytes that separate a header's name and text and end its line.
-HEADER_LINE_EXTRA = 4
+#: Bytes of the separator and the line end in a header line.
+HEADER_LINE_OVERHEAD_BYTES = 4
 
 HEAD_END = b'\r\n\r\n'
 
-#: Seconds for which a connection may stay open without a request.
+#: Time for which a connection may stay open without a request, in seconds.
 IDLE_TIMEOUT_S = 75
 
-#: Seconds for which an unread body is skipped after a refusal.
+#: Time for which received bytes are discarded after a rejection, in seconds.
 LINGER_S = 2
 
 _HEAD_TOO_LARGE = problems.refusal(
@@ -78,28 +78,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConnectionLimits:
-    """What a caller may send and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
-    #: Request line and headers together, in bytes.
+    #: Largest request line and headers together, in bytes.
     header_bytes: int = 16_384
     body_bytes: int = documents.MAX_BODY_BYTES
 
-    #: Bodies that all connections together may be sending, in bytes.
+    #: Total size of the bodies being read on all connections, in bytes.
     reading_bytes: int = 268_435_456
     connections: int = 10_000
 
-    #: Seconds from the first byte of a request to its last.
+    #: Timeout from the first byte of a request to its last, in seconds.
     read_timeout_s: float = 10
 
-    #: Seconds for which a caller may leave an answer unread.
+    #: Timeout for the caller to read a response, in seconds.
     write_timeout_s: float = 30
 
-    #: Seconds that answers get to leave when the listener closes.
+    #: Timeout for pending responses when the listener closes, in seconds.
     close_timeout_s: float = 10
 
 
 class ListenerLoad:
-    """What all connections of one listener use together."""
+    """Resources that all connections of one listener use together."""
 
     def __init__(self, *, limits: ConnectionLimits) -> None:
         """Start with no connections."""
@@ -108,25 +108,25 @@
         self.reading_bytes = 0
 
     def has_capacity(self, *, reading_bytes: int) -> bool:
-        """Tell whether so many more bytes may be read now."""
-        wanted = self.reading_bytes + reading_bytes
-        return wanted <= self._limits.reading_bytes
+        """Return whether a body of ``reading_bytes`` may be read now."""
+        total_bytes = self.reading_bytes + reading_bytes
+        return total_bytes <= self._limits.reading_bytes
 
     def has_too_many_connections(self) -> bool:
-        """Tell whether the newest connection has to be closed."""
+        """Return whether the newest connection exceeds the limit."""
         return self.connections > self._limits.connections
 
 
 class _Phase(enum.Enum):
-    """How much of a request has arrived."""
+    """How much of a request has been received."""
 
-    NOTHING = 'nothing'
+    IDLE = 'nothing'
     HEAD = 'head'
     BODY = 'body'
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
 
-    #: Refused; what still arrives is dropped.
-    REFUSED = 'refused'
+    #: The request was rejected; further bytes are discarded.
+    REJECTED = 'refused'
 
 
 class Connection(web.RequestHandler):
@@ -140,7 +140,7 @@
         load: ListenerLoad,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Wait for the first request; ``load`` is shared."""
+        """Wait for the first request; the listener shares ``load``."""
         super().__init__(
             server,
             loop=loop,
@@ -154,48 +154,48 @@
         )
         self._limits = limits
         self._load = load
-        self._phase = _Phase.NOTHING
+        self._phase = _Phase.IDLE
         self._timer: asyncio.TimerHandle | None = None
         self._head_bytes = 0
-        self._last_bytes = b''
+        self._head_tail = b''
 
-        #: Bytes that have arrived after the head.
+        #: Bytes received after the head.
         self._body_bytes = 0
 
-        #: True once bytes of a next request may have come with another one.
+        #: True once bytes of the next request may have been received already.
         self._pipelined = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Refuse one connection too many."""
+        """Count the connection, and reject it if it exceeds the limit."""
         super().connection_made(transport)
         self._load.connections += 1
         if self._load.has_too_many_connections():
-            self._refuse(admission.overloaded())
+            self._reject(admission.overloaded())
 
     def data_received(self, data: bytes) -> None:
-        """Count and time the bytes, and pass them to the parser."""
-        if self._phase is _Phase.REFUSED:
+        """Apply the limits to the bytes and pass them to the parser."""
+        if self._phase is _Phase.REJECTED:
             return
-        if self._phase is _Phase.NOTHING:
-            self._begin()
+        if self._phase is _Phase.IDLE:
+            self._start_request()
         if self._phase is _Phase.HEAD:
             self._scan_head(data)
         else:
             self._body_bytes += len(data)
-            self._pipelined |= self._phase is _Phase.WHOLE
+            self._pipelined |= self._phase is _Phase.COMPLETE
         if self._head_bytes > self._limits.header_bytes:
-            self._refuse(_HEAD_TOO_LARGE)
+            self._reject(_HEAD_TOO_LARGE)
             return
         super().data_received(data)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop the timer; work in progress goes on."""
+        """Stop the timer; requests in progress continue."""
         self._load.connections -= 1
         self._stop_timer()
         super().connection_lost(exc)
 
     async def read_body(self, req: web.BaseRequest) -> Body:
-        """Read the rest of the request within its time."""
+        """Read the rest of the request within the read timeout."""
         size = req.content_length
         if size is None:
             size = self._limits.body_bytes if req.can_read_body else 0
@@ -203,11 +203,11 @@
             return result.Err(admission.overloaded())
         self._load.reading_bytes += size
         try:
-            body = await self._read_in_time(req)
+            body = await self._read_with_timeout(req)
         finally:
             self._load.reading_bytes -= size
         if isinstance(body, result.Ok):
-            self._phase = _Phase.WHOLE
+            self._phase = _Phase.COMPLETE
             if self._body_bytes != (req.content_length or 0):
                 self._pipelined = True
         return body
@@ -218,28 +218,28 @@
         resp: web.StreamResponse,
         start_time: float | None,
     ) -> tuple[web.StreamResponse, bool]:
-        """Send the answer within its time and expect the next request."""
-        if self._phase is _Phase.REFUSED:
+        """Send the response within the write timeout; then expect a request."""
+        if self._phase is _Phase.REJECTED:
             return resp, True
         self._stop_timer()
         if isinstance(resp, web.HTTPException):
             resp = _render_exception(request, resp)
-        if self._phase is not _Phase.WHOLE:
-            # What is left of the body must not be taken for a request.
+        if self._phase is not _Phase.COMPLETE:
+            # The rest of the body must not be parsed as a request.
             resp.force_close()
         try:
             async with asyncio.timeout(self._limits.write_timeout_s):
-                finished = await super().finish_response(
+                outcome = await super().finish_response(
                     request, resp, start_time
                 )
         except TimeoutError:
             self.force_close()
             return resp, True
-        if self._phase is _Phase.WHOLE:
-            self._phase = _Phase.NOTHING
+        if self._phase is _Phase.COMPLETE:
+            self._phase = _Phase.IDLE
             if self._pipelined:
-                self._begin()
-        return finished
+                self._start_request()
+        return outcome
 
     def handle_error(
         self,
@@ -248,22 +248,22 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer with a problem document, and log no part of the request."""
+        """Respond with a problem document; log no part of the request."""
         if isinstance(exc, http_exceptions.LineTooLong):
             problem = _HEAD_TOO_LARGE
         elif isinstance(exc, http_exceptions.HttpProcessingError):
             problem = _MALFORMED_HTTP
         else:
             problem = _INTERNAL_ERROR
-            _log.error('request failed', exc_info=exc)
-        _log.info('refused', extra={'code': problem.code})
+            _log.error('Request handler raised an exception.', exc_info=exc)
+        _log.info('Request failed.', extra={'code': problem.code})
         if request.writer.output_size > 0:
-            raise ConnectionError('the answer has been sent in part')
-        resp = render(documents.render_problem(_without_key(problem)))
+            raise ConnectionError('the response has been sent in part')
+        resp = render(documents.render_problem(_for_unread_key(problem)))
         resp.force_close()
         return resp
 
-    async def _read_in_time(self, req: web.BaseRequest) -> Body:
+    async def _read_with_timeout(self, req: web.BaseRequest) -> Body:
         deadline = self._timer.when() if self._timer else None
         self._stop_timer()
         try:
@@ -276,24 +276,24 @@
         except web.RequestPayloadError:
             return result.Err(_MALFORMED_HTTP)
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         self._phase = _Phase.HEAD
         self._head_bytes = 0
         self._body_bytes = 0
-        self._last_bytes = b''
+        self._head_tail = b''
         self._timer = asyncio.get_running_loop().call_later(
-            self._limits.read_timeout_s, self._time_out
+            self._limits.read_timeout_s, self._handle_read_timeout
         )
 
     def _scan_head(self, data: bytes) -> None:
-        seen = self._last_bytes + data
-        end = seen.find(HEAD_END)
+        window = self._head_tail + data
+        end = window.find(HEAD_END)
         if end < 0:
             self._head_bytes += len(data)
-            self._last_bytes = seen[1 - len(HEAD_END) :]
+            self._head_tail = window[1 - len(HEAD_END) :]
             return
         self._phase = _Phase.BODY
-        self._body_bytes = len(seen) - end - len(HEAD_END)
+        self._body_bytes = len(window) - end - len(HEAD_END)
         self._head_bytes += len(data) - self._body_bytes
 
     def _stop_timer(self) -> None:
@@ -301,13 +301,13 @@
             self._timer.cancel()
             self._timer = None
 
-    def _time_out(self) -> None:
+    def _handle_read_timeout(self) -> None:
         self._timer = None
-        self._refuse(_READ_TIMEOUT)
+        self._reject(_READ_TIMEOUT)
 
-    def _refuse(self, problem: problems.Problem) -> None:
-        """Answer a request whose head is not whole, and close."""
-        reply = documents.render_problem(_without_key(problem))
+    def _reject(self, problem: problems.Problem) -> None:
+        """Respond to a request with an incomplete head, and close."""
+        reply = documents.render_problem(_for_unread_key(problem))
         lines = [
             f'HTTP/1.1 {reply.status} {problem.code}',
             *(f'{name}: {text}' for name, text in reply.headers),
@@ -315,13 +315,13 @@
             'Connection: close',
         ]
         self._stop_timer()
-        self._phase = _Phase.REFUSED
+        self._phase = _Phase.REJECTED
         if self.transport is None:
             return
         head = '\r\n'.join(lines).encode()
         self.transport.write(head + HEAD_END + reply.body)
-        # Closing at once would reset a connection that is still sending, and
-        # the caller could lose the answer.
+        # Closing at once would reset the connection while the caller still
+        # sends, and the caller could miss the response.
         self.transport.write_eof()
         self._timer = asyncio.get_running_loop().call_later(
             LINGER_S, self.force_close
@@ -331,16 +331,16 @@
 def check_head(
     req: web.Request, limits: ConnectionLimits
 ) -> problems.Problem | None:
-    """Return why the head is refused, if so."""
+    """Return the problem of a head that is rejected, else None."""
     size = len(req.raw_path) + sum(
-        len(name) + len(text) + HEADER_LINE_EXTRA
+        len(name) + len(text) + HEADER_LINE_OVERHEAD_BYTES
         for name, text in req.raw_headers
     )
     if size > limits.header_bytes:
         return _HEAD_TOO_LARGE
     if any(len(req.headers.getall(name, ())) > 1 for name in SINGLE_HEADERS):
         return _REPEATED_HEADER
-    if _is_framing_unclear(req):
+    if _is_framing_ambiguous(req):
         return _MALFORMED_HTTP
     if req.headers.get('Content-Encoding', 'identity') != 'identity':
         return _ENCODED_BODY
@@ -349,21 +349,22 @@
     return None
 
 
-def _without_key(problem: problems.Problem) -> problems.Problem:
-    """Return the problem for a request whose key could not be read.
+def _for_unread_key(problem: problems.Problem) -> problems.Problem:
+    """Return the problem of a request whose key was not read.
 
-    An earlier request with the same key may have run.
+    Its verdict is ``MAY_HAVE_RUN``, as an earlier request with the same key
+    may have run.
     """
     return dataclasses.replace(
         problem, verdict=verdicts.Verdict.MAY_HAVE_RUN, final=False
     )
 
 
-def _is_framing_unclear(req: web.Request) -> bool:
-    """Tell whether another parser may see another end of the body.
+def _is_framing_ambiguous(req: web.Request) -> bool:
+    """Return whether another parser may find another end of the body.
 
-    The aiohttp parser accepts other codings before "chunked", and any of them
-    in HTTP/1.0, where other parsers ignore the header.
+    The aiohttp parser accepts other codings before "chunked", and accepts
+    codings in HTTP/1.0, where other parsers ignore the header.
     """
     coding = req.headers.get('Transfer-Encoding')
     if coding is None:
@@ -374,7 +375,7 @@
 def _render_exception(
     req: web.BaseRequest, exc: web.HTTPException
 ) -> web.Response:
-    """Return aiohttp's own refusal, such as 404, as a problem document."""
+    """Return an error of aiohttp itself, such as 404, as a problem document."""
     problem = problems.refusal(
         code='no_such_resource',
         status=exc.status,
@@ -387,7 +388,7 @@
 
 
 def render(reply: documents.Reply) -> web.Response:
-    """Return the answer as aiohttp sends it."""
+    """Convert a reply to an aiohttp response."""
     return web.Response(
         status=reply.status, headers=reply.headers, body=reply.body
     )
--- a/sardineproxy/connection/codec.py
+++ b/sardineproxy/connection/codec.py
@@ -1,7 +1,8 @@
-"""Codec of typed messages as bounded msgpack frames.
+"""Encodes typed messages as msgpack frames of bounded size.
 
-A message is a frozen data class whose fields carry their checks. Its
-position in the codec's tuple of classes is its type number on the wire.
+A message is a frozen data class whose field metadata holds a check for each
+field. The position of a class in the codec's arguments is its type number on
+the wire.
 """
 
 import asyncio
@@ -16,104 +17,104 @@
 #: Largest frame without its length prefix, in bytes.
 MAX_FRAME_BYTES = 8_388_608
 
-#: Longest list inside a frame.
-MAX_ITEMS = 100_000
+#: Largest number of elements of a list inside a frame.
+MAX_LIST_ITEMS = 100_000
 
 #: Longest id or digest, in characters.
-MAX_TEXT = 256
+MAX_TEXT_CHARS = 256
 
-#: Largest count or number.
+#: Largest integer.
 MAX_NUMBER = 2**53
 
-#: Error of a stream that ended between two frames.
+#: Error of a stream that was closed between two frames.
 STREAM_CLOSED = 'closed'
 
 _CHUNK_BYTES = 65_536
 
-_LENGTH = struct.Struct('>I')
+_LENGTH_PREFIX = struct.Struct('>I')
 
 FieldCheck = Callable[[Any], bool]
 
 
-def text(found: Any) -> bool:
-    """Accept a short text."""
-    return isinstance(found, str) and len(found) <= MAX_TEXT
+def text(value: Any) -> bool:
+    """Accept a string of up to ``MAX_TEXT_CHARS`` characters."""
+    return isinstance(value, str) and len(value) <= MAX_TEXT_CHARS
 
 
-def payload_text(found: Any) -> bool:
-    """Accept a text of any length that fits into a frame."""
-    return isinstance(found, str)
+def payload_text(value: Any) -> bool:
+    """Accept a string of any length that fits into a frame."""
+    return isinstance(value, str)
 
 
-def count(found: Any) -> bool:
-    """Accept a whole number of at least 0."""
+def count(value: Any) -> bool:
+    """Accept an integer from 0 to ``MAX_NUMBER``."""
     return (
-        isinstance(found, int)
-        and not isinstance(found, bool)
-        and 0 <= found <= MAX_NUMBER
+        isinstance(value, int)
+        and not isinstance(value, bool)
+        and 0 <= value <= MAX_NUMBER
     )
 
 
-def weight(found: Any) -> bool:
-    """Accept a positive finite number."""
-    return isinstance(found, float) and 0 < found < math.inf
+def positive_number(value: Any) -> bool:
+    """Accept a positive finite float."""
+    return isinstance(value, float) and 0 < value < math.inf
 
 
-def seconds(found: Any) -> bool:
-    """Accept a finite number."""
-    return isinstance(found, float) and -math.inf < found < math.inf
+def finite_number(value: Any) -> bool:
+    """Accept a finite float."""
+    return isinstance(value, float) and -math.inf < value < math.inf
 
 
-def flag(found: Any) -> bool:
-    """Accept true or false."""
-    return isinstance(found, bool)
+def flag(value: Any) -> bool:
+    """Accept a boolean."""
+    return isinstance(value, bool)
 
 
-def blob(found: Any) -> bool:
+def blob(value: Any) -> bool:
     """Accept bytes."""
-    return isinstance(found, bytes)
+    return isinstance(value, bytes)
 
 
-def blob_or_none(found: Any) -> bool:
+def blob_or_none(value: Any) -> bool:
     """Accept bytes or None."""
-    return found is None or isinstance(found, bytes)
+    return value is None or isinstance(value, bytes)
 
 
-def texts(found: Any) -> bool:
-    """Accept a list of short texts."""
-    return isinstance(found, tuple) and all(map(text, found))
+def texts(value: Any) -> bool:
+    """Accept a tuple of short strings."""
+    return isinstance(value, tuple) and all(map(text, value))
 
 
-def counts(found: Any) -> bool:
-    """Accept a list of whole numbers."""
-    return isinstance(found, tuple) and all(map(count, found))
+def counts(value: Any) -> bool:
+    """Accept a tuple of counts."""
+    return isinstance(value, tuple) and all(map(count, value))
 
 
 def rows(*checks: FieldCheck) -> FieldCheck:
-    """Return the check of a list of tuples with these columns."""
+    """Return a check that accepts a tuple of rows with these columns."""
 
-    def check_rows(found: Any) -> bool:  # noqa: WPS430
-        return isinstance(found, tuple) and all(
-            isinstance(row, tuple) and _matches(row, checks) for row in found
+    def check_rows(value: Any) -> bool:  # noqa: WPS430
+        return isinstance(value, tuple) and all(
+            isinstance(row, tuple) and _matches(row, checks) for row in value
         )
 
     return check_rows
 
 
 def checked_field(check: FieldCheck) -> Any:
-    """Return a data class field with a check."""
+    """Return a data class field that is validated by ``check`` on decoding."""
     return dataclasses.field(metadata={'check': check})
 
 
 def _matches(row: tuple[Any, ...], checks: tuple[FieldCheck, ...]) -> bool:
     return len(row) == len(checks) and all(
-        check(cell) for check, cell in zip(checks, row)
+        check(value) for check, value in zip(checks, row)
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Envelope:
-    """A message and the number that rode on its frame."""
+    """A message and the header number of its frame."""
 
     message: Any
     header: int
@@ -123,10 +124,10 @@
     """Encodes and decodes messages of a fixed tuple of classes."""
 
     def __init__(self, *kinds: type) -> None:
-        """Use the position of a class as its type number; append only."""
+        """Use the position of a class as its type number; only append."""
         self._kinds = kinds
-        self._numbers = {kind: number for number, kind in enumerate(kinds)}
-        self._names = {
+        self._type_numbers = {kind: number for number, kind in enumerate(kinds)}
+        self._field_names = {
             kind: tuple(field.name for field in dataclasses.fields(kind))
             for kind in kinds
         }
@@ -138,61 +139,63 @@
         }
 
     def encode(self, message: Any, *, header: int) -> result.Result[bytes, str]:
-        """Return a frame with its length prefix, or why it is too large."""
+        """Return a frame with its length prefix, Err if it is too large."""
         kind = type(message)
-        fields = [getattr(message, name) for name in self._names[kind]]
-        body = msgpack.packb([self._numbers[kind], header, *fields])
+        fields = [getattr(message, name) for name in self._field_names[kind]]
+        body = msgpack.packb([self._type_numbers[kind], header, *fields])
         if len(body) > MAX_FRAME_BYTES:
-            return result.Err(f'{kind.__name__} has {len(body)} bytes')
-        return result.Ok(_LENGTH.pack(len(body)) + body)
+            return result.Err(
+                f'{kind.__name__} frame of {len(body)} bytes is too large'
+            )
+        return result.Ok(_LENGTH_PREFIX.pack(len(body)) + body)
 
     def decode(self, body: bytes) -> result.Result[Envelope, str]:
-        """Read one frame without its length prefix.
+        """Decode and validate one frame without its length prefix.
 
-        Nesting is bounded by the field types, which allow three levels.
+        The field checks bound the nesting to three levels.
         """
         try:
-            parts = msgpack.unpackb(
+            unpacked = msgpack.unpackb(
                 body,
                 use_list=False,
-                max_array_len=MAX_ITEMS,
+                max_array_len=MAX_LIST_ITEMS,
                 max_map_len=0,
                 max_ext_len=0,
             )
         except (ValueError, RecursionError) as exc:
             return result.Err(f'not msgpack: {type(exc).__name__}')
-        if not isinstance(parts, tuple) or len(parts) < 2:
+        if not isinstance(unpacked, tuple) or len(unpacked) < 2:
             return result.Err('not an array of type, header and fields')
-        number, header = parts[:2]
+        number, header = unpacked[:2]
         if not (count(number) and number < len(self._kinds) and count(header)):
             return result.Err('unknown frame type')
         kind = self._kinds[number]
-        fields = parts[2:]
+        fields = unpacked[2:]
         if not _matches(fields, self._checks[kind]):
             return result.Err(f'malformed fields of {kind.__name__}')
-        message = kind(**dict(zip(self._names[kind], fields)))
+        message = kind(**dict(zip(self._field_names[kind], fields)))
         return result.Ok(Envelope(message=message, header=header))
 
 
 class FrameReader:
-    """Reads the frames of one stream, as many as one chunk holds."""
+    """Reads frames from a stream; one chunk may hold several."""
 
     def __init__(self, *, codec: Codec, reader: asyncio.StreamReader) -> None:
-        """Read from the start of a stream."""
+        """Read from ``reader``, which is at the start of a frame."""
         self._codec = codec
         self._reader = reader
-        self._pending = bytearray()
+        self._buffer = bytearray()
 
     async def read(self) -> result.Result[Envelope, str]:
-        """Wait for a message; Err if the stream ended or broke the rules."""
+        """Wait for a message; Err if the stream ended or is malformed."""
         while True:
-            size = self._size()
+            size = self._next_frame_size()
             if size > MAX_FRAME_BYTES:
                 return result.Err(f'frame of {size} bytes is too large')
-            end = _LENGTH.size + size
-            if len(self._pending) >= end:
-                body = bytes(self._pending[_LENGTH.size : end])
-                del self._pending[:end]
+            end = _LENGTH_PREFIX.size + size
+            if len(self._buffer) >= end:
+                body = bytes(self._buffer[_LENGTH_PREFIX.size : end])
+                del self._buffer[:end]
                 return self._codec.decode(body)
             try:
                 chunk = await self._reader.read(_CHUNK_BYTES)
@@ -200,12 +203,12 @@
                 return result.Err(f'stream failed: {exc.strerror}')
             if not chunk:
                 return result.Err(
-                    'truncated' if self._pending else STREAM_CLOSED
+                    'truncated' if self._buffer else STREAM_CLOSED
                 )
-            self._pending += chunk
+            self._buffer += chunk
 
-    def _size(self) -> int:
-        """Return the size of the next frame, 0 if it is not known yet."""
-        if len(self._pending) < _LENGTH.size:
+    def _next_frame_size(self) -> int:
+        """Return the size of the next frame, 0 before its length arrived."""
+        if len(self._buffer) < _LENGTH_PREFIX.size:
             return 0
-        return int(_LENGTH.unpack_from(self._pending)[0])
+        return int(_LENGTH_PREFIX.unpack_from(self._buffer)[0])
--- a/sardineproxy/connection/deadlines.py
+++ b/sardineproxy/connection/deadlines.py
@@ -1,23 +1,24 @@
 """Deadlines of many coroutines on one timer.
 
-``asyncio.timeout`` makes one timer for each use, which costs more than the
+``asyncio.timeout`` creates a timer for each use, which costs more than the
 rest of an attempt's bookkeeping.
 """
 
 import asyncio
 import heapq
 
-#: Ended entries are dropped when they outnumber the others by this many.
-MAX_ENDED = 64
+#: Finished deadlines are removed from the heap when there are this many more
+#: of them than open ones.
+MAX_EXCESS_FINISHED = 64
 
 
 class Deadline:
-    """One coroutine with a deadline."""
+    """The deadline of one coroutine."""
 
     __slots__ = ('task', 'cancelling', 'is_open', 'is_expired')
 
     def __init__(self, task: 'asyncio.Task[object]') -> None:
-        """Watch the task that runs the coroutine."""
+        """Start open; ``task`` runs the coroutine."""
         self.task = task
         self.cancelling = task.cancelling()
         self.is_open = True
@@ -28,62 +29,64 @@
     """Cancels coroutines at their deadlines."""
 
     def __init__(self) -> None:
-        """Start without entries."""
+        """Start without deadlines."""
         self._heap: list[tuple[float, int, Deadline]] = []
-        self._last_number = 0
-        self._open = 0
-        self._handle: asyncio.TimerHandle | None = None
+        self._last_sequence = 0
+        self._open_count = 0
+        self._timer_handle: asyncio.TimerHandle | None = None
 
     def start(self, *, timeout_s: float) -> Deadline:
-        """Cancel the current task in ``timeout_s`` unless it leaves before."""
+        """Cancel the current task after ``timeout_s`` if it is still open."""
         loop = asyncio.get_running_loop()
         task = asyncio.current_task()
         assert task is not None
-        entry = Deadline(task)
-        due = loop.time() + timeout_s
-        self._open += 1
-        self._last_number += 1
-        if len(self._heap) > 2 * self._open + MAX_ENDED:
-            self._heap = [timed for timed in self._heap if timed[2].is_open]
+        deadline = Deadline(task)
+        due_at = loop.time() + timeout_s
+        self._open_count += 1
+        self._last_sequence += 1
+        if len(self._heap) > 2 * self._open_count + MAX_EXCESS_FINISHED:
+            self._heap = [item for item in self._heap if item[2].is_open]
             heapq.heapify(self._heap)
-        heapq.heappush(self._heap, (due, self._last_number, entry))
-        if self._handle is None or due < self._handle.when():
-            self._set_timer(due)
-        return entry
+        heapq.heappush(self._heap, (due_at, self._last_sequence, deadline))
+        if self._timer_handle is None or due_at < self._timer_handle.when():
+            self._set_timer(due_at)
+        return deadline
 
-    def finish(self, entry: Deadline) -> bool:
-        """End the watch; tell whether the deadline cancelled the task.
+    def finish(self, deadline: Deadline) -> bool:
+        """Close the deadline; return whether only it cancelled the task.
 
-        If so, a ``CancelledError`` that ends the coroutine is a time-out,
-        unless somebody else cancelled the task too.
+        If so, a ``CancelledError`` in the coroutine is a timeout. If the task
+        was cancelled from elsewhere too, the error has to be raised again.
         """
-        if not entry.is_open:
+        if not deadline.is_open:
             return False
-        entry.is_open = False
-        self._open -= 1
-        if not entry.is_expired:
+        deadline.is_open = False
+        self._open_count -= 1
+        if not deadline.is_expired:
             return False
-        return entry.task.uncancel() <= entry.cancelling
+        return deadline.task.uncancel() <= deadline.cancelling
 
     def close(self) -> None:
         """Stop the timer."""
-        if self._handle is not None:
-            self._handle.cancel()
-            self._handle = None
+        if self._timer_handle is not None:
+            self._timer_handle.cancel()
+            self._timer_handle = None
 
-    def _set_timer(self, due: float) -> None:
+    def _set_timer(self, due_at: float) -> None:
         self.close()
-        self._handle = asyncio.get_running_loop().call_at(due, self._expire)
+        self._timer_handle = asyncio.get_running_loop().call_at(
+            due_at, self._expire
+        )
 
     def _expire(self) -> None:
-        self._handle = None
+        self._timer_handle = None
         now = asyncio.get_running_loop().time()
         while self._heap:
-            due, _, entry = self._heap[0]
-            if entry.is_open and due > now:
-                self._set_timer(due)
+            due_at, _, deadline = self._heap[0]
+            if deadline.is_open and due_at > now:
+                self._set_timer(due_at)
                 return
             heapq.heappop(self._heap)
-            if entry.is_open:
-                entry.is_expired = True
-                entry.task.cancel()
+            if deadline.is_open:
+                deadline.is_expired = True
+                deadline.task.cancel()
--- a/sardineproxy/connection/endpoint.py
+++ b/sardineproxy/connection/endpoint.py
@@ -1,7 +1,8 @@
 """One attempt to run a task at an endpoint over HTTP/1.1.
 
-"Not run" is said only while no connection was handed to the request. From
-that moment on a byte may have left, and only a whole answer is certain.
+The outcome is "not run" only until a connection is assigned to the request.
+From then on a byte may have been sent, and only a complete response proves
+what happened.
 """
 
 import asyncio
@@ -19,11 +20,11 @@
 from sardineproxy.process import metrics, platform
 from sardineproxy.request import work
 
-#: Problem code of an attempt that got no connection, so that another
-#: endpoint may run the task.
+#: Problem code of an attempt that got no connection; the task may be run at
+#: another endpoint.
 UNREACHABLE = 'endpoint_unreachable'
 
-#: Headers that concern one connection only and never pass through.
+#: Hop-by-hop headers, which are not forwarded.
 HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -38,12 +39,12 @@
     )
 )
 
-#: Request headers that the connection sets itself. ``Expect`` would hold the
-#: body back until the endpoint asks for it.
-_OWN_HEADERS = HOP_BY_HOP | {'content-length', 'expect', 'host'}
+#: Request headers that the client sets itself, and ``Expect``, which would
+#: delay the body until the endpoint sends an interim response.
+_DROPPED_HEADERS = HOP_BY_HOP | {'content-length', 'expect', 'host'}
 
-#: Answer headers that say where the answer ends or what to drop.
-_SPECIAL_HEADERS = frozenset(
+#: Response headers that determine the framing or list hop-by-hop headers.
+_CONTROL_HEADERS = frozenset(
     (
         'connection',
         'content-length',
@@ -51,10 +52,10 @@
     )
 )
 
-_FIRST_FINAL_STATUS = 200
+_MIN_FINAL_STATUS = 200
 _BODILESS_STATUSES = frozenset((204, 304))
 
-#: Methods that open a tunnel or echo the request are not for tasks.
+#: CONNECT opens a tunnel and TRACE echoes the request; tasks use neither.
 _METHOD = re.compile('(?!CONNECT$|TRACE$)[A-Z]{1,20}')
 _TARGET = re.compile('/[!"$-~]*')
 _HEADER_NAME = re.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+")
@@ -73,36 +74,37 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Bounds of connections and answers."""
+    """Limits of connections and responses."""
 
-    #: Longest wait for a TCP connection to be established, in seconds.
+    #: Timeout for establishing a TCP connection, in seconds.
     connect_timeout_s: float = 1
 
     #: Idle connections are closed after this time, in seconds. Common servers
-    #: close theirs after 5 s; a request must not meet that close.
+    #: close theirs after 5 s; a request must not be sent during that close.
     keepalive_s: float = 4
 
-    #: A connection is used again only after this time, in seconds, while the
-    #: endpoint takes further ones: an endpoint that answers twice would
-    #: otherwise shift all later answers on it by one.
+    #: While the endpoint accepts more connections, a connection is reused only
+    #: after being idle for this time, in seconds. Otherwise an endpoint that
+    #: responds twice to a request would shift all later responses by one.
     min_idle_s: float = 0.01
 
-    #: Most connections to an endpoint, whatever the list says.
+    #: Upper bound on concurrent connections to an endpoint, whatever its VM
+    #: entry states.
     max_connections: int = 64
 
-    #: Largest answer of an endpoint, in bytes.
+    #: Largest response body of an endpoint, in bytes.
     max_response_bytes: int = 8_388_608
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ResponseLost(work.OutcomeUnknown):
-    """No whole answer came from a known endpoint."""
+    """A known endpoint sent no complete response."""
 
     endpoint: ids.EndpointId
 
 
 class EndpointClient:
-    """Sends tasks to endpoints and classifies what came back."""
+    """Sends tasks to endpoints and classifies the outcomes."""
 
     def __init__(
         self,
@@ -111,7 +113,7 @@
         metrics: metrics.Metrics,
         cfg: Config | None = None,
     ) -> None:
-        """Prepare a client; ``start`` opens its session."""
+        """Create a client without a session; ``start`` opens it."""
         self._clock = clock
         self._metrics = metrics
         self._cfg = cfg or Config()
@@ -137,7 +139,7 @@
             auto_decompress=False,
             trust_env=False,
         )
-        # aiohttp repeats idempotent methods on a new connection otherwise.
+        # Keeps aiohttp from repeating idempotent methods on a new connection.
         # The connector refuses a second connection in any case.
         self._session._retry_connection = False  # noqa: SLF001
 
@@ -155,22 +157,24 @@
         if timeout_s <= 0:
             return work.Refused(problem=deadline_passed())
         headers = _request_headers(task.headers)
-        if headers is None or not _is_sound(task.method, task.path):
-            return work.Refused(problem=_bad_task())
+        if headers is None or not _is_valid_request_line(
+            task.method, task.path
+        ):
+            return work.Refused(problem=_invalid_task())
         self._metrics.count('endpoint_attempts_total', kind=task.kind.value)
         exchange = endpoint_pool.Exchange()
         endpoint_pool.current_exchange.set(exchange)
-        watch = self._deadline_timer.start(timeout_s=timeout_s)
+        deadline = self._deadline_timer.start(timeout_s=timeout_s)
         try:
             return await self._limited_exchange(task, vm, headers, exchange)
         except asyncio.CancelledError:
-            if not self._deadline_timer.finish(watch):
+            if not self._deadline_timer.finish(deadline):
                 raise
-            outcome = _cut_off(vm, exchange)
+            outcome = _classify_timeout(vm, exchange)
         except _ATTEMPT_ERRORS as exc:
-            outcome = _failed(vm, exchange, exc)
+            outcome = _classify_failure(vm, exchange, exc)
         finally:
-            self._deadline_timer.finish(watch)
+            self._deadline_timer.finish(deadline)
         self._metrics.count(
             'endpoint_attempts_failed_total', code=outcome.problem.code
         )
@@ -183,7 +187,7 @@
         headers: _Headers,
         exchange: endpoint_pool.Exchange,
     ) -> work.Response:
-        """Keep within the number of connections that the endpoint takes."""
+        """Exchange within the endpoint's limit of connections."""
         key = (vm.host, vm.port)
         limiter = self._limiters.get(key)
         if limiter is None:
@@ -211,51 +215,54 @@
     ) -> work.Response:
         assert self._session is not None, 'start() was not called'
         host = f'[{vm.host}]' if ':' in vm.host else vm.host
-        reply = await self._session.request(
+        resp = await self._session.request(
             task.method,
             yarl.URL(f'http://{host}:{vm.port}{task.path}', encoded=True),
             headers=headers,
             data=task.body or None,
             allow_redirects=False,
         )
-        with contextlib.ExitStack() as on_failure:
-            # A cancelled task must not leave its answer on the connection.
-            on_failure.callback(reply.close)
-            kept, framing = _read_headers(reply, task.method)
-            body = await self._read_body(reply, framing)
-            on_failure.pop_all()
+        with contextlib.ExitStack() as cleanup:
+            # The response to a cancelled task must not stay unread on a
+            # connection that is reused.
+            cleanup.callback(resp.close)
+            response_headers, framing = _parse_response_headers(
+                resp, task.method
+            )
+            body = await self._read_body(resp, framing)
+            cleanup.pop_all()
         assert exchange.protocol is not None
         exchange.protocol.mark_complete(framing)
         return work.Response(
-            status=reply.status,
-            headers=kept,
+            status=resp.status,
+            headers=response_headers,
             body=body,
             endpoint=ids.EndpointId(vm.name),
         )
 
     async def _read_body(
-        self, reply: aiohttp.ClientResponse, framing: endpoint_pool.Framing
+        self, resp: aiohttp.ClientResponse, framing: endpoint_pool.Framing
     ) -> bytes:
         limit = self._cfg.max_response_bytes
         if framing.length is not None and framing.length > limit:
             raise endpoint_pool.InvalidResponseError('answer_too_large')
-        parts = []
+        chunks = []
         size = 0
         while size != framing.length:
-            part = await reply.content.readany()
-            if not part:
+            chunk = await resp.content.readany()
+            if not chunk:
                 break
-            parts.append(part)
-            size += len(part)
+            chunks.append(chunk)
+            size += len(chunk)
             if size > limit:
                 raise endpoint_pool.InvalidResponseError('answer_too_large')
         if framing.length is not None and size != framing.length:
             raise endpoint_pool.InvalidResponseError('wrong_length')
-        return parts[0] if len(parts) == 1 else b''.join(parts)
+        return chunks[0] if len(chunks) == 1 else b''.join(chunks)
 
 
 def deadline_passed() -> problems.Problem:
-    """Describe a task whose deadline passed before it was sent."""
+    """Return the problem of a task whose deadline passed before sending."""
     return problems.refusal(
         code='deadline_passed',
         status=504,
@@ -264,82 +271,88 @@
     )
 
 
-def _is_sound(method: str, path: str) -> bool:
-    """Tell whether the request line reads the same to all parsers."""
+def _is_valid_request_line(method: str, path: str) -> bool:
+    """Return whether all parsers interpret the request line alike."""
     return bool(_METHOD.fullmatch(method) and _TARGET.fullmatch(path))
 
 
 @functools.lru_cache(maxsize=256)
 def _request_headers(headers: _Headers) -> _Headers | None:
     """Return the headers to send, or None if one of them is malformed."""
-    dropped: frozenset[str] = _OWN_HEADERS
+    dropped: frozenset[str] = _DROPPED_HEADERS
     for name, text in headers:
         if not _HEADER_NAME.fullmatch(name) or not _HEADER_TEXT.fullmatch(text):
             return None
         if name.lower() == 'connection':
-            dropped |= _tokens(text)
+            dropped |= _split_tokens(text)
     return tuple(
         header for header in headers if header[0].lower() not in dropped
     )
 
 
-def _read_headers(
-    reply: aiohttp.ClientResponse, method: str
+def _parse_response_headers(
+    resp: aiohttp.ClientResponse, method: str
 ) -> tuple[_Headers, endpoint_pool.Framing]:
-    """Return the end-to-end headers and the framing of an answer."""
-    special: dict[str, list[str]] = {}
+    """Return the end-to-end headers and the framing of a response."""
+    control_headers: dict[str, list[str]] = {}
     headers = []
-    for raw_name, raw_text in reply.raw_headers:
-        name, lowered, is_special = _read_name(raw_name)
+    for raw_name, raw_text in resp.raw_headers:
+        name, lowered, is_control = _parse_header_name(raw_name)
         text = raw_text.decode('latin-1')
-        if is_special:
-            special.setdefault(lowered, []).append(text)
+        if is_control:
+            control_headers.setdefault(lowered, []).append(text)
         if lowered not in HOP_BY_HOP:
             headers.append((name, text))
-    framing = _find_framing(
-        reply.status,
+    framing = _parse_framing(
+        resp.status,
         method,
-        special.get('content-length', []),
-        special.get('transfer-encoding', []),
+        control_headers.get('content-length', []),
+        control_headers.get('transfer-encoding', []),
     )
-    connection = special.get('connection')
+    connection = control_headers.get('connection')
     if connection:
-        named = _tokens(','.join(connection))
+        hop_by_hop = _split_tokens(','.join(connection))
         headers = [
-            header for header in headers if header[0].lower() not in named
+            header for header in headers if header[0].lower() not in hop_by_hop
         ]
     return tuple(headers), framing
 
 
 @functools.lru_cache(maxsize=512)
-def _read_name(raw_name: bytes) -> tuple[str, str, bool]:
-    """Return a name, the same in lower case, and whether it is special."""
+def _parse_header_name(raw_name: bytes) -> tuple[str, str, bool]:
+    """Return the name, its lower case, and if it is a control header."""
     name = raw_name.decode('latin-1')
     lowered = name.lower()
-    return name, lowered, lowered in _SPECIAL_HEADERS
+    return name, lowered, lowered in _CONTROL_HEADERS
 
 
-def _find_framing(
-    status: int, method: str, lengths: list[str], codings: list[str]
+def _parse_framing(
+    status: int,
+    method: str,
+    content_lengths: list[str],
+    transfer_codings: list[str],
 ) -> endpoint_pool.Framing:
-    if status < _FIRST_FINAL_STATUS or len(lengths) + len(codings) > 1:
+    if (
+        status < _MIN_FINAL_STATUS
+        or len(content_lengths) + len(transfer_codings) > 1
+    ):
         raise endpoint_pool.InvalidResponseError('malformed_answer')
     if method == 'HEAD' or status in _BODILESS_STATUSES:
         return endpoint_pool.Framing(length=0)
-    if [coding.lower() for coding in codings] == ['chunked']:
+    if [name.lower() for name in transfer_codings] == ['chunked']:
         return endpoint_pool.Framing(length=None)
-    # A body that ends with the connection may have been cut anywhere.
-    if not lengths or not lengths[0].isdecimal():
+    # A body that is ended by closing the connection may be truncated.
+    if not content_lengths or not content_lengths[0].isdecimal():
         raise endpoint_pool.InvalidResponseError('unknown_length')
-    return endpoint_pool.Framing(length=int(lengths[0]))
+    return endpoint_pool.Framing(length=int(content_lengths[0]))
 
 
 @functools.lru_cache(maxsize=64)
-def _tokens(text: str) -> frozenset[str]:
+def _split_tokens(text: str) -> frozenset[str]:
     return frozenset(token.strip().lower() for token in text.split(','))
 
 
-def _bad_task() -> problems.Problem:
+def _invalid_task() -> problems.Problem:
     return problems.refusal(
         code='bad_task',
         status=400,
@@ -347,15 +360,15 @@
     )
 
 
-def _cut_off(
+def _classify_timeout(
     vm: platform.Vm, exchange: endpoint_pool.Exchange
 ) -> work.Refused | work.OutcomeUnknown:
     if exchange.protocol is None:
         return work.Refused(problem=deadline_passed())
-    return _failed(vm, exchange, TimeoutError())
+    return _classify_failure(vm, exchange, TimeoutError())
 
 
-def _failed(
+def _classify_failure(
     vm: platform.Vm, exchange: endpoint_pool.Exchange, exc: Exception
 ) -> work.Refused | work.OutcomeUnknown:
     if exchange.protocol is None:
--- a/sardineproxy/connection/frames.py
+++ b/sardineproxy/connection/frames.py
@@ -1,4 +1,4 @@
-"""Messages between entry processes, as bounded msgpack frames."""
+"""Frames that entry processes send each other, encoded by ``codec``."""
 
 import asyncio
 import dataclasses
@@ -14,13 +14,13 @@
 #: Largest payload of a forward or its reply, in bytes.
 MAX_PAYLOAD_BYTES = MAX_FRAME_BYTES - 64
 
-#: Error of a stream that ended between two frames.
+#: Error of a stream that was closed between two frames.
 STREAM_CLOSED = codec.STREAM_CLOSED
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Hello:
-    """First frame each way: who is at this end."""
+    """First frame in each direction: identifies the sender."""
 
     vm: ids.VmId = codec.checked_field(codec.text)
     incarnation: ids.Incarnation = codec.checked_field(codec.text)
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
-    """Sign of life on an otherwise idle stream."""
+    """Keeps an otherwise idle stream alive."""
 
     version: int = codec.checked_field(codec.count)
     revision: int = codec.checked_field(codec.count)
@@ -43,26 +43,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class View:
-    """The sender's present membership view of its zone."""
+    """The sender's current membership view of its zone."""
 
     members: tuple[tuple[ids.VmId, ids.Incarnation], ...] = codec.checked_field(
         codec.rows(codec.text, codec.text)
     )
 
-    #: Digest over members, their sizes, and the endpoints of the listing.
+    #: Digest of the members, their sizes, and the endpoints of the listing.
     digest: str = codec.checked_field(codec.text)
 
-    #: Number of the sender's view; rises with each change.
+    #: Number of the sender's view; incremented with each change.
     epoch: int = codec.checked_field(codec.count)
 
-    #: The receiver's newest epoch that the sender has seen, 0 for none.
+    #: The receiver's newest epoch that the sender received, 0 for none.
     acknowledged_epoch: int = codec.checked_field(codec.count)
 
-    #: True if the sender uses no more than this view gives it.
+    #: True if the sender uses no slots beyond those that this view assigns it.
     settled: bool = codec.checked_field(codec.flag)
 
 
-#: Customer, contract weight, and slots wanted.
+#: Customer, contract weight, and number of slots requested.
 SlotDemand = tuple[ids.CustomerId, float, int]
 
 #: Customer, endpoint, and number of slots.
@@ -71,23 +71,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SlotRequest:
-    """Asks for loans, or for lent slots."""
+    """Requests loans of slots, or the return of lent slots."""
 
     number: int = codec.checked_field(codec.count)
     demands: tuple[SlotDemand, ...] = codec.checked_field(
-        codec.rows(codec.text, codec.weight, codec.count)
+        codec.rows(codec.text, codec.positive_number, codec.count)
     )
 
-    #: Endpoints whose borrowed slots the sender wants back.
+    #: Endpoints whose borrowed slots the receiver should return.
     recall: tuple[ids.EndpointId, ...] = codec.checked_field(codec.texts)
 
-    #: True if the sender wants all its borrowed slots that are idle.
+    #: True if the receiver should return all idle slots that it borrowed from
+    #: the sender.
     reclaim: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SlotGrant:
-    """Lends slots in answer to the request ``number``, at once or later."""
+    """Lends slots for request ``number``; may be sent some time after it."""
 
     number: int = codec.checked_field(codec.count)
     allocations: tuple[SlotAllocation, ...] = codec.checked_field(
@@ -97,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SlotReturn:
-    """Gives borrowed slots back."""
+    """Returns borrowed slots to their lender."""
 
     allocations: tuple[SlotAllocation, ...] = codec.checked_field(
         codec.rows(codec.text, codec.text, codec.count)
@@ -106,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Forward:
-    """A submission, or a question about one, for the minter of its key."""
+    """A submission or query, for the entry process that issued its key."""
 
     number: int = codec.checked_field(codec.count)
     payload: bytes = codec.checked_field(codec.blob)
@@ -114,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardReply:
-    """The reply to the forward with this number."""
+    """The reply to the ``Forward`` with the same number."""
 
     number: int = codec.checked_field(codec.count)
     payload: bytes = codec.checked_field(codec.blob)
@@ -122,7 +123,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigAnnounce:
-    """Tells that the sender has a newer version or listing."""
+    """Announces that the sender has a newer version or listing."""
 
     version: int = codec.checked_field(codec.count)
     revision: int = codec.checked_field(codec.count)
@@ -130,7 +131,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigFetch:
-    """Asks for what is newer than this version and this listing."""
+    """Requests what is newer than this version and this listing."""
 
     version: int = codec.checked_field(codec.count)
     revision: int = codec.checked_field(codec.count)
@@ -138,7 +139,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigChanges:
-    """Newer changes and the newer listing, None where there are none."""
+    """Newer changes and the newer listing, None if there are none."""
 
     changes: bytes | None = codec.checked_field(codec.blob_or_none)
     listing: bytes | None = codec.checked_field(codec.blob_or_none)
@@ -146,7 +147,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Goodbye:
-    """The sender ends; its slots may be taken over at once."""
+    """The sender shuts down; its slots may be reassigned at once."""
 
 
 Frame = (
@@ -167,13 +168,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Envelope:
-    """A frame, and how many slots its sender could lend."""
+    """A frame and the number of slots that its sender could lend."""
 
     frame: Frame
     free_slots: int
 
 
-#: The position is the type number on the wire; append only.
+#: The position is the type number on the wire; only append.
 FRAME_TYPES: tuple[type, ...] = (
     Hello,
     Heartbeat,
@@ -192,12 +193,12 @@
 
 
 def encode(frame: Frame, *, free_slots: int = 0) -> result.Result[bytes, str]:
-    """Return the frame with its length prefix, or why it is too large."""
+    """Return the frame with its length prefix, Err if it is too large."""
     return _CODEC.encode(frame, header=free_slots)
 
 
 def decode(body: bytes) -> result.Result[Envelope, str]:
-    """Read one frame without its length prefix."""
+    """Decode one frame without its length prefix."""
     return _CODEC.decode(body).map(_to_envelope)
 
 
@@ -205,12 +206,12 @@
     """Reads the frames of one stream."""
 
     def __init__(self, *, reader: asyncio.StreamReader) -> None:
-        """Read from the start of a stream."""
-        self._frames = codec.FrameReader(codec=_CODEC, reader=reader)
+        """Read from ``reader``, which is at the start of a frame."""
+        self._frame_reader = codec.FrameReader(codec=_CODEC, reader=reader)
 
     async def read(self) -> result.Result[Envelope, str]:
-        """Wait for a frame; Err if the stream ended or broke the rules."""
-        received = await self._frames.read()
+        """Wait for a frame; Err if the stream ended or is malformed."""
+        received = await self._frame_reader.read()
         return received.map(_to_envelope)
 
 
--- a/sardineproxy/connection/link.py
+++ b/sardineproxy/connection/link.py
@@ -1,4 +1,4 @@
-"""One link to another entry VM of the deployment."""
+"""A link that carries messages to and from another entry VM."""
 
 import asyncio
 import contextlib
@@ -9,13 +9,13 @@
 from sardineproxy import clock, logs
 from sardineproxy.connection import codec, messages
 
-#: Unsent bytes at which a link is given up; the other end reads too slowly.
+#: Unsent bytes above which a link is closed, as the peer reads too slowly.
 MAX_UNSENT_BYTES = 1_048_576
 
-#: Longest wait for the other end's greeting, in seconds.
+#: Timeout for the peer's greeting, in seconds.
 GREETING_TIMEOUT_S = 0.5
 
-#: Longest wait for what is queued to leave, in seconds.
+#: Timeout for sending queued messages, in seconds.
 FLUSH_TIMEOUT_S = 0.3
 
 Connect = Callable[
@@ -27,7 +27,7 @@
 
 
 class Link:
-    """Sends and receives messages; notes when the peer was last heard."""
+    """Sends and receives messages, and records when it last did."""
 
     def __init__(
         self,
@@ -39,14 +39,16 @@
     ) -> None:
         """Use an open connection; ``dialed`` if this process opened it."""
         self._clock = clock
-        self._frames = codec.FrameReader(codec=messages.CODEC, reader=reader)
+        self._frame_reader = codec.FrameReader(
+            codec=messages.CODEC, reader=reader
+        )
         self._writer = writer
         self.dialed = dialed
         self.opened_at = clock.now()
         self.last_received_at = self.opened_at
         self.last_sent_at = self.last_received_at
 
-        #: Who is at the other end, set by ``handshake``.
+        #: Identity of the peer, set by ``handshake``.
         self.peer: messages.Greeting
 
     async def handshake(
@@ -58,7 +60,7 @@
             async with asyncio.timeout(GREETING_TIMEOUT_S):
                 received = await self.receive()
         except TimeoutError:
-            return result.Err('no greeting in time')
+            return result.Err('no greeting before the timeout')
         if isinstance(received, result.Err):
             return received
         if not isinstance(received.ok_value, messages.Greeting):
@@ -68,7 +70,7 @@
 
     async def receive(self) -> result.Result[messages.Message, str]:
         """Wait for a message."""
-        received = await self._frames.read()
+        received = await self._frame_reader.read()
         if isinstance(received, result.Err):
             return received
         self.last_received_at = self._clock.now()
@@ -80,7 +82,7 @@
             return False
         encoded = messages.CODEC.encode(message, header=0)
         if isinstance(encoded, result.Err):
-            _LOG.error('message not sent: %s', encoded.err_value)
+            _LOG.error('Message dropped: %s.', encoded.err_value)
             return False
         if self._writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
@@ -90,20 +92,20 @@
         return True
 
     async def flush(self) -> None:
-        """Wait until most of what was queued is sent."""
+        """Wait until most of the queued bytes are sent, or the timeout."""
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(FLUSH_TIMEOUT_S):
                 await self._writer.drain()
 
     def is_closing(self) -> bool:
-        """Tell whether nothing can be sent any more."""
+        """Return whether the link no longer accepts messages."""
         return self._writer.is_closing()
 
     def abort(self) -> None:
-        """Close at once; the reading task ends."""
+        """Close without sending queued messages; pending reads end."""
         self._writer.transport.abort()
 
 
-def is_clean_close(why: str) -> bool:
-    """Tell whether a link ended between two messages."""
-    return why == codec.STREAM_CLOSED
+def is_clean_close(cause: str) -> bool:
+    """Return whether a link was closed between two messages."""
+    return cause == codec.STREAM_CLOSED
--- a/sardineproxy/connection/messages.py
+++ b/sardineproxy/connection/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the entry VMs that accept jobs and those that own cells."""
+"""Messages between the entry VMs that accept jobs and the shard leaders."""
 
 import dataclasses
 
@@ -8,24 +8,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Greeting:
-    """First message each way: who is at this end."""
+    """First message in each direction: identifies the sender."""
 
     vm: ids.VmId = codec.checked_field(codec.text)
     incarnation: ids.Incarnation = codec.checked_field(codec.text)
     zone: ids.ZoneId = codec.checked_field(codec.text)
 
 
-#: Cell, its epoch, the rank of the claim, how many more average tasks the
-#: cell could start now, and whether all its stored jobs are known.
+#: Shard, its epoch, the rank of the claim, how many more average tasks the
+#: shard could start now, and whether all its stored jobs are loaded.
 ShardStatus = tuple[ids.ShardId, int, int, int, bool]
 
-#: Route, and how many of its stored jobs have not begun.
+#: Route, and how many of its stored jobs have not started.
 PendingJobs = tuple[ids.RouteId, int]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
-    """Sign of life: newest configuration, and the cells that are owned."""
+    """Liveness, newest configuration version, and the shards that are led."""
 
     version: int = codec.checked_field(codec.count)
     shards: tuple[ShardStatus, ...] = codec.checked_field(
@@ -34,7 +34,7 @@
         )
     )
 
-    #: Stored jobs that wait, of the cells that are owned.
+    #: Stored jobs that have not started, of the shards that are led.
     pending: tuple[PendingJobs, ...] = codec.checked_field(
         codec.rows(codec.text, codec.count)
     )
@@ -42,9 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Submit:
-    """Asks the owner of a cell to run tasks of one step of a job.
+    """Asks a shard leader to run tasks of one step of a job.
 
-    Sent again to a new owner of the cell, it takes over what still runs.
+    A new leader of the shard receives it again and takes over the tasks that
+    still run.
     """
 
     shard: ids.ShardId = codec.checked_field(codec.text)
@@ -55,7 +56,7 @@
     priority: int = codec.checked_field(codec.count)
     payload: str = codec.checked_field(codec.payload_text)
 
-    #: Index of each task, and the number of its next run.
+    #: Index of each task and the number of its next run.
     tasks: tuple[tuple[int, int], ...] = codec.checked_field(
         codec.rows(codec.count, codec.count)
     )
@@ -66,43 +67,43 @@
     #: Label that a worker must have, empty for none.
     requires: str = codec.checked_field(codec.text)
 
-    #: Rack that has the tasks' data, empty for none.
+    #: Rack that holds the tasks' data, empty for none.
     rack: str = codec.checked_field(codec.text)
 
-    #: Most tasks of the step on one worker, 0 for any number.
+    #: Largest number of tasks of the step on one worker, 0 for no limit.
     per_worker: int = codec.checked_field(codec.count)
 
     #: The client's estimate of a task's run time, in seconds.
-    estimate_s: float = codec.checked_field(codec.seconds)
+    estimate_s: float = codec.checked_field(codec.finite_number)
 
     #: Time since the job arrived, in seconds.
-    age_s: float = codec.checked_field(codec.seconds)
+    age_s: float = codec.checked_field(codec.finite_number)
 
     #: Time until the client stops waiting, in seconds.
-    timeout_s: float = codec.checked_field(codec.seconds)
+    timeout_s: float = codec.checked_field(codec.finite_number)
 
     #: The job is on time within ``stretch`` times its longest task and
     #: ``slack_s`` seconds more.
-    stretch: float = codec.checked_field(codec.seconds)
-    slack_s: float = codec.checked_field(codec.seconds)
+    stretch: float = codec.checked_field(codec.finite_number)
+    slack_s: float = codec.checked_field(codec.finite_number)
 
-    #: True if runs of these tasks may exist in the cell.
+    #: True if runs of these tasks may exist in the shard.
     resumed: bool = codec.checked_field(codec.flag)
 
     #: True if other tasks of the job may have started.
     job_started: bool = codec.checked_field(codec.flag)
 
-    #: True if the tasks may not be sent on to another cell.
+    #: True if the tasks may not be redirected to another shard.
     pinned: bool = codec.checked_field(codec.flag)
 
-    #: True if the job is stored: its ends are acknowledged to workers only
+    #: True if the job is stored: its results are acknowledged to workers only
     #: after ``ResultsStored``.
     stored: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Withdraw:
-    """The sender no longer wants anything of a job in a cell."""
+    """Withdraws all tasks of a job from a shard."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
     job: ids.JobId = codec.checked_field(codec.text)
@@ -110,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunEnded:
-    """A run of a task ended, or can no longer exist."""
+    """A run of a task has finished, or can no longer exist."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
     job: ids.JobId = codec.checked_field(codec.text)
@@ -118,52 +119,52 @@
     index: int = codec.checked_field(codec.count)
     run: int = codec.checked_field(codec.count)
 
-    #: A ``TaskEnd`` value.
+    #: A ``TaskResult`` value.
     result: str = codec.checked_field(codec.text)
 
-    #: True if it is for the keeper of a stored job.
+    #: True if it is for the manager of a stored job.
     stored: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Declined:
-    """Tasks that were not started and will not be."""
+    """Tasks that the leader did not start and will not start."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
     job: ids.JobId = codec.checked_field(codec.text)
     step: int = codec.checked_field(codec.count)
     indices: tuple[int, ...] = codec.checked_field(codec.counts)
 
-    #: Cell that may have room for them, empty for none.
+    #: Shard that may have capacity for them, empty for none.
     suggested_shard: str = codec.checked_field(codec.text)
 
-    #: Why, in a few words.
+    #: Short text of the cause; a client may receive it.
     cause: str = codec.checked_field(codec.text)
 
-    #: Seconds after which there may be room again.
-    retry_after_s: float = codec.checked_field(codec.seconds)
+    #: Time after which there may be capacity again, in seconds.
+    retry_after_s: float = codec.checked_field(codec.finite_number)
 
-    #: True if it is for the keeper of a stored job.
+    #: True if it is for the manager of a stored job.
     stored: bool = codec.checked_field(codec.flag)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ShardReleased:
-    """The sender no longer owns the cell."""
+    """The sender no longer leads the shard."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TakeOver:
-    """Asks the receiver to claim a cell: its owner shuts down."""
+    """Asks the receiver to claim a shard whose leader shuts down."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DirectoryRequest:
-    """Asks for the directory of VMs and claims."""
+    """Requests the directory of VMs and claims."""
 
 
 #: Key, revision and body of a row of the directory.
@@ -181,22 +182,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class VersionRequest:
-    """Asks for the configuration version that the receiver has in force."""
+    """Requests the receiver's active configuration version."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class VersionResponse:
-    """The configuration version that the sender has in force."""
+    """The sender's active configuration version."""
 
     number: int = codec.checked_field(codec.count)
 
-    #: Its body, compressed by zlib.
+    #: Body of the version, compressed by zlib.
     compressed_body: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class JobStarted:
-    """A task of a stored job was ordered."""
+    """A start order for a task of a stored job was sent."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
     job: ids.JobId = codec.checked_field(codec.text)
@@ -204,13 +205,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ResultsStored:
-    """Ends of a stored job's tasks are stored: workers may forget them."""
+    """Results of a stored job's tasks are stored; workers may drop them."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
     job: ids.JobId = codec.checked_field(codec.text)
     step: int = codec.checked_field(codec.count)
 
-    #: Index of each task, and the number of the run that ended.
+    #: Index of each task and the number of the run that finished.
     runs: tuple[tuple[int, int], ...] = codec.checked_field(
         codec.rows(codec.count, codec.count)
     )
@@ -218,20 +219,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoreJob:
-    """Asks the owner of a job's home cell to store it."""
+    """Asks the leader of a job's home shard to store the job."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
 
-    #: Number by which the answer is told from others.
+    #: Number that the response repeats.
     request_id: int = codec.checked_field(codec.count)
 
-    #: The job as it is stored.
+    #: The encoded job.
     record: bytes = codec.checked_field(codec.blob)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class QueryJob:
-    """Asks for the state of a stored job, or cancels it."""
+    """Queries the state of a stored job, or cancels it."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
     request_id: int = codec.checked_field(codec.count)
@@ -241,11 +242,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class JobResponse:
-    """Answers ``StoreJob`` and ``QueryJob``."""
+    """Response to ``StoreJob`` and ``QueryJob``."""
 
     request_id: int = codec.checked_field(codec.count)
 
-    #: A ``KeeperAnswer`` value.
+    #: A ``JobReply`` value.
     reply: str = codec.checked_field(codec.text)
 
 
@@ -269,7 +270,7 @@
     | JobResponse
 )
 
-#: The position is the type number on the wire; append only.
+#: The position is the type number on the wire; only append.
 MESSAGE_TYPES: tuple[type, ...] = (
     Greeting,
     Heartbeat,
--- a/sardineproxy/connection/peer.py
+++ b/sardineproxy/connection/peer.py
@@ -1,4 +1,4 @@
-"""One stream to another entry process."""
+"""A stream that carries frames to and from another entry process."""
 
 import asyncio
 import contextlib
@@ -11,13 +11,13 @@
 from sardineproxy.connection import frames
 from sardineproxy.process import metrics
 
-#: Unsent bytes at which a stream is given up; its peer reads too slowly.
+#: Unsent bytes above which a stream is closed, as the peer reads too slowly.
 MAX_UNSENT_BYTES = 4 * frames.MAX_FRAME_BYTES
 
-#: Longest wait for the other end's Hello, in seconds.
+#: Timeout for the peer's Hello, in seconds.
 HELLO_TIMEOUT_S = 2
 
-#: Longest wait for a peer to read what is queued, in seconds.
+#: Timeout for sending queued frames, in seconds.
 FLUSH_TIMEOUT_S = 1
 
 Connect = Callable[
@@ -30,20 +30,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StreamContext:
-    """What all streams of a process share."""
+    """Dependencies that all streams of a process share."""
 
     clock: clock.Clock
     metrics: metrics.Metrics
 
-    #: Returns the Hello of this process as of now.
+    #: Returns the current Hello of this process.
     make_hello: Callable[[], frames.Hello]
 
-    #: Returns how many slots this process could lend.
+    #: Returns the number of slots that this process could lend now.
     count_free_slots: Callable[[], int]
 
 
 class Stream:
-    """Sends and receives frames; keeps what the peer last told."""
+    """Sends and receives frames, and records the peer's latest state."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self.last_received_at = self.opened_at
         self.last_sent_at = self.opened_at
 
-        #: Last frame either way that was not a sign of life.
+        #: Time of the last frame, sent or received, that was no keep-alive.
         self.last_used_at = self.opened_at
         self.free_slots = 0
         self.version = 0
@@ -70,13 +70,13 @@
         self.hello: frames.Hello
 
     async def handshake(self) -> result.Result[frames.Hello, str]:
-        """Exchange Hellos and return the peer's."""
+        """Exchange Hello frames and return the peer's."""
         self.send(self._ctx.make_hello())
         try:
             async with asyncio.timeout(HELLO_TIMEOUT_S):
                 received = await self.receive()
         except TimeoutError:
-            return result.Err('no Hello in time')
+            return result.Err('no Hello before the timeout')
         if isinstance(received, result.Err):
             return received
         frame = received.ok_value
@@ -86,7 +86,7 @@
         return result.Ok(frame)
 
     async def receive(self) -> result.Result[frames.Frame, str]:
-        """Wait for a frame and note what rides on it."""
+        """Wait for a frame and record the peer state that it carries."""
         received = await self._reader.read()
         if isinstance(received, result.Err):
             return received
@@ -110,16 +110,16 @@
         """Queue a frame; False if it cannot be sent."""
         if self._writer.is_closing():
             return False
-        kind = type(frame).__name__
+        frame_type = type(frame).__name__
         encoded = frames.encode(frame, free_slots=self._ctx.count_free_slots())
         if isinstance(encoded, result.Err):
-            _log.error('frame not sent: %s', encoded.err_value)
+            _log.error('Frame dropped: %s.', encoded.err_value)
             return False
         if self._writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort('peer reads too slowly')
             return False
         self._writer.write(encoded.ok_value)
-        self._ctx.metrics.count('peer_frames_total', kind=kind)
+        self._ctx.metrics.count('peer_frames_total', kind=frame_type)
         self.last_sent_at = self._ctx.clock.now()
         if not isinstance(frame, frames.Heartbeat):
             self.last_used_at = self.last_sent_at
@@ -128,17 +128,17 @@
         return True
 
     async def flush(self) -> None:
-        """Wait until most of what was queued is sent."""
+        """Wait until most of the queued bytes are sent, or the timeout."""
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(FLUSH_TIMEOUT_S):
                 await self._writer.drain()
 
-    def abort(self, why: str) -> None:
-        """Close at once; the reading task ends."""
+    def abort(self, cause: str) -> None:
+        """Close without sending queued frames; pending reads end."""
         if not self._writer.is_closing():
-            _log.info('stream closed: %s', why)
+            _log.info('Peer stream closed: %s.', cause)
         self._writer.transport.abort()
 
     def close(self) -> None:
-        """Close after what was queued."""
+        """Close after the queued frames are sent."""
         self._writer.close()
--- a/tests/connection/test_caller.py
+++ b/tests/connection/test_caller.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP listener, and what it refuses to read."""
+"""Tests of the callers' HTTP listener and of its limits."""
 
 import asyncio
 import io
@@ -17,16 +17,16 @@
 HEAD = (
     f'POST /v1/keys HTTP/1.1\r\nHost: x\r\nAuthorization: {AUTHORIZATION}\r\n'
 )
-EMPTY = 'Content-Length: 0\r\n\r\n'
+NO_BODY = 'Content-Length: 0\r\n\r\n'
 CHUNKED = 'Transfer-Encoding: chunked\r\n'
 LAST_CHUNK = '\r\n0\r\n\r\n'
 
-#: A generous bound on waits that end with an event.
-PATIENCE_S = 30
+#: Timeout for waits that normally end with an event, in seconds.
+TIMEOUT_S = 30
 
 
-class CallerCase(fakes.SubmissionsTestCase):
-    """A listener in front of the first process."""
+class CallerTestCase(fakes.SubmissionsTestCase):
+    """Runs a listener in front of the first process."""
 
     async def start(self, **limits: Any) -> None:
         limits = caller.ConnectionLimits(**limits)
@@ -51,7 +51,7 @@
         return await asyncio.open_connection('127.0.0.1', self.listener.port)
 
     async def post(self, key: str, **changes: Any) -> Any:
-        """Submit a single request and return the connection's writer."""
+        """Submit a single request; return the writer of its connection."""
         body = json.dumps({**fakes.TASK, **changes})
         _, writer = await self.connect()
         writer.write(
@@ -63,24 +63,24 @@
         return writer
 
     async def send(self, *parts: str) -> bytes:
-        """Send raw bytes, and return all that comes until the end."""
+        """Send raw bytes and return all bytes received until the close."""
         reader, writer = await self.connect()
         for part in parts:
             writer.write(part.encode('latin1'))
             await writer.drain()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             received = await reader.read()
         writer.close()
         return received
 
 
-class PathTest(CallerCase):
-    """Every operation over HTTP."""
+class OperationsTest(CallerTestCase):
+    """Performs every operation over HTTP."""
 
     async def test_job_from_key_to_cancel(self) -> None:
         await self.start()
-        _, minted = await self.call('POST', 'keys', json={'count': 2})
-        key = minted['keys'][1]
+        _, issued = await self.call('POST', 'keys', json={'count': 2})
+        key = issued['keys'][1]
         job = {'tasks': [fakes.TASK, fakes.TASK]}
         self.runner.start_gate.clear()
         status, running = await self.call(
@@ -88,11 +88,11 @@
         )
         self.assertEqual((202, 'running'), (status, running['state']))
         self.runner.start_gate.set()
-        complete = await self.call('POST', 'jobs', key, json=job)
-        self.assertEqual('complete', complete[1]['state'])
+        completed = await self.call('POST', 'jobs', key, json=job)
+        self.assertEqual('complete', completed[1]['state'])
         for verb in ('GET', 'DELETE'):
-            again = await self.call(verb, f'jobs/{key}')
-            self.assertEqual(complete, again)
+            repeated = await self.call(verb, f'jobs/{key}')
+            self.assertEqual(completed, repeated)
 
     async def test_refusals_are_problem_documents(self) -> None:
         await self.start(body_bytes=100)
@@ -109,29 +109,29 @@
             ('GET', 'other', None, '', 'no_such_resource'),
             ('GET', 'jobs/none', None, '', 'malformed_key'),
         ):
-            answer = await self.call(verb, path, key, data=body)
-            self.assert_problem(answer, code, 'not_run', True)
+            response = await self.call(verb, path, key, data=body)
+            self.assert_problem(response, code, 'not_run', True)
 
     async def test_overload(self) -> None:
-        for bounds in ({'connections': 0}, {'reading_bytes': 1}):
-            await self.start(**bounds)
+        for limits in ({'connections': 0}, {'reading_bytes': 1}):
+            await self.start(**limits)
             received = await self.send(HEAD, 'Content-Length: 2\r\n\r\n{}')
             self.assertThat(received, matchers.Contains(b'"overloaded"'))
             await self.listener.close()
 
     async def test_wrong_credential(self) -> None:
-        """Without a customer, nobody knows whether the key's work ran."""
+        """Guards against "not run" for an issued key that was not looked up."""
         await self.start()
         for key, verdict in (
             (None, 'not_run'),
             ('my-key', 'not_run'),
             (self.key, 'may_have_run'),
         ):
-            answer = await self.call(
+            response = await self.call(
                 'POST', 'requests', key, authorization='Bearer none'
             )
             final = verdict == 'not_run'
-            self.assert_problem(answer, 'unauthorized', verdict, final)
+            self.assert_problem(response, 'unauthorized', verdict, final)
 
     async def test_disconnect_does_not_cancel(self) -> None:
         await self.start(close_timeout_s=0.1)
@@ -144,10 +144,10 @@
         self.assertEqual(200, (await self.call_method('status'))[0])
 
 
-class FramingTest(CallerCase):
-    """Guards against requests of which two parsers see different ends."""
+class FramingTest(CallerTestCase):
+    """Guards against requests that two parsers end at different bytes."""
 
-    async def test_refused_and_closed(self) -> None:
+    async def test_ambiguous_requests_are_rejected(self) -> None:
         await self.start()
         for rest, status in (
             (f'Content-Length: 2\r\n{CHUNKED}{LAST_CHUNK}', 400),
@@ -156,19 +156,19 @@
             ('Content-Length: 2, 2\r\n\r\n{}', 400),
             ('Content-Length: +2\r\n\r\n{}', 400),
             ('Content-Length : 0\r\n\r\n', 400),
-            (f'X: 1\r\n 2\r\n{EMPTY}', 400),
-            (f'X: 1\r\n\t2\r\n{EMPTY}', 400),
-            (f'X: 1\n{EMPTY}', 400),
-            (f'X: a\0b\r\n{EMPTY}', 400),
-            (f'Host: y\r\n{EMPTY}', 400),
+            (f'X: 1\r\n 2\r\n{NO_BODY}', 400),
+            (f'X: 1\r\n\t2\r\n{NO_BODY}', 400),
+            (f'X: 1\n{NO_BODY}', 400),
+            (f'X: a\0b\r\n{NO_BODY}', 400),
+            (f'Host: y\r\n{NO_BODY}', 400),
             (f'Transfer-Encoding: gzip, chunked\r\n{LAST_CHUNK}', 400),
             ('Transfer-Encoding: identity\r\n\r\n', 400),
             (f'{CHUNKED}{CHUNKED}{LAST_CHUNK}', 400),
             (f'{CHUNKED}\r\nzz\r\n{{}}{LAST_CHUNK}', 400),
-            (f'Authorization: Bearer x\r\n{EMPTY}', 400),
-            (f'Expect: other\r\n{EMPTY}', 417),
-            (f'Content-Encoding: gzip\r\n{EMPTY}', 415),
-            (f'X: {"a" * 17_000}\r\n{EMPTY}', 431),
+            (f'Authorization: Bearer x\r\n{NO_BODY}', 400),
+            (f'Expect: other\r\n{NO_BODY}', 417),
+            (f'Content-Encoding: gzip\r\n{NO_BODY}', 415),
+            (f'X: {"a" * 17_000}\r\n{NO_BODY}', 431),
             (''.join(f'X{n}: {"a" * 400}\r\n' for n in range(50)), 431),
         ):
             received = await self.send(HEAD + rest)
@@ -176,60 +176,64 @@
                 [str(status).encode()], re.findall(rb'HTTP/1.. (\d+)', received)
             )
             self.assertThat(received, matchers.Contains(b'"verdict"'))
-        old = HEAD.replace('HTTP/1.1', 'HTTP/1.0') + CHUNKED + LAST_CHUNK
-        self.assertThat(await self.send(old), matchers.Contains(b' 400 '))
+        http10_request = (
+            HEAD.replace('HTTP/1.1', 'HTTP/1.0') + CHUNKED + LAST_CHUNK
+        )
+        self.assertThat(
+            await self.send(http10_request), matchers.Contains(b' 400 ')
+        )
 
     async def test_pipelined_requests_are_answered_in_order(self) -> None:
         await self.start()
-        large = ''.join(f'X{n}: {"a" * 400}\r\n' for n in range(50))
+        long_headers = ''.join(f'X{n}: {"a" * 400}\r\n' for n in range(50))
         received = await self.send(
-            HEAD + EMPTY + HEAD + EMPTY + HEAD + large + EMPTY
+            HEAD + NO_BODY + HEAD + NO_BODY + HEAD + long_headers + NO_BODY
         )
         self.assertEqual(
             [b'200', b'200', b'431'], re.findall(rb'HTTP/1.1 (\d+)', received)
         )
 
     async def test_bad_lines_are_not_logged(self) -> None:
-        """Guards against credentials in the parser's error messages."""
+        """Guards against credentials in logged parser error messages."""
         stream = io.StringIO()
         logs.configure(stream=stream)
         await self.start()
-        await self.send(f'{HEAD}Authorization  : {AUTHORIZATION}\r\n{EMPTY}')
+        await self.send(f'{HEAD}Authorization  : {AUTHORIZATION}\r\n{NO_BODY}')
         await self.listener.close()
         self.assertThat(stream.getvalue(), matchers.Contains('malformed_http'))
         self.assertNotIn('credential', stream.getvalue())
 
 
-class SlowTest(CallerCase):
-    """Guards against connections that are held open by slow callers."""
+class TimeoutTest(CallerTestCase):
+    """Guards against slow callers that keep connections open."""
 
-    async def test_slow_requests_end(self) -> None:
+    async def test_incomplete_requests_time_out(self) -> None:
         await self.start(read_timeout_s=0.2)
         for parts in (
             ('P',),
             (HEAD, 'X: '),
             ('\r\n\r\n', HEAD),
             (HEAD, 'Content-Length: 2\r\n\r\n{'),
-            (HEAD + EMPTY + HEAD,),
+            (HEAD + NO_BODY + HEAD,),
         ):
             received = await self.send(*parts)
             self.assertThat(received, matchers.Contains(b'HTTP/1.1 408'))
 
-    async def test_trickle_does_not_extend_the_time(self) -> None:
+    async def test_single_bytes_do_not_extend_the_timeout(self) -> None:
         await self.start(read_timeout_s=0.2)
         reader, writer = await self.connect()
-        answer = asyncio.create_task(reader.read())
+        response = asyncio.create_task(reader.read())
         writer.write(f'{HEAD}X: '.encode())
-        while not answer.done():
+        while not response.done():
             writer.write(b'x')
-            await asyncio.wait({answer}, timeout=0.02)
-        self.assertThat(answer.result(), matchers.Contains(b' 408 '))
+            await asyncio.wait({response}, timeout=0.02)
+        self.assertThat(response.result(), matchers.Contains(b' 408 '))
         writer.close()
 
-    async def test_unread_answer_is_given_up(self) -> None:
-        await self.start(write_timeout_s=0.2, close_timeout_s=PATIENCE_S)
+    async def test_unread_response_times_out(self) -> None:
+        await self.start(write_timeout_s=0.2, close_timeout_s=TIMEOUT_S)
         self.runner.outcomes[0] = fakes.make_answer(body=bytes(8_388_608))
         writer = await self.post(self.key)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.listener.close()
         writer.transport.abort()
--- a/tests/connection/test_deadlines.py
+++ b/tests/connection/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of coroutines on one timer."""
+"""Tests of deadlines that share one timer."""
 
 import asyncio
 
@@ -8,41 +8,41 @@
 
 
 class DeadlineTimerTest(testtools.TestCase):
-    """Only the deadline's own cancellation counts as a time-out."""
+    """Only a cancellation by the deadline counts as a timeout."""
 
-    def test_deadline_and_foreign_cancellation(self) -> None:
-        """Guards against swallowing the cancellation of a caller's task."""
+    def test_deadline_and_external_cancellation(self) -> None:
+        """Guards against suppressing an external cancellation of the task."""
         for timeout_s, cancels, expected in (
             (0.01, False, True),
             (30, True, False),
         ):
             self.assertEqual(
-                expected, asyncio.run(run_watch(timeout_s, cancels))
+                expected, asyncio.run(run_with_deadline(timeout_s, cancels))
             )
 
-    def test_ended_entries_are_dropped(self) -> None:
-        """Guards against memory held until far deadlines pass."""
+    def test_finished_deadlines_are_removed(self) -> None:
+        """Guards against finished deadlines that fill the heap until due."""
 
         async def run() -> int:
-            watches = deadlines.DeadlineTimer()
+            timer = deadlines.DeadlineTimer()
             for _ in range(1000):
-                watches.finish(watches.start(timeout_s=99))
-            watches.close()
-            return len(watches._heap)
+                timer.finish(timer.start(timeout_s=99))
+            timer.close()
+            return len(timer._heap)
 
         self.assertLess(asyncio.run(run()), 100)
 
 
-async def run_watch(timeout_s: float, cancels: bool) -> bool:
-    """Return whether a wait without end was cut off by its deadline."""
-    watches = deadlines.DeadlineTimer()
+async def run_with_deadline(timeout_s: float, cancels: bool) -> bool:
+    """Return whether the deadline ended an endless wait."""
+    timer = deadlines.DeadlineTimer()
 
     async def wait() -> bool:
-        entry = watches.start(timeout_s=timeout_s)
+        deadline = timer.start(timeout_s=timeout_s)
         try:
             await asyncio.Event().wait()
         except asyncio.CancelledError:
-            return watches.finish(entry)
+            return timer.finish(deadline)
         return False
 
     waiting = asyncio.create_task(wait())
@@ -50,5 +50,5 @@
     if cancels:
         waiting.cancel()
     outcome = await waiting
-    watches.close()
+    timer.close()
     return outcome
--- a/tests/connection/test_endpoint.py
+++ b/tests/connection/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Verdicts of one attempt, against endpoints that break in known ways."""
+"""Tests of single attempts against endpoints that fail in known ways."""
 
 import asyncio
 from typing import Any, Awaitable, Callable
@@ -11,29 +11,30 @@
 from sardineproxy.request import work
 from tests import dispatch_samples as samples
 
-WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello'
-OTHER = b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale'
-CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
-
-#: Answers that must not be taken for whole, by the failure they show.
-BROKEN = {
-    'reset before the answer': b'',
-    'cut in the head': b'HTTP/1.1 200 OK\r\nContent-Le',
-    'cut in the body': WHOLE[:-1],
-    'cut in a chunk': CHUNKED + b'5\r\nhel',
-    'cut before the last chunk': CHUNKED + b'5\r\nhello\r\n',
-    'malformed chunk size': CHUNKED + b'5\r\nhello\r\nxyz\r\n',
+RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello'
+OTHER_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale'
+CHUNKED_HEAD = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
+
+#: Malformed or incomplete responses, by the failure that they show.
+INVALID_RESPONSES = {
+    'closed before the response': b'',
+    'truncated head': b'HTTP/1.1 200 OK\r\nContent-Le',
+    'truncated body': RESPONSE[:-1],
+    'truncated chunk': CHUNKED_HEAD + b'5\r\nhel',
+    'missing last chunk': CHUNKED_HEAD + b'5\r\nhello\r\n',
+    'malformed chunk size': CHUNKED_HEAD + b'5\r\nhello\r\nxyz\r\n',
     'malformed status line': b'ICE 200 OK\r\n\r\n',
-    'longer than declared': WHOLE + b'!',
-    'begins like an answer after the body': WHOLE + b'H',
-    'second answer': WHOLE + OTHER,
-    'no length': b'HTTP/1.1 200 OK\r\n\r\nhello',
-    'two lengths': b'HTTP/1.1 200 OK\r\nContent-Length: 5' + WHOLE[15:],
-    'length and chunks': CHUNKED[:-2] + WHOLE[17:],
-    'switched protocols': b'HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n',
+    'longer than declared': RESPONSE + b'!',
+    'start of a response after the body': RESPONSE + b'H',
+    'second response': RESPONSE + OTHER_RESPONSE,
+    'no content length': b'HTTP/1.1 200 OK\r\n\r\nhello',
+    'two content lengths': b'HTTP/1.1 200 OK\r\nContent-Length: 5'
+    + RESPONSE[15:],
+    'content length and chunks': CHUNKED_HEAD[:-2] + RESPONSE[17:],
+    'switching protocols': b'HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n',
     'over the limit': b'HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n'
     + bytes(2000),
-    'over the limit in chunks': CHUNKED
+    'over the limit in chunks': CHUNKED_HEAD
     + b'7d0\r\n'
     + bytes(2000)
     + b'\r\n0\r\n\r\n',
@@ -43,13 +44,13 @@
 
 
 class Server:
-    """Raw endpoint that runs ``script`` after each request it has read."""
+    """TCP server that runs ``script`` after each request that it reads."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
         self.requests: list[bytes] = []
         self.connections = 0
-        self.wrote_late = asyncio.Event()
+        self.late_bytes_sent = asyncio.Event()
 
     async def __aenter__(self) -> 'Server':
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
@@ -72,26 +73,30 @@
             writer.close()
 
 
-def answering(*answers: bytes, close: bool = False) -> Script:
-    """Give the answers in turn, the last one again and again."""
+def respond_with(*responses: bytes, close: bool = False) -> Script:
+    """Send the responses in turn and then repeat the last one."""
 
-    async def script(server: Server, number: int, writer: Any) -> None:
-        writer.write(answers[min(number, len(answers)) - 1])
-        if close and number >= len(answers):
+    async def script(server: Server, request_number: int, writer: Any) -> None:
+        writer.write(responses[min(request_number, len(responses)) - 1])
+        if close and request_number >= len(responses):
             writer.close()
 
     return script
 
 
-async def never(server: Server, number: int, writer: Any) -> None:
-    """Keep the request without an answer."""
+async def never_respond(
+    server: Server, request_number: int, writer: Any
+) -> None:
+    """Never respond."""
 
 
 class AttemptTest(testtools.TestCase):
-    """Each attempt writes its request at most once and tells what is known."""
+    """Each attempt sends its request at most once and returns its outcome."""
 
-    def attempts(self, script: Script, use: Any, connections: int = 1) -> None:
-        """Run ``use`` with a server and a function that makes attempts."""
+    def run_attempts(
+        self, script: Script, test: Any, connections: int = 1
+    ) -> None:
+        """Run ``test`` with a server and a function that makes attempts."""
 
         async def run() -> None:
             client = endpoint.EndpointClient(
@@ -110,18 +115,18 @@
                         ),
                     )
 
-                await asyncio.wait_for(use(server, attempt), samples.LONG_S)
+                await asyncio.wait_for(test(server, attempt), samples.LONG_S)
             await client.close()
 
         asyncio.run(run())
 
-    def test_passes_end_to_end_parts_only(self) -> None:
+    def test_forwards_end_to_end_headers_only(self) -> None:
         """Guards against added headers and against altered paths."""
-        reply = WHOLE.replace(
+        response = RESPONSE.replace(
             b'OK\r\n', b'OK\r\nX-A: 1\r\nX-B: 2\r\nConnection: X-B\r\n'
         )
 
-        async def use(server: Server, attempt: Any) -> None:
+        async def test(server: Server, attempt: Any) -> None:
             path = '/a//b/../%7e?x=%2F&y&'
             headers = (('X-A', '1'), ('TE', 'gzip'), ('Host', 'elsewhere'))
             outcome = await attempt(
@@ -136,118 +141,124 @@
                 server.requests[0].decode(),
             )
 
-        self.attempts(answering(reply), use)
+        self.run_attempts(respond_with(response), test)
 
-    def test_broken_answers_may_have_run(self) -> None:
-        """Guards against partial answers and against silent retries.
+    def test_invalid_responses_may_have_run(self) -> None:
+        """Guards against accepted partial responses and against retries.
 
-        A malformed answer must not wait for the end of the connection.
+        A malformed response is detected before the connection is closed.
         """
         malformed = ('malformed chunk size', 'longer than declared')
-        cases = [(name, True) for name in BROKEN]
+        cases = [(name, True) for name in INVALID_RESPONSES]
         for name, close in cases + [(name, False) for name in malformed]:
 
-            async def use(server: Server, attempt: Any) -> None:
+            async def test(server: Server, attempt: Any) -> None:
                 outcome = await attempt()
                 self.assertIsInstance(outcome, endpoint.ResponseLost, name)
                 self.assertEqual(1, len(server.requests), name)
 
-            self.attempts(answering(BROKEN[name], close=close), use)
+            self.run_attempts(
+                respond_with(INVALID_RESPONSES[name], close=close), test
+            )
 
     def test_request_is_not_repeated_on_a_closed_connection(self) -> None:
-        """Guards against aiohttp's retry, which would start a task twice."""
+        """Guards against aiohttp's retry, which would run a task twice."""
 
-        async def use(server: Server, attempt: Any) -> None:
+        async def test(server: Server, attempt: Any) -> None:
             self.assertIsInstance(await attempt(), work.Response)
             self.assertIsInstance(await attempt(), work.OutcomeUnknown)
             self.assertEqual((2, 1), (len(server.requests), server.connections))
 
-        self.attempts(answering(WHOLE, b'', close=True), use)
+        self.run_attempts(respond_with(RESPONSE, b'', close=True), test)
 
     def test_late_bytes_never_answer_the_next_request(self) -> None:
-        """Guards against reading an earlier request's bytes as an answer."""
-        for late in (OTHER, b'HTTP/1.1 200 OK\r\nConte', b'?'):
-
-            async def script(server: Server, number: int, writer: Any) -> None:
-                writer.write(WHOLE)
-                if number == 1:
+        """Guards against late bytes that are read as the next response."""
+        for late_bytes in (OTHER_RESPONSE, b'HTTP/1.1 200 OK\r\nConte', b'?'):
+
+            async def script(
+                server: Server, request_number: int, writer: Any
+            ) -> None:
+                writer.write(RESPONSE)
+                if request_number == 1:
                     await asyncio.sleep(0.05)
-                    writer.write(late)
-                    server.wrote_late.set()
+                    writer.write(late_bytes)
+                    server.late_bytes_sent.set()
 
-            async def use(server: Server, attempt: Any) -> None:
+            async def test(server: Server, attempt: Any) -> None:
                 first = await attempt()
-                await server.wrote_late.wait()
+                await server.late_bytes_sent.wait()
                 second = await attempt()
                 self.assertEqual((first, 2), (second, server.connections))
 
-            self.attempts(script, use)
+            self.run_attempts(script, test)
 
-    def test_connection_rests_while_others_are_allowed(self) -> None:
-        """Guards against an extra answer that shifts all later ones by one."""
+    def test_idle_time_before_reuse_while_others_are_allowed(self) -> None:
+        """Guards against an extra response that shifts all later ones."""
 
-        async def script(server: Server, number: int, writer: Any) -> None:
-            writer.write(WHOLE)
-            if number == 1:
+        async def script(
+            server: Server, request_number: int, writer: Any
+        ) -> None:
+            writer.write(RESPONSE)
+            if request_number == 1:
                 await asyncio.sleep(0.002)
-                writer.write(OTHER)
+                writer.write(OTHER_RESPONSE)
 
-        async def use(server: Server, attempt: Any) -> None:
-            answers = [await attempt() for _ in range(4)]
-            self.assertEqual([answers[0] for _ in answers], answers)
+        async def test(server: Server, attempt: Any) -> None:
+            responses = [await attempt() for _ in range(4)]
+            self.assertEqual([responses[0] for _ in responses], responses)
 
-        self.attempts(script, use, connections=4)
+        self.run_attempts(script, test, connections=4)
 
-    def test_connections_are_used_again(self) -> None:
-        """Guards against a check that drops every connection."""
-        for reply in (WHOLE, CHUNKED + b'5\r\nhello\r\n0\r\n\r\n'):
+    def test_connections_are_reused(self) -> None:
+        """Guards against a check that closes every connection."""
+        for response in (RESPONSE, CHUNKED_HEAD + b'5\r\nhello\r\n0\r\n\r\n'):
 
-            async def use(server: Server, attempt: Any) -> None:
+            async def test(server: Server, attempt: Any) -> None:
                 for _ in range(3):
                     self.assertEqual(b'hello', (await attempt()).body)
                 self.assertEqual(1, server.connections)
 
-            self.attempts(answering(reply), use)
+            self.run_attempts(respond_with(response), test)
 
-    def test_close_of_an_idle_connection_loses_nothing(self) -> None:
-        """Guards against writing to a connection that is already closed."""
+    def test_close_of_an_idle_connection_fails_no_request(self) -> None:
+        """Guards against sending on a connection that the endpoint closed."""
 
-        async def use(server: Server, attempt: Any) -> None:
+        async def test(server: Server, attempt: Any) -> None:
             for _ in range(2):
                 self.assertEqual(b'hello', (await attempt()).body)
 
-        self.attempts(answering(WHOLE, close=True), use)
+        self.run_attempts(respond_with(RESPONSE, close=True), test)
 
     def test_unreachable_endpoint_did_not_run(self) -> None:
-        """Guards against calling a refused connection uncertain."""
+        """Guards against an unknown outcome for a refused connection."""
 
-        async def use(server: Server, attempt: Any) -> None:
+        async def test(server: Server, attempt: Any) -> None:
             server._server.close()
             outcome = await attempt()
             self.assertEqual(endpoint.UNREACHABLE, outcome.problem.code)
             self.assertIsInstance(outcome, work.Refused)
 
-        self.attempts(never, use)
+        self.run_attempts(never_respond, test)
 
     def test_deadline_before_and_after_the_write(self) -> None:
-        """Guards against a wrong verdict while waiting for a connection."""
+        """Guards against a wrong outcome while waiting for a connection."""
 
-        async def use(server: Server, attempt: Any) -> None:
-            holder = asyncio.create_task(attempt(deadline_s=0.5))
+        async def test(server: Server, attempt: Any) -> None:
+            first = asyncio.create_task(attempt(deadline_s=0.5))
             while not server.requests:
                 await asyncio.sleep(0.01)
-            waiting = await attempt(deadline_s=0.05)
-            self.assertEqual('deadline_passed', waiting.problem.code)
-            self.assertIsInstance(waiting, work.Refused)
-            self.assertIsInstance(await holder, work.OutcomeUnknown)
+            second = await attempt(deadline_s=0.05)
+            self.assertEqual('deadline_passed', second.problem.code)
+            self.assertIsInstance(second, work.Refused)
+            self.assertIsInstance(await first, work.OutcomeUnknown)
             self.assertEqual(1, len(server.requests))
 
-        self.attempts(never, use)
+        self.run_attempts(never_respond, test)
 
-    def test_refuses_what_parsers_could_read_differently(self) -> None:
-        """Guards against requests smuggled in paths and headers."""
+    def test_refuses_ambiguous_requests(self) -> None:
+        """Guards against request smuggling through paths and headers."""
 
-        async def use(server: Server, attempt: Any) -> None:
+        async def test(server: Server, attempt: Any) -> None:
             for changes in (
                 {'path': '/a HTTP/1.1'},
                 {'path': 'a'},
@@ -261,4 +272,4 @@
                 self.assertEqual('bad_task', outcome.problem.code)
             self.assertEqual([], server.requests)
 
-        self.attempts(never, use)
+        self.run_attempts(never_respond, test)
--- a/tests/connection/test_frames.py
+++ b/tests/connection/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: what is malformed is refused, whatever the bytes."""
+"""Tests of encoding and decoding frames, with arbitrary bytes."""
 
 import asyncio
 import dataclasses
@@ -25,7 +25,7 @@
 _texts = strategies.lists(_text).map(tuple)
 _members = strategies.lists(strategies.tuples(_text, _text)).map(tuple)
 
-#: One strategy for each field name, as names mean the same in all frames.
+#: Strategy for each field name; a name has the same type in all frames.
 _FIELDS = {
     **dict.fromkeys(('vm', 'incarnation', 'zone', 'digest'), _text),
     **dict.fromkeys(('settled', 'reclaim'), strategies.booleans()),
@@ -75,13 +75,11 @@
 
 
 class FramesTest(testtools.TestCase):
-    """Bytes of a peer never raise and never pass for what they are not."""
+    """Decoding arbitrary bytes raises no exception and checks all fields."""
 
     @_settings
     @hypothesis.given(frame=_frames, free_slots=_count)
-    def test_decodes_what_was_encoded(
-        self, frame: frames.Frame, free_slots: int
-    ) -> None:
+    def test_round_trip(self, frame: frames.Frame, free_slots: int) -> None:
         body = frames.encode(frame, free_slots=free_slots).unwrap()[4:]
         decoded = frames.decode(body).unwrap()
         self.assertEqual(
@@ -90,7 +88,7 @@
 
     @_settings
     @hypothesis.given(body=strategies.binary(max_size=200))
-    def test_any_bytes_give_a_result(self, body: bytes) -> None:
+    def test_arbitrary_bytes_raise_nothing(self, body: bytes) -> None:
         frames.decode(body)
 
     @_settings
@@ -98,17 +96,17 @@
         number=strategies.integers(-2, 14),
         fields=strategies.lists(_values, max_size=6),
     )
-    def test_any_fields_give_a_result(
+    def test_arbitrary_fields_raise_nothing(
         self, number: int, fields: list[object]
     ) -> None:
-        """A frame that decodes encodes again, so its fields have types."""
+        """A decoded frame can be encoded again, so its fields are valid."""
         decoded = frames.decode(msgpack.packb([number, 0, *fields]))
         if decoded.is_ok():
             frames.encode(decoded.unwrap().frame).unwrap()
 
     @_settings
     @hypothesis.given(frame=_frames, data=strategies.data())
-    def test_truncated_frames_are_refused(
+    def test_truncated_frames_are_rejected(
         self, frame: frames.Frame, data: strategies.DataObject
     ) -> None:
         raw = frames.encode(frame).unwrap()
@@ -116,7 +114,7 @@
         self.assertTrue(frames.decode(raw[4:cut]).is_err())
         self.assertTrue(_read(raw[:cut]).is_err())
 
-    def test_refuses_what_is_out_of_bounds(self) -> None:
+    def test_rejects_fields_out_of_bounds(self) -> None:
         deep: object = 1
         for _ in range(33):
             deep = [deep]
@@ -138,8 +136,8 @@
         ):
             self.assertTrue(frames.decode(body).is_err(), body[:20])
 
-    def test_refuses_large_frames_unread(self) -> None:
-        """A peer's length prefix must not make this process buffer it."""
+    def test_rejects_large_frames_unread(self) -> None:
+        """Guards against buffering as many bytes as a peer announces."""
         prefix = (frames.MAX_FRAME_BYTES + 1).to_bytes(4, 'big')
         self.assertThat(
             _read(prefix).unwrap_err(), matchers.Contains('too large')
--- a/tests/connection/test_peer.py
+++ b/tests/connection/test_peer.py
@@ -1,4 +1,4 @@
-"""Streams: a peer that breaks the rules is cut off."""
+"""Tests of streams, with malformed, silent and slow peers."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,7 @@
 
 
 class StreamTest(testtools.TestCase):
-    """Streams of one process and a far end that the test controls."""
+    """Tests a stream whose remote end the test controls."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -44,12 +44,12 @@
     async def connect(self) -> AsyncIterator[tuple]:
         accepted: asyncio.Queue = asyncio.Queue()
 
-        async def accept(*far) -> None:
-            await accepted.put(far)
+        async def accept(*remote) -> None:
+            await accepted.put(remote)
 
         server = await asyncio.start_server(accept, HOST, 0)
         port = server.sockets[0].getsockname()[1]
-        ends = await asyncio.open_connection(HOST, port)
+        local_end = await asyncio.open_connection(HOST, port)
         ctx = peer.StreamContext(
             clock=self.clock,
             metrics=metrics.Metrics(),
@@ -57,7 +57,7 @@
             count_free_slots=lambda: 7,
         )
         stream = peer.Stream(
-            ctx=ctx, reader=ends[0], writer=ends[1], dialed=True
+            ctx=ctx, reader=local_end[0], writer=local_end[1], dialed=True
         )
         reader, writer = await accepted.get()
         async with asyncio.timeout(TIMEOUT_S):
@@ -66,7 +66,7 @@
         writer.close()
         server.close()
 
-    async def refuse(self, sent: bytes) -> str:
+    async def receive_error(self, sent: bytes) -> str:
         async with self.connect() as (stream, reader, writer):
             writer.write(_encode(HELLO) + sent)
             writer.write_eof()
@@ -74,7 +74,7 @@
             return (await stream.receive()).unwrap_err()
 
     @asynchronous
-    async def test_hellos_go_both_ways(self) -> None:
+    async def test_both_ends_send_a_hello(self) -> None:
         async with self.connect() as (stream, reader, writer):
             writer.write(_encode(HELLO))
             self.assertEqual(HELLO, (await stream.handshake()).unwrap())
@@ -84,17 +84,17 @@
             )
             self.assertEqual((3, 4), (stream.version, stream.revision))
 
-    def test_refuses_what_breaks_the_rules(self) -> None:
+    def test_rejects_malformed_frames(self) -> None:
         heartbeat = _encode(frames.Heartbeat(version=1, revision=1))
-        for sent, why in (
+        for sent, expected in (
             (b'GET / HTTP/1.1\r\n\r\n', 'too large'),
             (b'\x00\x00\x00\x03abc', 'not'),
             (b'\x00\x00\x00\x03\x92\x63\x00', 'unknown'),
             (heartbeat[:-1], 'truncated'),
             (b'', frames.STREAM_CLOSED),
         ):
-            error = asyncio.run(self.refuse(sent))
-            self.assertThat(error, matchers.Contains(why))
+            error = asyncio.run(self.receive_error(sent))
+            self.assertThat(error, matchers.Contains(expected))
 
     @asynchronous
     async def test_first_frame_must_be_a_hello(self) -> None:
@@ -104,15 +104,15 @@
             self.assertThat(error, matchers.Contains('not a Hello'))
 
     @asynchronous
-    async def test_silent_connection_gets_no_stream(self) -> None:
-        """A port that accepts and says nothing must not hold up a peer."""
+    async def test_handshake_times_out_without_a_hello(self) -> None:
+        """Guards against waiting forever on a port that sends nothing."""
         async with self.connect() as ends:
             stream = ends[0]
             error = (await stream.handshake()).unwrap_err()
-            self.assertThat(error, matchers.Contains('in time'))
+            self.assertThat(error, matchers.Contains('before the timeout'))
 
     @asynchronous
-    async def test_notes_what_rides_on_frames(self) -> None:
+    async def test_records_the_peer_state_in_frames(self) -> None:
         async with self.connect() as (stream, reader, writer):
             heartbeat = frames.Heartbeat(version=9, revision=2)
             writer.write(frames.encode(heartbeat, free_slots=5).unwrap())
@@ -124,8 +124,8 @@
             )
 
     @asynchronous
-    async def test_gives_up_on_a_peer_that_does_not_read(self) -> None:
-        """Unsent frames must not fill this process's memory."""
+    async def test_aborts_if_the_peer_does_not_read(self) -> None:
+        """Guards against unsent frames that fill the process's memory."""
         async with self.connect() as ends:
             stream = ends[0]
             large = frames.Forward(number=1, payload=bytes(4_000_000))
