--- a/sardineproxy/version/__init__.py
+++ b/sardineproxy/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one configuration version."""
+"""Configuration versions: contracts, routes, and how processes follow them."""
--- a/sardineproxy/version/active_config.py
+++ b/sardineproxy/version/active_config.py
@@ -1,4 +1,4 @@
-"""The configuration version that is in force at this process."""
+"""The active configuration version of a process."""
 
 import hashlib
 from typing import Callable
@@ -10,7 +10,7 @@
 from sardineproxy import logs
 from sardineproxy.version import routes
 
-#: Characters of a digest that are shown.
+#: Length of a shortened digest, in characters.
 DIGEST_CHARS = 16
 
 Decode = Callable[[bytes], result.Result[routes.RoutingTable, str]]
@@ -19,7 +19,7 @@
 
 
 class ActiveConfig:
-    """Keeps the newest version; an older one never replaces it."""
+    """Holds the newest version received; an older one never replaces it."""
 
     def __init__(self, *, decode: Decode) -> None:
         """Start without a version."""
@@ -29,35 +29,35 @@
 
     @property
     def changes(self) -> reactivex.Observable[routes.RoutingTable | None]:
-        """Return the stream of versions, the present one first."""
+        """Return the stream of versions, which starts with the active one."""
         return self._table
 
     @property
     def table(self) -> routes.RoutingTable | None:
-        """Return the routes in force, None before the first version."""
+        """Return the active routes, None before the first version."""
         return self._table.value
 
     @property
     def number(self) -> int:
-        """Return the number of the version in force, 0 for none."""
+        """Return the number of the active version, 0 for none."""
         table = self.table
         return table.number if table else 0
 
     @property
     def digest(self) -> str:
-        """Return a digest of the version in force, empty for none."""
+        """Return a shortened digest of the active version, empty for none."""
         if not self.body:
             return ''
         return hashlib.sha256(self.body).hexdigest()[:DIGEST_CHARS]
 
     def offer(self, body: bytes, source: str) -> None:
-        """Put a version in force if it is newer and well formed."""
+        """Activate a version if it is newer and well formed."""
         if body == self.body:
             return
         decoded = self._decode(body)
         if isinstance(decoded, result.Err):
             _LOG.error(
-                'Version refused.',
+                'Configuration version rejected.',
                 extra={'source': source, 'cause': decoded.err_value},
             )
             return
@@ -65,7 +65,7 @@
         if table.number <= self.number:
             return
         _LOG.info(
-            'Version in force.',
+            'Configuration version activated.',
             extra={
                 'version': table.number,
                 'before': self.number,
--- a/sardineproxy/version/codec.py
+++ b/sardineproxy/version/codec.py
@@ -1,4 +1,4 @@
-"""Texts of versions and changes for table rows, objects and peers."""
+"""JSON encoding of versions and changes for rows, objects and peers."""
 
 import dataclasses
 import json
@@ -11,7 +11,7 @@
 from sardineproxy import ids, json_text
 from sardineproxy.version import contracts, versions
 
-#: Largest body of a change's row, in bytes.
+#: Largest row body of a change, in bytes.
 MAX_CHANGE_BYTES = 1_048_576
 
 #: Largest snapshot object or payload from a peer, in bytes. Half a peer
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Payload:
-    """What one entry process gives another about its configuration."""
+    """A snapshot or changes that an entry process sends to a peer."""
 
     snapshot: versions.Snapshot | None
     changes: tuple[versions.Change, ...]
@@ -72,23 +72,23 @@
 
 
 def encode_head(head: versions.Head) -> bytes:
-    """Return the body of the head's row."""
+    """Return the row body of the head."""
     return versions.canonical_json(dataclasses.asdict(head)).encode()
 
 
 def decode_head(body: bytes) -> result.Result[versions.Head, str]:
-    """Parse the body of the head's row."""
+    """Parse the row body of the head."""
     parsed = _parse(body, MAX_HEAD_BYTES, _Head)
     return parsed.map(_to_head)
 
 
 def encode_change(change: versions.Change) -> bytes:
-    """Return the body of a change's row."""
+    """Return the row body of a change."""
     return versions.canonical_json(_change_fields(change)).encode()
 
 
 def decode_change(body: bytes) -> result.Result[versions.Change, str]:
-    """Parse the body of a change's row."""
+    """Parse the row body of a change."""
     return _parse(body, MAX_CHANGE_BYTES, _Change).and_then(_to_change)
 
 
@@ -103,7 +103,7 @@
 
 
 def encode_payload(payload: Payload) -> bytes:
-    """Return the payload for a peer."""
+    """Return the encoded payload for a peer."""
     snapshot = payload.snapshot
     fields = {
         'snapshot': None if snapshot is None else _snapshot_fields(snapshot),
@@ -131,14 +131,14 @@
         return result.Ok(model.model_validate(parsed.ok_value))
     except pydantic.ValidationError as exc:
         error = exc.errors(include_input=False, include_url=False)[0]
-        place = '.'.join(str(part) for part in error['loc'])
-        return result.Err(f'{place}: {error["msg"]}')
+        location = '.'.join(str(part) for part in error['loc'])
+        return result.Err(f'{location}: {error["msg"]}')
 
 
 def _change_fields(change: versions.Change) -> dict[str, Any]:
     return {
         **dataclasses.asdict(change.head),
-        'set': _parsed_documents(change.documents),
+        'set': _parse_documents(change.documents),
         'removed': list(change.removed),
     }
 
@@ -147,27 +147,27 @@
     return {
         'number': snapshot.number,
         'digest': snapshot.digest,
-        'contracts': _parsed_documents(snapshot.documents),
+        'contracts': _parse_documents(snapshot.documents),
     }
 
 
-def _parsed_documents(documents: versions.Documents) -> list[Mapping[str, Any]]:
+def _parse_documents(documents: versions.Documents) -> list[Mapping[str, Any]]:
     return [json.loads(documents[customer]) for customer in sorted(documents)]
 
 
-def _is_name(found: Any) -> TypeGuard[str]:
-    return isinstance(found, str) and bool(_NAME.fullmatch(found))
+def _is_name(value: Any) -> TypeGuard[str]:
+    return isinstance(value, str) and bool(_NAME.fullmatch(value))
 
 
 def _to_documents(
-    members: Sequence[Mapping[str, Any]],
+    parsed_documents: Sequence[Mapping[str, Any]],
 ) -> result.Result[dict[ids.CustomerId, str], str]:
     documents: dict[ids.CustomerId, str] = {}
-    for member in members:
-        customer = member.get('customer')
+    for document in parsed_documents:
+        customer = document.get('customer')
         if not _is_name(customer) or customer in documents:
-            return result.Err(f'bad or repeated customer {customer!r}')
-        documents[ids.CustomerId(customer)] = versions.canonical_json(member)
+            return result.Err(f'invalid or duplicate customer {customer!r}')
+        documents[ids.CustomerId(customer)] = versions.canonical_json(document)
     return result.Ok(documents)
 
 
@@ -198,7 +198,7 @@
     if digest != model.digest:
         return result.Err(
             f'snapshot {model.number} has digest {digest}, '
-            f'but states {model.digest}'
+            f'but declares {model.digest}'
         )
     return result.Ok(
         versions.Snapshot(
@@ -217,8 +217,8 @@
             return decoded
         snapshot = decoded.ok_value
     changes: list[versions.Change] = []
-    for inner in model.changes:
-        change = _to_change(inner)
+    for change_model in model.changes:
+        change = _to_change(change_model)
         if isinstance(change, result.Err):
             return change
         changes.append(change.ok_value)
--- a/sardineproxy/version/contract_files.py
+++ b/sardineproxy/version/contract_files.py
@@ -1,4 +1,4 @@
-"""Read a contract directory: one ``*.jsonc`` file for each customer."""
+"""Loads a contract directory with one ``*.jsonc`` file per customer."""
 
 import difflib
 import json
@@ -15,185 +15,199 @@
 #: Largest contract file, in bytes.
 MAX_FILE_BYTES = 65_536
 
-#: Longest piece of a found text that a sentence repeats.
-_MAX_FOUND_CHARS = 60
+#: Longest excerpt of an invalid value in an error message, in characters.
+_MAX_EXCERPT_CHARS = 60
 
 _FIELDS = contracts.Contract.model_json_schema()['properties']
-_HASH_PLACE = 'credential_sha256'
-_ACCEPTED_NAME = (
+_HASH_FIELD = 'credential_sha256'
+_EXPECTED_NAME = (
     'a name of 1 to 63 lower-case letters, digits and hyphens that does not '
     'start with a hyphen'
 )
-_ACCEPTED_HASHES = (
+_EXPECTED_HASHES = (
     'a list of 1 to 4 SHA-256 hashes of 64 lower-case hexadecimal digits, as '
     'hash-credential prints them'
 )
 
-Faults = tuple[str, ...]
+Errors = tuple[str, ...]
 Contracts = Mapping[str, contracts.Contract]
 
 
 def load_directory(
     directory: pathlib.Path,
-) -> result.Result[tuple[contracts.Contract, ...], Faults]:
-    """Read and check all contracts; the errors are one sentence each."""
+) -> result.Result[tuple[contracts.Contract, ...], Errors]:
+    """Load and validate all contracts; each error is one sentence."""
     paths = _find_files(directory)
     if isinstance(paths, result.Err):
         return paths
     parsed: dict[str, contracts.Contract] = {}
-    faults: list[str] = []
+    errors: list[str] = []
     for path in paths.ok_value:
         contract = _load_file(path)
         if isinstance(contract, result.Err):
-            faults.extend(contract.err_value)
+            errors.extend(contract.err_value)
         else:
             parsed[path.name] = contract.ok_value
-    faults.extend(contracts.find_duplicates(parsed))
-    if faults:
-        return result.Err(tuple(faults))
+    errors.extend(contracts.find_duplicates(parsed))
+    if errors:
+        return result.Err(tuple(errors))
     return result.Ok(tuple(parsed.values()))
 
 
 def parse_text(
     name: str, text: str
-) -> result.Result[contracts.Contract, Faults]:
-    """Parse the contract of the file ``name`` and check its limits."""
+) -> result.Result[contracts.Contract, Errors]:
+    """Parse and validate the contract in the text of the file ``name``."""
     size = len(text.encode())
     if size > MAX_FILE_BYTES:
-        return _fault(
+        return _single_error(
             name, 'size', f'{size} bytes', f'at most {MAX_FILE_BYTES} bytes'
         )
-    repeated: list[str] = []
+    duplicate_keys: list[str] = []
     try:
         document = jsonc.loads(
             json_text.blank_comments(text),
-            object_pairs_hook=lambda pairs: _collect(pairs, repeated),
+            object_pairs_hook=lambda pairs: _collect_pairs(
+                pairs, duplicate_keys
+            ),
         )
     except json.JSONDecodeError as exc:
-        place = f'line {exc.lineno} column {exc.colno}'
-        return _fault(name, place, f'"{exc.msg}"', 'JSON with comments')
+        location = f'line {exc.lineno} column {exc.colno}'
+        return _single_error(
+            name, location, f'"{exc.msg}"', 'JSON with comments'
+        )
     except (ValueError, RecursionError) as exc:
-        return _fault(name, 'text', f'"{exc}"', 'JSON with comments')
+        return _single_error(name, 'text', f'"{exc}"', 'JSON with comments')
     if not isinstance(document, dict):
         found = type(document).__name__
-        return _fault(name, 'text', f'a {found}', 'one JSON object')
-    faults = [
-        _sentence(name, key, 'the key more than once', 'each key once')
-        for key in repeated
+        return _single_error(name, 'text', f'a {found}', 'one JSON object')
+    errors = [
+        _format_error(name, key, 'the key more than once', 'each key once')
+        for key in duplicate_keys
     ]
     try:
         contract = contracts.Contract.model_validate(document)
     except pydantic.ValidationError as exc:
-        faults.extend(_describe(name, error) for error in exc.errors())
-        return result.Err(tuple(faults))
-    faults.extend(
-        f'{name}: {sentence}'
-        for sentence in contracts.find_unsatisfiable_limits(contract)
+        errors.extend(
+            _format_validation_error(name, error) for error in exc.errors()
+        )
+        return result.Err(tuple(errors))
+    errors.extend(
+        f'{name}: {error}'
+        for error in contracts.find_unsatisfiable_limits(contract)
     )
-    return result.Err(tuple(faults)) if faults else result.Ok(contract)
+    return result.Err(tuple(errors)) if errors else result.Ok(contract)
 
 
 def _find_files(
     directory: pathlib.Path,
-) -> result.Result[list[pathlib.Path], Faults]:
+) -> result.Result[list[pathlib.Path], Errors]:
     try:
-        members = sorted(directory.iterdir())
+        entries = sorted(directory.iterdir())
     except OSError as exc:
         cause = exc.strerror
-        return _fault(str(directory), 'directory', f'"{cause}"', 'a directory')
-    wrong = [path.name for path in members if path.suffix == '.json']
-    if wrong:
-        return _fault(wrong[0], 'file name', 'the ending .json', '.jsonc')
-    paths = [path for path in members if path.suffix == '.jsonc']
+        return _single_error(
+            str(directory), 'directory', f'"{cause}"', 'a directory'
+        )
+    misnamed = [path.name for path in entries if path.suffix == '.json']
+    if misnamed:
+        return _single_error(
+            misnamed[0], 'file name', 'extension .json', '.jsonc'
+        )
+    paths = [path for path in entries if path.suffix == '.jsonc']
     if not 1 <= len(paths) <= contracts.MAX_CONTRACTS:
-        return _fault(
+        return _single_error(
             str(directory),
             'directory',
             f'{len(paths)} files *.jsonc',
-            f'1 to {contracts.MAX_CONTRACTS}, one for each customer',
+            f'1 to {contracts.MAX_CONTRACTS}, one per customer',
         )
     return result.Ok(paths)
 
 
 def _load_file(
     path: pathlib.Path,
-) -> result.Result[contracts.Contract, Faults]:
+) -> result.Result[contracts.Contract, Errors]:
     try:
         with path.open('rb') as stream:
             body = stream.read(MAX_FILE_BYTES + 1)
     except OSError as exc:
-        return _fault(path.name, 'file', f'"{exc.strerror}"', 'a readable file')
+        return _single_error(
+            path.name, 'file', f'"{exc.strerror}"', 'a readable file'
+        )
     try:
         text = body.decode()
     except UnicodeDecodeError as exc:
-        return _fault(
-            path.name, f'byte {exc.start}', 'bytes of another code', 'UTF-8'
+        return _single_error(
+            path.name, f'byte {exc.start}', 'an invalid byte', 'UTF-8'
         )
     return parse_text(path.name, text)
 
 
-def _collect(
-    pairs: list[tuple[str, Any]], repeated: list[str]
+def _collect_pairs(
+    pairs: list[tuple[str, Any]], duplicate_keys: list[str]
 ) -> dict[str, Any]:
     document: dict[str, Any] = {}
-    for key, member in pairs:
-        if key in document and key not in repeated:
-            repeated.append(key)
-        document[key] = member
+    for key, value in pairs:
+        if key in document and key not in duplicate_keys:
+            duplicate_keys.append(key)
+        document[key] = value
     return document
 
 
-def _describe(name: str, error: Any) -> str:
+def _format_validation_error(name: str, error: Any) -> str:
     key = str(error['loc'][0])
-    place = '.'.join(str(part) for part in error['loc'])
+    location = '.'.join(str(part) for part in error['loc'])
     if error['type'] == 'extra_forbidden':
-        return _sentence(name, place, f'the key "{key}"', _nearest_key(key))
+        return _format_error(
+            name, location, f'the key "{key}"', _expected_key(key)
+        )
     found = 'no such key'
     if error['type'] != 'missing':
-        found = _show(key, error['input'])
-    return _sentence(name, place, found, _accepted(key))
+        found = _format_value(key, error['input'])
+    return _format_error(name, location, found, _expected(key))
 
 
-def _nearest_key(key: str) -> str:
+def _expected_key(key: str) -> str:
     nearest = difflib.get_close_matches(key, _FIELDS, n=1)
     if nearest:
         return f'"{nearest[0]}"'
     return 'one of the keys {}'.format(', '.join(_FIELDS))
 
 
-def _show(key: str, found: Any) -> str:
-    if key == _HASH_PLACE:
-        # It may be the credential itself, which is never shown.
-        return _show_size(found)
-    shown = json.dumps(found)
-    if len(shown) > _MAX_FOUND_CHARS:
-        return f'{shown[:_MAX_FOUND_CHARS]}...'
-    return shown
+def _format_value(key: str, found: Any) -> str:
+    if key == _HASH_FIELD:
+        # The value may be the credential itself, which is never printed.
+        return _describe_size(found)
+    text = json.dumps(found)
+    if len(text) > _MAX_EXCERPT_CHARS:
+        return f'{text[:_MAX_EXCERPT_CHARS]}...'
+    return text
 
 
-def _show_size(found: Any) -> str:
+def _describe_size(found: Any) -> str:
     if isinstance(found, (str, list)):
         return f'a {type(found).__name__} of length {len(found)}'
     return f'a {type(found).__name__}'
 
 
-def _accepted(key: str) -> str:
+def _expected(key: str) -> str:
     if key == 'customer':
-        return _ACCEPTED_NAME
-    if key == _HASH_PLACE:
-        return _ACCEPTED_HASHES
+        return _EXPECTED_NAME
+    if key == _HASH_FIELD:
+        return _EXPECTED_HASHES
     schema = _FIELDS[key]
-    highest = schema['maximum']
+    maximum = schema['maximum']
     if schema['type'] == 'integer':
-        return f'a whole number from {schema["minimum"]} to {highest}'
-    return f'a number over {schema["exclusiveMinimum"]} and up to {highest}'
+        return f'an integer from {schema["minimum"]} to {maximum}'
+    return f'a number above {schema["exclusiveMinimum"]}, up to {maximum}'
 
 
-def _sentence(name: str, place: str, found: str, accepted: str) -> str:
-    return f'{name}: {place}: found {found}; accepted is {accepted}.'
+def _format_error(name: str, location: str, found: str, expected: str) -> str:
+    return f'{name}: {location}: found {found}; expected {expected}.'
 
 
-def _fault(
-    name: str, place: str, found: str, accepted: str
-) -> result.Err[Faults]:
-    return result.Err((_sentence(name, place, found, accepted),))
+def _single_error(
+    name: str, location: str, found: str, expected: str
+) -> result.Err[Errors]:
+    return result.Err((_format_error(name, location, found, expected),))
--- a/sardineproxy/version/contracts.py
+++ b/sardineproxy/version/contracts.py
@@ -1,13 +1,13 @@
-"""Contracts: what each customer may submit and hold, and its share."""
+"""Contracts, which define the limits and the share of each customer."""
 
 from typing import Annotated, Any, Mapping
 
 import pydantic
 
-#: Most contracts of one version.
+#: Largest number of contracts in a version.
 MAX_CONTRACTS = 1024
 
-#: Digits by which messages tell hashes apart.
+#: Leading digits of a hash that error messages show.
 HASH_PREFIX_DIGITS = 8
 
 NAME_PATTERN = '^[a-z0-9][a-z0-9-]{0,62}$'
@@ -28,79 +28,82 @@
         list[Hash], pydantic.Field(min_length=1, max_length=4)
     ]
 
-    #: Share against the other customers that have work.
+    #: Share of capacity relative to other customers with pending tasks.
     weight: Annotated[
         float, pydantic.Field(gt=0, le=10_000, allow_inf_nan=False)
     ]
 
-    #: Tasks a second that the customer may submit.
+    #: Largest sustained submission rate, in tasks per second.
     submit_per_s: Annotated[
         float, pydantic.Field(gt=0, le=1_000_000, allow_inf_nan=False)
     ]
 
-    #: Tasks that may be submitted at once after a pause.
+    #: Largest burst of submitted tasks.
     submit_burst: Annotated[int, pydantic.Field(ge=1, le=1_000_000)]
 
-    #: Tasks that may be at endpoints at once.
+    #: Largest number of tasks at endpoints at the same time.
     hold: Annotated[int, pydantic.Field(ge=1, le=1_000_000)]
 
-    #: Tasks that may wait at one entry VM.
+    #: Largest number of tasks that wait at one entry VM.
     queue: Annotated[int, pydantic.Field(ge=1, le=1_000_000)]
 
     #: Largest job, in tasks.
     max_job_tasks: Annotated[int, pydantic.Field(ge=1, le=1700)] = 1700
 
-    #: Deadline of a request that gives none, in milliseconds.
+    #: Deadline of a request that states none, in milliseconds.
     default_deadline_ms: Annotated[int, pydantic.Field(ge=1, le=600_000)] = (
         30_000
     )
 
-    #: Longest deadline that a request may ask for, in milliseconds.
+    #: Longest deadline that a request may state, in milliseconds.
     max_deadline_ms: Annotated[int, pydantic.Field(ge=1, le=600_000)] = 120_000
 
 
 def find_unsatisfiable_limits(contract: Contract) -> tuple[str, ...]:
-    """Return one sentence for each limit that can never be met."""
-    largest_job = contract.max_job_tasks
-    sentences = [
-        f'{name}: found {found}; accepted is at least max_job_tasks, '
-        f'{largest_job}, or no job of that size is ever admitted.'
+    """Return one error for each limit that no request can satisfy."""
+    max_job_tasks = contract.max_job_tasks
+    errors = [
+        f'{name}: found {found}; expected at least max_job_tasks, '
+        f'{max_job_tasks}, as no job of that size would be admitted.'
         for name, found in (
             ('submit_burst', contract.submit_burst),
             ('queue', contract.queue),
         )
-        if found < largest_job
+        if found < max_job_tasks
     ]
     if contract.default_deadline_ms > contract.max_deadline_ms:
-        sentences.append(
+        errors.append(
             f'default_deadline_ms: found {contract.default_deadline_ms}; '
-            f'accepted is at most max_deadline_ms, {contract.max_deadline_ms}.'
+            f'expected at most max_deadline_ms, {contract.max_deadline_ms}.'
         )
-    return tuple(sentences)
+    return tuple(errors)
 
 
 def find_duplicates(by_source: Mapping[Any, Contract]) -> tuple[str, ...]:
-    """Return one sentence for each name or credential that is used twice.
+    """Return one error for each customer or credential that occurs twice.
 
-    The keys of ``by_source`` say where a contract comes from, such as its
-    file.
+    The keys of ``by_source`` identify where a contract comes from, such as
+    its file.
     """
-    sentences: list[str] = []
-    names: dict[str, Any] = {}
-    owners: dict[str, Any] = {}
-    for origin, contract in by_source.items():
-        other = names.setdefault(contract.customer, origin)
-        if other != origin:
-            sentences.append(
-                f'{origin}: customer: found "{contract.customer}", which '
-                f'{other} has too; accepted is one contract for a customer.'
+    errors: list[str] = []
+    sources_by_name: dict[str, Any] = {}
+    locations_by_credential: dict[str, Any] = {}
+    for source, contract in by_source.items():
+        first_source = sources_by_name.setdefault(contract.customer, source)
+        if first_source != source:
+            errors.append(
+                f'{source}: customer: found "{contract.customer}", which '
+                f'{first_source} also uses; expected one contract per customer.'
             )
-        for place, credential in enumerate(contract.credential_sha256):
-            owner = owners.setdefault(credential, (origin, place))
-            if owner != (origin, place):
-                sentences.append(
-                    f'{origin}: credential_sha256.{place}: found '
+        for index, credential in enumerate(contract.credential_sha256):
+            first_location = locations_by_credential.setdefault(
+                credential, (source, index)
+            )
+            if first_location != (source, index):
+                errors.append(
+                    f'{source}: credential_sha256.{index}: found '
                     f'{credential[:HASH_PREFIX_DIGITS]}..., which '
-                    f'{owner[0]} has too; accepted is each credential once.'
+                    f'{first_location[0]} also uses; expected unique '
+                    'credentials.'
                 )
-    return tuple(sentences)
+    return tuple(errors)
--- a/sardineproxy/version/fetch_policy.py
+++ b/sardineproxy/version/fetch_policy.py
@@ -1,22 +1,24 @@
-"""Decides when to ask another entry VM for a newer version."""
+"""Policy for requesting newer versions from other entry VMs."""
 
-#: Time for which a version that others have is awaited from the store, in
-#: seconds. A large version takes half a second on the slowest VMs' network
-#: links, and must not be fetched from several places at once.
+#: Time for which a process waits to read a version from the store that other
+#: VMs have announced, in seconds. A large version takes half a second on the
+#: network links of the slowest VMs and must not be fetched from several
+#: sources at once.
 STORE_WAIT_S = 0.3
 
-#: Time for which an answer is awaited before another VM is asked, in seconds.
+#: Time to wait for a response before requesting the version from another VM,
+#: in seconds.
 RESPONSE_WAIT_S = 0.7
 
 
 class FetchPolicy:
-    """Asks one VM at a time, and only for what the store does not bring."""
+    """Allows a request to one VM at a time, if the store is too slow."""
 
     def __init__(self) -> None:
-        """Start without a version that others have."""
-        self._wanted = 0
-        self._wanted_since: float = 0
-        self._asked_at = -RESPONSE_WAIT_S
+        """Start without an announced version."""
+        self._newest_announced = 0
+        self._pending_since: float = 0
+        self._last_request_at = -RESPONSE_WAIT_S
 
     def should_fetch(
         self,
@@ -26,19 +28,20 @@
         store_available: bool,
         now: float,
     ) -> bool:
-        """Tell whether to ask a VM that has version ``number`` for it.
+        """Return whether to request version ``number`` from a VM that has it.
 
-        ``active_number`` is the version in force here; true counts as asked.
+        ``active_number`` is the active version of this process. The caller
+        must send the request if the result is true.
         """
         if number <= active_number:
             return False
-        if self._wanted <= active_number:
-            self._wanted_since = now
-        self._wanted = max(number, self._wanted)
+        if self._newest_announced <= active_number:
+            self._pending_since = now
+        self._newest_announced = max(number, self._newest_announced)
         wait_s = STORE_WAIT_S if store_available else 0
-        if now - self._wanted_since < wait_s:
+        if now - self._pending_since < wait_s:
             return False
-        if now - self._asked_at < RESPONSE_WAIT_S:
+        if now - self._last_request_at < RESPONSE_WAIT_S:
             return False
-        self._asked_at = now
+        self._last_request_at = now
         return True
--- a/sardineproxy/version/fetching.py
+++ b/sardineproxy/version/fetching.py
@@ -1,4 +1,4 @@
-"""Read versions from the platform's tables and objects."""
+"""Reads versions from the tables and objects of the platform."""
 
 import collections
 import dataclasses
@@ -11,19 +11,21 @@
 HEAD_KEY = 'config/head'
 CHANGE_PREFIX = 'config/change/'
 
-#: A snapshot object is written for each version that this divides.
+#: A snapshot object is written for each version number divisible by this.
 SNAPSHOT_EVERY = 64
 
-#: Snapshots tried, from the latest backwards, before all changes are read.
+#: Number of snapshots that are tried, latest first, before all changes are
+#: read.
 MAX_SNAPSHOTS_TRIED = 4
 
-#: Versions before the newest that are kept in case it cannot be parsed.
+#: Number of latest versions that are retained in case the newest cannot be
+#: parsed.
 MAX_SNAPSHOTS = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HeadRow:
-    """The head and the revision of its row; both absent before version 1."""
+    """The head and the revision of its row; None and 0 before version 1."""
 
     head: versions.Head | None
     revision: int
@@ -31,15 +33,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class FetchedVersions:
-    """Versions in ascending order, the newest that was reached last."""
+    """Versions that were read, in ascending order."""
 
-    #: The latest ``MAX_SNAPSHOTS`` versions, with the one started from.
+    #: The latest ``MAX_SNAPSHOTS`` versions, including the start version.
     snapshots: tuple[versions.Snapshot, ...]
 
     #: All changes that were applied.
     changes: tuple[versions.Change, ...]
 
-    #: Why the change after the newest could not be applied, else None.
+    #: Cause if the change after the newest could not be applied, else None.
     error: str | None = None
 
     @property
@@ -49,15 +51,16 @@
 
 
 def change_key(number: int) -> str:
-    """Return the key of a change's row; keys sort by number."""
+    """Return the row key of a change; keys sort by number."""
     return f'{CHANGE_PREFIX}{number:012d}'
 
 
 def snapshot_name(number: int, digest: str) -> str:
     """Return the name of a snapshot object.
 
-    The digest is part of the name because the object is written before the
-    version is decided: the loser of a race must not replace the winner's.
+    The name includes the digest because the object is written before the
+    version is committed: of two concurrent writers, the one that fails to
+    commit must not replace the object of the other.
     """
     return f'config/snapshot/{number:012d}-{digest}'
 
@@ -108,41 +111,41 @@
 ) -> result.Result[FetchedVersions, store.StoreError]:
     """Return the newest version that can be reached from ``base``.
 
-    Uses the changes after ``base``; when these are many or do not apply,
-    the latest usable snapshot object and the changes after it.
+    Uses the changes after ``base``. If these are many or cannot be applied,
+    uses the latest valid snapshot object and the changes after it.
     """
-    is_near = head.number - base.number <= SNAPSHOT_EVERY
+    has_few_changes = head.number - base.number <= SNAPSHOT_EVERY
     reached = FetchedVersions(snapshots=(base,), changes=())
-    if is_near:
-        direct = await _follow(client, base, strict)
-        if isinstance(direct, result.Err):
-            return direct
-        reached = direct.ok_value
+    if has_few_changes:
+        from_base = await _apply_changes_after(client, base, strict)
+        if isinstance(from_base, result.Err):
+            return from_base
+        reached = from_base.ok_value
     if reached.newest.number >= head.number:
         return result.Ok(reached)
     start = await _find_snapshot(client, reached.newest, head, strict)
     if isinstance(start, result.Err):
         return start
     if start.ok_value is not None:
-        return await _follow(client, start.ok_value, strict)
-    if is_near:
+        return await _apply_changes_after(client, start.ok_value, strict)
+    if has_few_changes:
         return result.Ok(reached)
-    return await _follow(client, base, strict)
+    return await _apply_changes_after(client, base, strict)
 
 
 def apply_rows(
     base: versions.Snapshot, rows: tuple[platform.Row, ...]
 ) -> FetchedVersions:
-    """Apply the changes in the rows in order, up to the first fault."""
+    """Apply the changes in the rows in order, up to the first error."""
     snapshots = collections.deque([base], maxlen=MAX_SNAPSHOTS)
     changes: list[versions.Change] = []
     error = None
     for row in rows:
-        step = _apply_row(snapshots[-1], row)
-        if isinstance(step, result.Err):
-            error = f'row {row.key}: {step.err_value}'
+        applied = _apply_row(snapshots[-1], row)
+        if isinstance(applied, result.Err):
+            error = f'row {row.key}: {applied.err_value}'
             break
-        change, snapshot = step.ok_value
+        change, snapshot = applied.ok_value
         changes.append(change)
         snapshots.append(snapshot)
     return FetchedVersions(
@@ -160,7 +163,7 @@
     return versions.apply(base, change).map(lambda reached: (change, reached))
 
 
-async def _follow(
+async def _apply_changes_after(
     client: platform.Platform, base: versions.Snapshot, strict: bool
 ) -> result.Result[FetchedVersions, store.StoreError]:
     read = await read_changes(client, after=base.number, strict=strict)
@@ -173,7 +176,7 @@
     head: versions.Head,
     strict: bool,
 ) -> result.Result[versions.Snapshot | None, store.StoreError]:
-    """Return the latest usable snapshot newer than ``base``, else None."""
+    """Return the latest valid snapshot newer than ``base``, else None."""
     number = head.number - head.number % SNAPSHOT_EVERY
     oldest = max(base.number, number - SNAPSHOT_EVERY * MAX_SNAPSHOTS_TRIED)
     while number > oldest:
@@ -200,10 +203,10 @@
     if body.ok_value is None:
         return result.Ok(None)
     decoded = codec.decode_snapshot(body.ok_value)
-    return result.Ok(_check_identity(decoded, number, digest))
+    return result.Ok(_verify_snapshot(decoded, number, digest))
 
 
-def _check_identity(
+def _verify_snapshot(
     decoded: result.Result[versions.Snapshot, str], number: int, digest: str
 ) -> versions.Snapshot | None:
     if isinstance(decoded, result.Err):
--- a/sardineproxy/version/follower.py
+++ b/sardineproxy/version/follower.py
@@ -1,4 +1,4 @@
-"""Follow the newest configuration version from the platform and peers."""
+"""Follows the newest configuration version from the platform and peers."""
 
 import asyncio
 import collections
@@ -12,10 +12,11 @@
 from sardineproxy.process import metrics, platform, store
 from sardineproxy.version import codec, fetching, polling, versions
 
-#: Changes kept for peers that are a few versions behind.
+#: Largest number of changes cached for peers that are a few versions behind.
 MAX_CACHED_CHANGES = 128
 
-#: Bytes of all kept changes. Peers that need older ones get a snapshot.
+#: Largest size of the cached changes, in bytes. Peers that need older changes
+#: receive a snapshot.
 MAX_CACHED_BYTES = 1_048_576
 
 _LOG = logs.get_logger('config')
@@ -24,7 +25,7 @@
 
 
 class Follower:
-    """Keeps the newest version that this process can take.
+    """Activates the newest version that this process can parse.
 
     The number of ``active_version`` never decreases. Versions whose contracts
     cannot be parsed are followed as texts, so that a later version that can
@@ -49,13 +50,15 @@
         self._metrics = metrics
         self._schedule = polling.PollSchedule(rng=rng, cfg=cfg)
         self._newest = versions.EMPTY
-        self._untried: collections.deque[versions.Snapshot] = collections.deque(
-            maxlen=fetching.MAX_SNAPSHOTS
+        self._unparsed: collections.deque[versions.Snapshot] = (
+            collections.deque(maxlen=fetching.MAX_SNAPSHOTS)
+        )
+        self._cached_changes: collections.deque[versions.Change] = (
+            collections.deque()
         )
-        self._changes: collections.deque[versions.Change] = collections.deque()
         self._cached_bytes = 0
-        self._last_read: float | None = None
-        self._faults: dict[str, str] = {}
+        self._last_read_at: float | None = None
+        self._errors: dict[str, str] = {}
 
     async def run(self) -> None:
         """Poll until cancelled."""
@@ -64,57 +67,65 @@
             await asyncio.sleep(self._schedule.next_wait_s())
 
     async def poll_once(self) -> None:
-        """Read the head and catch up with it if it is newer."""
-        before = self._schedule.failures
-        error = await self._schedule.run_with_timeout(self._poll())
-        if error is None:
-            if before:
-                _LOG.info('platform answers after %d failures', before)
-            self._last_read = self._clock.now()
-            self._faults.pop('platform', None)
+        """Read the head; read and apply the changes up to it if it is newer."""
+        failures_before = self._schedule.failures
+        failure = await self._schedule.run_with_timeout(self._poll())
+        if failure is None:
+            if failures_before:
+                _LOG.info(
+                    'Platform read succeeded after %d failures.',
+                    failures_before,
+                )
+            self._last_read_at = self._clock.now()
+            self._errors.pop('platform', None)
             return
-        fault = f'{error.kind.value}: {error.detail}'
-        if not before:
-            _LOG.warning('platform fails: %s', fault)
+        error = f'{failure.kind.value}: {failure.detail}'
+        if not failures_before:
+            _LOG.warning('Platform read failed: %s.', error)
         self._metrics.count('config_platform_failures_total')
-        self._faults['platform'] = fault
+        self._errors['platform'] = error
 
     def number(self) -> ids.VersionNumber:
-        """Return the number of the version in force, 0 if there is none."""
+        """Return the number of the active version, 0 if there is none."""
         version = self.active_version.value
         return ids.VersionNumber(0) if version is None else version.number
 
     def changes_since(self, number: int) -> bytes | None:
-        """Return what brings a peer at ``number`` to the newest version.
+        """Return a payload that updates a peer from ``number`` to the newest.
 
-        None if this process has nothing newer.
+        None if this process has no newer version.
         """
         if number >= self._newest.number:
             return None
         changes = tuple(
-            change for change in self._changes if change.head.number > number
+            change
+            for change in self._cached_changes
+            if change.head.number > number
         )
-        is_chain = bool(changes) and changes[0].head.number == number + 1
+        is_contiguous = bool(changes) and changes[0].head.number == number + 1
         payload = codec.Payload(snapshot=None, changes=changes)
-        if not is_chain:
+        if not is_contiguous:
             payload = codec.Payload(snapshot=self._newest, changes=())
         return codec.encode_payload(payload)
 
     def offer(self, payload: bytes) -> None:
-        """Take what a peer's ``changes_since`` returned, if it is newer."""
+        """Apply a payload of a peer's ``changes_since`` if it is newer."""
         decoded = codec.decode_payload(payload)
         if isinstance(decoded, result.Err):
             self._metrics.count('config_bad_offers_total')
-            _LOG.warning('peer sent a bad payload: %s', decoded.err_value)
+            _LOG.warning(
+                'Peer sent an invalid configuration payload: %s.',
+                decoded.err_value,
+            )
             return
         snapshot = decoded.ok_value.snapshot
         if snapshot is not None and self._is_newer(snapshot):
-            self._forget_changes()
-            self._advance(snapshot)
+            self._clear_cache()
+            self._set_newest(snapshot)
         for change in decoded.ok_value.changes:
-            if self._is_newer(change.head) and not self._take_change(change):
+            if self._is_newer(change.head) and not self._apply_change(change):
                 break
-        self._put_in_force()
+        self._activate_newest()
 
     def state(self, *, now: float) -> dict[str, Any]:
         """Return the state for the state dump."""
@@ -124,9 +135,9 @@
             'digest': None if version is None else version.digest,
             'newest_known': self._newest.number,
             'platform_read_age_s': (
-                None if self._last_read is None else now - self._last_read
+                None if self._last_read_at is None else now - self._last_read_at
             ),
-            'faults': dict(self._faults),
+            'faults': dict(self._errors),
         }
 
     async def _poll(self) -> result.Result[None, store.StoreError]:
@@ -140,101 +151,106 @@
         fetched = await fetching.catch_up(
             self._platform, base=self._newest, head=head, strict=strict
         )
-        return fetched.map(self._take_fetched)
+        return fetched.map(self._apply_fetched)
 
     def _is_newer(self, other: versions.Head | versions.Snapshot) -> bool:
-        """Compare with the newest version; report a conflict."""
+        """Return whether ``other`` is newer; report a conflicting digest."""
         newest = self._newest
         if other.number == newest.number and other.digest != newest.digest:
             self._metrics.count('config_conflicts_total')
             self._report(
                 'conflict',
                 f'version {other.number} has digest {newest.digest} here '
-                f'and {other.digest} elsewhere; the one here stays',
+                f'and {other.digest} elsewhere; keeping the local version',
             )
         return other.number > newest.number
 
-    def _take_change(self, change: versions.Change) -> bool:
+    def _apply_change(self, change: versions.Change) -> bool:
         applied = versions.apply(self._newest, change)
         if isinstance(applied, result.Err):
             self._metrics.count('config_bad_offers_total')
-            _LOG.warning('peer sent a bad change: %s', applied.err_value)
+            _LOG.warning(
+                'Peer sent an invalid configuration change: %s.',
+                applied.err_value,
+            )
             return False
-        self._keep(change)
-        self._advance(applied.ok_value)
+        self._cache_change(change)
+        self._set_newest(applied.ok_value)
         return True
 
-    def _take_fetched(self, fetched: fetching.FetchedVersions) -> None:
+    def _apply_fetched(self, fetched: fetching.FetchedVersions) -> None:
         if self._is_newer(fetched.newest):
             first = fetched.changes[0].head.number if fetched.changes else 0
             if first != self._newest.number + 1:
-                self._forget_changes()
+                self._clear_cache()
             for change in fetched.changes:
-                self._keep(change)
+                self._cache_change(change)
             for snapshot in fetched.snapshots:
-                self._advance(snapshot)
-            self._put_in_force()
+                self._set_newest(snapshot)
+            self._activate_newest()
         if fetched.error is not None:
             self._report('change', fetched.error)
 
-    def _advance(self, snapshot: versions.Snapshot) -> None:
-        """Make the snapshot the newest unless it is older."""
+    def _set_newest(self, snapshot: versions.Snapshot) -> None:
+        """Make the snapshot the newest version if it is newer."""
         if snapshot.number <= self._newest.number:
             return
         self._newest = snapshot
-        self._untried.append(snapshot)
-        self._faults.pop('change', None)
-
-    def _put_in_force(self) -> None:
-        """Put the newest version that can be parsed in force."""
-        fault = None
-        while self._untried:
-            parsed = versions.parse(self._untried.pop())
+        self._unparsed.append(snapshot)
+        self._errors.pop('change', None)
+
+    def _activate_newest(self) -> None:
+        """Activate the newest version that can be parsed."""
+        error = None
+        while self._unparsed:
+            parsed = versions.parse(self._unparsed.pop())
             if isinstance(parsed, result.Ok):
-                self._untried.clear()
-                self._take_version(parsed.ok_value)
+                self._unparsed.clear()
+                self._activate(parsed.ok_value)
             else:
-                fault = fault or parsed.err_value
-        if fault is not None:
+                error = error or parsed.err_value
+        if error is not None:
             self._metrics.count('config_unparsable_total')
             self._report(
                 'unparsable',
                 f'version {self._newest.number} cannot be parsed, '
-                f'{self.number()} stays in force: {fault}',
+                f'{self.number()} remains active: {error}',
             )
 
-    def _take_version(self, version: versions.Version) -> None:
+    def _activate(self, version: versions.Version) -> None:
         if version.number == self._newest.number:
-            self._faults.pop('unparsable', None)
-        self._faults.pop('conflict', None)
+            self._errors.pop('unparsable', None)
+        self._errors.pop('conflict', None)
         self._metrics.count('config_versions_total')
-        _LOG.info('version %d is in force', version.number)
+        _LOG.info('Configuration version %d activated.', version.number)
         self.active_version.on_next(version)
 
-    def _keep(self, change: versions.Change) -> None:
-        self._changes.append(change)
-        self._cached_bytes += _size_of(change)
-        while self._changes and self._is_over_bound():
-            self._cached_bytes -= _size_of(self._changes.popleft())
+    def _cache_change(self, change: versions.Change) -> None:
+        self._cached_changes.append(change)
+        self._cached_bytes += _approximate_size(change)
+        while self._cached_changes and self._exceeds_cache_limits():
+            self._cached_bytes -= _approximate_size(
+                self._cached_changes.popleft()
+            )
 
-    def _is_over_bound(self) -> bool:
+    def _exceeds_cache_limits(self) -> bool:
         return (
-            len(self._changes) > MAX_CACHED_CHANGES
+            len(self._cached_changes) > MAX_CACHED_CHANGES
             or self._cached_bytes > MAX_CACHED_BYTES
         )
 
-    def _forget_changes(self) -> None:
-        self._changes.clear()
+    def _clear_cache(self) -> None:
+        self._cached_changes.clear()
         self._cached_bytes = 0
 
-    def _report(self, kind: str, fault: str) -> None:
-        """Log an error once, until it changes."""
-        if self._faults.get(kind) != fault:
-            _LOG.error('%s', fault)
-        self._faults[kind] = fault
+    def _report(self, kind: str, error: str) -> None:
+        """Record an error, and log it if it changed."""
+        if self._errors.get(kind) != error:
+            _LOG.error('Configuration error: %s.', error)
+        self._errors[kind] = error
 
 
-def _size_of(change: versions.Change) -> int:
-    """Return about the bytes that the change takes in a payload."""
+def _approximate_size(change: versions.Change) -> int:
+    """Return the approximate size of the change in a payload, in bytes."""
     texts = (*change.documents.values(), *change.removed)
     return sum(len(text) for text in texts)
--- a/sardineproxy/version/polling.py
+++ b/sardineproxy/version/polling.py
@@ -1,4 +1,4 @@
-"""When to read from the platform again, and how long to wait for it."""
+"""Intervals, back-off and timeouts of polling the platform."""
 
 import asyncio
 import dataclasses
@@ -9,36 +9,36 @@
 
 from sardineproxy.process import store
 
-#: Largest exponent of a doubling; keeps the powers small.
+#: Largest number of doublings; bounds the power of two.
 _MAX_DOUBLINGS = 8
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Config:
-    """Waits between polls, in seconds.
+    """Intervals and timeouts of polls, in seconds.
 
-    A version is to be in force everywhere within 8 s, even if the open
-    connection to the platform has gone silent: a poll's wait, its limit, the
-    first back-off and a second poll take about 6 s together.
+    A version must be active on all VMs within 8 s, even if the open connection
+    to the platform no longer responds: a poll interval, the timeout of the
+    poll, the first back-off and a second poll take about 6 s together.
     """
 
     poll_s: float = 2
 
-    #: Each wait is drawn from this fraction below to above its length.
+    #: Each wait varies randomly by up to this fraction in both directions.
     jitter: float = 0.25
 
-    #: Wait after the first failure; doubles with each further one.
+    #: Wait after the first failure; doubled for each further failure.
     first_backoff_s: float = 0.5
     max_backoff_s: float = 4
 
-    #: Longest poll after a success; doubles with each failure, so that a slow
-    #: platform is waited for.
+    #: Timeout of a poll after a success; doubled for each failure, so that a
+    #: slow platform has enough time to respond.
     timeout_s: float = 2
     max_timeout_s: float = 30
 
 
 class PollSchedule:
-    """Counts failures in a row and derives waits from them."""
+    """Derives waits and timeouts from the number of consecutive failures."""
 
     def __init__(self, *, rng: random.Random, cfg: Config) -> None:
         """Start without failures."""
@@ -60,24 +60,24 @@
         self,
         poll: Awaitable[result.Result[None, store.StoreError]],
     ) -> store.StoreError | None:
-        """Wait for one poll within its limit and count its outcome."""
+        """Await one poll up to its timeout and count its outcome."""
         cfg = self._cfg
         timeout_s = _doubled(cfg.timeout_s, self.failures, cfg.max_timeout_s)
         try:
             async with asyncio.timeout(timeout_s):
-                outcome = await poll
+                polled = await poll
         except TimeoutError:
             self.failures += 1
             return store.StoreError(
                 kind=store.ErrorKind.UNAVAILABLE,
-                detail=f'no whole answer within {timeout_s} s',
+                detail=f'no complete response within {timeout_s} s',
             )
-        if isinstance(outcome, result.Err):
+        if isinstance(polled, result.Err):
             self.failures += 1
-            return outcome.err_value
+            return polled.err_value
         self.failures = 0
         return None
 
 
-def _doubled(first_s: float, doublings: int, longest_s: float) -> float:
-    return min(first_s * 2 ** min(doublings, _MAX_DOUBLINGS), longest_s)
+def _doubled(first_s: float, doublings: int, max_s: float) -> float:
+    return min(first_s * 2 ** min(doublings, _MAX_DOUBLINGS), max_s)
--- a/sardineproxy/version/routes.py
+++ b/sardineproxy/version/routes.py
@@ -1,4 +1,4 @@
-"""One configuration version: routes from requests to services."""
+"""Routes of a configuration version, from hosts and paths to services."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Jobs with this host and path prefix go to this service."""
+    """Sends jobs with this host and path prefix to this service."""
 
     route: ids.RouteId
     host: str
@@ -19,14 +19,14 @@
     stretch: float
     slack_s: float
 
-    #: Lower numbers come first.
+    #: Priority of the jobs; lower numbers are served first.
     priority: int
 
-    #: Runs of a task that may fail before its job fails.
+    #: Number of failed runs of a task at which its job fails.
     max_attempts: int
 
     def time_limit_s(self, expected_s: float) -> float:
-        """Return within which time a job is on time, in seconds."""
+        """Return the time within which a job is on time, in seconds."""
         return expected_s * self.stretch + self.slack_s
 
 
@@ -34,36 +34,36 @@
     """The routes of one version."""
 
     def __init__(self, *, number: int, routes: tuple[Route, ...]) -> None:
-        """Index the routes by host and prefix."""
+        """Index the routes by host and path prefix."""
         self.number = number
         self._by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            of_host = self._by_host.setdefault(route.host, {})
-            of_host.setdefault(route.path_prefix, route)
-
-        #: Lengths of the prefixes of each host, longest first; there are far
-        #: fewer of them than routes.
-        self._lengths = {
-            host: sorted(set(map(len, of_host)), reverse=True)
-            for host, of_host in self._by_host.items()
+            by_prefix = self._by_host.setdefault(route.host, {})
+            by_prefix.setdefault(route.path_prefix, route)
+
+        #: Lengths of the path prefixes of each host, longest first; there are
+        #: far fewer lengths than routes.
+        self._prefix_lengths = {
+            host: sorted(set(map(len, by_prefix)), reverse=True)
+            for host, by_prefix in self._by_host.items()
         }
-        self._by_id = {each.route: each for each in routes}
+        self._by_id = {item.route: item for item in routes}
 
     def __len__(self) -> int:
         """Return the number of routes."""
         return len(self._by_id)
 
     def get(self, route: ids.RouteId) -> Route | None:
-        """Return a route by its name."""
+        """Return the route with this identifier."""
         return self._by_id.get(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path``."""
-        of_host = self._by_host.get(host)
-        if of_host is None:
+        """Return the host's route with the longest matching path prefix."""
+        by_prefix = self._by_host.get(host)
+        if by_prefix is None:
             return None
-        for length in self._lengths[host]:
-            found = of_host.get(path[:length])
+        for length in self._prefix_lengths[host]:
+            found = by_prefix.get(path[:length])
             if found is not None:
                 return found
         return None
--- a/sardineproxy/version/versions.py
+++ b/sardineproxy/version/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the whole set of contracts, and the changes between them."""
+"""Versions of the set of all contracts, and the changes between them."""
 
 import dataclasses
 import hashlib
@@ -11,8 +11,8 @@
 from sardineproxy import ids
 from sardineproxy.version import contracts
 
-#: Canonical text of each contract. Digests are taken over these texts, so that
-#: a process can follow versions whose contracts it cannot parse.
+#: Canonical JSON text of each contract. Digests are computed from these texts,
+#: so that a process can follow versions whose contracts it cannot parse.
 Documents = Mapping[ids.CustomerId, str]
 
 
@@ -22,7 +22,7 @@
 
     number: ids.VersionNumber
 
-    #: SHA-256 over the canonical form of all contracts, hexadecimal.
+    #: SHA-256 of the canonical texts of all contracts, hexadecimal.
     digest: str
     contracts: Mapping[ids.CustomerId, contracts.Contract]
 
@@ -44,13 +44,13 @@
     digest: str
     operator: str
 
-    #: Random name of the run of ``apply`` that made the version.
+    #: Random identifier of the ``apply`` command that created the version.
     apply_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """What leads from the version before to the version of ``head``."""
+    """Difference between the previous version and that of ``head``."""
 
     head: Head
     documents: Documents
@@ -58,7 +58,7 @@
 
 
 def canonical_json(document: Mapping[str, Any]) -> str:
-    """Return the one text of a JSON object that digests are taken over."""
+    """Return the canonical JSON text that digests are computed from."""
     return json.dumps(
         document, sort_keys=True, separators=(',', ':'), ensure_ascii=True
     )
@@ -72,24 +72,24 @@
 
 
 def encode_contracts(
-    members: Iterable[contracts.Contract],
+    parsed_contracts: Iterable[contracts.Contract],
 ) -> dict[ids.CustomerId, str]:
     """Return the canonical texts of contracts by customer."""
     return {
         ids.CustomerId(contract.customer): encode_contract(contract)
-        for contract in members
+        for contract in parsed_contracts
     }
 
 
 def compute_digest(documents: Documents) -> str:
-    """Return the SHA-256 over all texts in the order of customers."""
+    """Return the SHA-256 of all texts, sorted by customer."""
     digest = hashlib.sha256()
     for customer in sorted(documents):
         digest.update(f'{customer} {documents[customer]}\n'.encode())
     return digest.hexdigest()
 
 
-#: What the first change is applied to.
+#: Version 0, to which the first change is applied.
 EMPTY = Snapshot(
     number=ids.VersionNumber(0), digest=compute_digest({}), documents={}
 )
@@ -108,7 +108,7 @@
 
 
 def apply(snapshot: Snapshot, change: Change) -> result.Result[Snapshot, str]:
-    """Return the next version, or why the change does not lead to it."""
+    """Return the next version; Err if the change does not result in it."""
     head = change.head
     if head.number != snapshot.number + 1:
         return result.Err(
@@ -120,8 +120,8 @@
     digest = compute_digest(documents)
     if digest != head.digest:
         return result.Err(
-            f'change {head.number} leads to digest {digest}, '
-            f'but states {head.digest}'
+            f'change {head.number} results in digest {digest}, '
+            f'but declares {head.digest}'
         )
     return result.Ok(
         Snapshot(number=head.number, digest=digest, documents=documents)
@@ -129,21 +129,21 @@
 
 
 def parse(snapshot: Snapshot) -> result.Result[Version, str]:
-    """Return the version with parsed contracts, or the first fault found."""
+    """Return the version with parsed contracts, or the first error."""
     parsed: dict[ids.CustomerId, contracts.Contract] = {}
     for customer, document in snapshot.documents.items():
         try:
             contract = contracts.Contract.model_validate_json(document)
         except pydantic.ValidationError as exc:
-            return result.Err(_first_fault(customer, exc))
+            return result.Err(_first_error(customer, exc))
         if contract.customer != customer:
             return result.Err(
                 f'contract of {customer} names customer {contract.customer}'
             )
         parsed[customer] = contract
-    clashes = contracts.find_duplicates(parsed)
-    if clashes:
-        return result.Err(clashes[0])
+    duplicates = contracts.find_duplicates(parsed)
+    if duplicates:
+        return result.Err(duplicates[0])
     return result.Ok(
         Version(
             number=snapshot.number, digest=snapshot.digest, contracts=parsed
@@ -151,7 +151,7 @@
     )
 
 
-def _first_fault(customer: str, exc: pydantic.ValidationError) -> str:
+def _first_error(customer: str, exc: pydantic.ValidationError) -> str:
     error = exc.errors(include_input=False)[0]
-    place = '.'.join(str(part) for part in error['loc'])
-    return f'contract of {customer}: {place}: {error["msg"]}'
+    location = '.'.join(str(part) for part in error['loc'])
+    return f'contract of {customer}: {location}: {error["msg"]}'
--- a/tests/version/samples.py
+++ b/tests/version/samples.py
@@ -1,4 +1,4 @@
-"""Contracts, versions and followers for tests."""
+"""Contracts, versions, followers and a platform client for tests."""
 
 import asyncio
 import hashlib
@@ -29,25 +29,28 @@
 
 
 def documents(**weights):
-    """Return the canonical texts of contracts with these weights."""
+    """Return the canonical texts of contracts with the weights by customer."""
     return versions.encode_contracts(
         contracts.Contract(**contract_fields(name, weight=weight))
         for name, weight in weights.items()
     )
 
 
-def make_chain(*contents):
-    """Return the snapshots and the changes that lead through ``contents``."""
+def make_chain(*documents_by_version):
+    """Return the snapshots and changes of versions with these documents.
+
+    The first snapshot is the empty version 0.
+    """
     snapshots, changes = [versions.EMPTY], []
-    for number, wanted in enumerate(contents, start=1):
+    for number, version_documents in enumerate(documents_by_version, start=1):
         head = versions.Head(
             number=number,
-            digest=versions.compute_digest(wanted),
+            digest=versions.compute_digest(version_documents),
             operator='ann',
             apply_id='0f',
         )
         changed, removed = versions.diff_documents(
-            snapshots[-1].documents, wanted
+            snapshots[-1].documents, version_documents
         )
         change = versions.Change(head=head, documents=changed, removed=removed)
         changes.append(change)
@@ -65,21 +68,21 @@
     )
 
 
-def with_client(address, act):
-    """Run ``await act(client)`` with a client of the platform."""
+def with_client(address, action):
+    """Run ``action`` with a client of the platform."""
 
     async def run():
         async with aiohttp.ClientSession() as session:
             client = platform_http.HttpPlatform(
                 session=session, host=address.host, port=address.port
             )
-            return await act(client)
+            return await action(client)
 
     return asyncio.run(run())
 
 
 def with_platform(test):
-    """Run a test with a stand-in platform and a client of it."""
+    """Decorator that runs a test with a stand-in platform and its client."""
 
     def run(self):
         with platform_thread.running() as running:
@@ -90,7 +93,7 @@
 
 
 async def apply(client, base, operator='ann', **weights):
-    """Make version ``base + 1`` with these weights."""
+    """Apply a version ``base + 1`` with these weights."""
     wanted = applying.Wanted(
         documents=documents(**weights),
         base=base,
--- a/tests/version/test_fetch_policy.py
+++ b/tests/version/test_fetch_policy.py
@@ -1,17 +1,17 @@
-"""When other VMs are asked for a version."""
+"""Tests of the policy for requesting versions from other entry VMs."""
 
 import testtools
 
 from sardineproxy.version import fetch_policy
 
 
-def ask(
-    tested: fetch_policy.FetchPolicy,
+def should_fetch(
+    policy: fetch_policy.FetchPolicy,
     at: float,
     number: int = 2,
     **changes: bool,
 ) -> bool:
-    return tested.should_fetch(
+    return policy.should_fetch(
         number,
         active_number=1,
         store_available=changes.get('store_available', True),
@@ -19,42 +19,44 @@
     )
 
 
-class TestAsking(testtools.TestCase):
-    def test_store_is_awaited_first(self) -> None:
-        """Guards against a version that all VMs fetch from each other.
+class TestShouldFetch(testtools.TestCase):
+    def test_waits_for_the_store_first(self) -> None:
+        """Guards against a large version sent on all links at once.
 
-        In trouble-1 of cyd-ysgythru-grown a version of 430 KB came over each
-        link; the links were silent for so long that all were closed.
+        Each VM requested a version of 430 KB from every peer. The transfers
+        held up other messages until all links were closed as silent.
         """
-        tested = fetch_policy.FetchPolicy()
-        self.assertFalse(ask(tested, 0))
-        self.assertFalse(ask(tested, 0.2))
-        self.assertTrue(ask(tested, 0.31))
-
-    def test_one_vm_is_asked_at_a_time(self) -> None:
-        """Guards against several large answers on one network link."""
-        tested = fetch_policy.FetchPolicy()
-        self.assertTrue(ask(tested, 0, store_available=False))
-        self.assertFalse(ask(tested, 0.1, store_available=False))
-        self.assertTrue(ask(tested, 0.8, store_available=False))
-
-    def test_without_the_store_the_first_vm_is_asked_at_once(self) -> None:
-        """Guards against a version that is late where the store is away."""
+        policy = fetch_policy.FetchPolicy()
+        self.assertFalse(should_fetch(policy, 0))
+        self.assertFalse(should_fetch(policy, 0.2))
+        self.assertTrue(should_fetch(policy, 0.31))
+
+    def test_requests_from_one_vm_at_a_time(self) -> None:
+        """Guards against several large responses on one network link."""
+        policy = fetch_policy.FetchPolicy()
+        self.assertTrue(should_fetch(policy, 0, store_available=False))
+        self.assertFalse(should_fetch(policy, 0.1, store_available=False))
+        self.assertTrue(should_fetch(policy, 0.8, store_available=False))
+
+    def test_requests_at_once_if_the_store_is_unavailable(self) -> None:
+        """Guards against a needless delay while the store is unavailable."""
         self.assertTrue(
-            ask(fetch_policy.FetchPolicy(), 0, store_available=False)
+            should_fetch(fetch_policy.FetchPolicy(), 0, store_available=False)
         )
 
-    def test_version_in_force_is_not_asked_for(self) -> None:
-        """Guards against answers that nobody needs."""
+    def test_does_not_request_the_active_version(self) -> None:
+        """Guards against responses that are not needed."""
         self.assertFalse(
-            ask(fetch_policy.FetchPolicy(), 0, 1, store_available=False)
+            should_fetch(
+                fetch_policy.FetchPolicy(), 0, 1, store_available=False
+            )
         )
 
-    def test_each_new_version_is_awaited_anew(self) -> None:
-        """Guards against questions about versions that just came."""
-        tested = fetch_policy.FetchPolicy()
-        self.assertFalse(ask(tested, 0))
-        later = tested.should_fetch(
+    def test_waits_for_the_store_again_for_each_version(self) -> None:
+        """Guards against requests for versions that were just announced."""
+        policy = fetch_policy.FetchPolicy()
+        self.assertFalse(should_fetch(policy, 0))
+        later = policy.should_fetch(
             3, active_number=2, store_available=True, now=1010
         )
         self.assertFalse(later)
--- a/tests/version/test_polling.py
+++ b/tests/version/test_polling.py
@@ -1,4 +1,4 @@
-"""Waits stay short enough for the promise of 8 s."""
+"""Tests that waits between polls allow a version to be active within 8 s."""
 
 import asyncio
 import random
@@ -9,22 +9,22 @@
 
 from sardineproxy.version import polling
 
-STEADY = polling.Config(jitter=0)
+NO_JITTER = polling.Config(jitter=0)
 
 
 class ScheduleTest(testtools.TestCase):
-    """Failures lengthen waits up to a bound; a success ends that."""
+    """Waits grow with failures up to a limit; a success resets them."""
 
     def test_backs_off_and_recovers(self):
-        schedule = polling.PollSchedule(rng=random.Random(1), cfg=STEADY)
+        schedule = polling.PollSchedule(rng=random.Random(1), cfg=NO_JITTER)
         waits = []
-        down = result.Err('down')
-        for outcome in (down, down, down, down, down, result.Ok(None)):
+        error = result.Err('down')
+        for outcome in (error, error, error, error, error, result.Ok(None)):
             asyncio.run(schedule.run_with_timeout(asyncio.sleep(0, outcome)))
             waits.append(schedule.next_wait_s())
         self.assertThat(waits, matchers.Equals([0.5, 1, 2, 4, 4, 2]))
 
-    def test_jitter_spreads_waits(self):
+    def test_jitter_varies_waits(self):
         schedule = polling.PollSchedule(
             rng=random.Random(1), cfg=polling.Config()
         )
--- a/tests/version/test_routes.py
+++ b/tests/version/test_routes.py
@@ -1,4 +1,4 @@
-"""The choice of a route by host and path."""
+"""Tests of finding a route by host and path."""
 
 import hypothesis
 import testtools
@@ -36,16 +36,17 @@
     )
     @examples.settings(300)
     def test_longest_prefix_of_the_host_is_found(
-        self, pairs: list[tuple[str, str]], host: str, path: str
+        self, hosts_and_prefixes: list[tuple[str, str]], host: str, path: str
     ) -> None:
-        """Guards against an index that finds another route than a search."""
+        """Guards against an index that differs from a linear search."""
         table = routes.RoutingTable(
-            number=1, routes=tuple(make_route(*pair) for pair in pairs)
+            number=1,
+            routes=tuple(make_route(*pair) for pair in hosts_and_prefixes),
         )
         matching = [
             prefix
-            for its_host, prefix in pairs
-            if its_host == host and path.startswith(prefix)
+            for route_host, prefix in hosts_and_prefixes
+            if route_host == host and path.startswith(prefix)
         ]
         found = table.find(host, path)
         expected = max(matching, key=len, default=None)
