--- a/sardineproxy/operator/applying.py
+++ b/sardineproxy/operator/applying.py
@@ -141,7 +141,7 @@
         return result.Ok(None)
     if snapshot.number < head.number:
         return _invalid_data(
-            f'cannot read version {head.number}: {fetched.ok_value.fault}'
+            f'cannot read version {head.number}: {fetched.ok_value.error}'
         )
     return _verify_digest(head, revision, snapshot)
 
