--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -39,13 +39,13 @@
         agents: Mapping[ids.WorkerId, agent.Agent],
         backlog: backlog.Backlog,
         cfg: times.ShardTiming,
-        opened_at: float,
+        leader_since: float,
     ) -> None:
-        """Start a takeover; ``opened_at`` is local time, in seconds."""
+        """Start a takeover; ``leader_since`` is local time, in seconds."""
         self._agents = agents
         self._backlog = backlog
         self._cfg = cfg
-        self._opened_at = opened_at
+        self._leader_since = leader_since
         self._deferred: list[DeferredSubmit] = []
 
         #: True once all workers are listed that the previous leader may have
@@ -64,9 +64,9 @@
         if self.are_all_runs_reported():
             return False
         if message.stored:
-            all_ended_at = self._opened_at + self._cfg.former_runs_s
+            all_ended_at = self._leader_since + self._cfg.former_runs_s
             return not self.is_worker_list_complete or now < all_ended_at
-        return now < self._opened_at + self._cfg.sync_s
+        return now < self._leader_since + self._cfg.sync_s
 
     def are_all_runs_reported(self) -> bool:
         """Return whether all workers have reported to this leader."""
@@ -96,14 +96,17 @@
         ready: list[DeferredSubmit] = []
         remaining: list[DeferredSubmit] = []
         for deferred in self._deferred:
-            waits = self.must_defer(deferred.submit, now)
-            (remaining if waits else ready).append(deferred)
+            must_wait = self.must_defer(deferred.submit, now)
+            (remaining if must_wait else ready).append(deferred)
         self._deferred = remaining
         return ready
 
     def stop_unresumed(self, now: float) -> None:
         """Stop the runs that no coordinator has resumed in time."""
-        if self.accepts_resumes and now >= self._opened_at + self._cfg.adopt_s:
+        if (
+            self.accepts_resumes
+            and now >= self._leader_since + self._cfg.adopt_s
+        ):
             self.accepts_resumes = False
             for worker_agent in self._agents.values():
                 worker_agent.stop_unrequested()
@@ -118,8 +121,8 @@
         started.
         """
         missing = {
-            index: number
-            for index, number in tasks.items()
+            index: run_number
+            for index, run_number in tasks.items()
             if not self._adopt(batch, index, now)
         }
         may_start_missing = batch.stored or self.are_all_runs_reported()
@@ -135,9 +138,9 @@
         if may_start_missing:
             return missing
         # The tasks may be running on a worker that has not reported.
-        for index, number in missing.items():
+        for index, run_number in missing.items():
             self._backlog.send_result(
-                batch, index, number, jobs.TaskResult.LATE
+                batch, index, run_number, jobs.TaskResult.LATE
             )
         return {}
 
@@ -147,7 +150,9 @@
         for worker_agent in self._agents.values():
             if name in worker_agent.ledger.unrequested:
                 run = self._adopt_run(worker_agent, batch, index, now)
-                batch.tasks[index] = runs.Task(number=run.number + 1, run=run)
+                batch.tasks[index] = runs.Task(
+                    next_run_number=run.number + 1, run=run
+                )
                 batch.started = True
                 return True
         finished_run = self._find_done_run(name)
