--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -25,7 +25,7 @@
 
 
 class FakeClient:
-    """Endpoints that respond once ``may_respond`` is set, or are unreachable."""
+    """Endpoints that are unreachable, or respond after ``may_respond``."""
 
     def __init__(self) -> None:
         self.started: list[tuple[str, str]] = []
