--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -38,22 +38,22 @@
         default_factory=fair_queue.Config
     )
 
-    #: Delay in seconds before customers that could use none of the free
-    #: slots are tried again.
+    #: Delay in seconds before blocked customers are tried again. These could
+    #: use none of the free slots.
     blocked_retry_s: float = 0.05
 
     #: Shortest interval between items of the backlog stream, in seconds.
     backlog_interval_s: float = 0.001
 
-    #: Interval of the straggler search and of the decay of health
-    #: estimates, in seconds.
+    #: Interval at which stragglers are detected and health estimates decay,
+    #: in seconds.
     housekeeping_s: float = 0.25
 
-    #: Unreachable endpoints that a task tries in a row before it backs off.
-    refusals_before_pause: int = 3
+    #: Endpoints in a row that are unreachable for a task before it backs off.
+    max_unreachable_in_row: int = 3
 
-    #: Mean of this back-off, in seconds.
-    refusal_pause_s: float = 0.2
+    #: Mean length of this back-off, in seconds.
+    unreachable_back_off_s: float = 0.2
 
 
 class Dispatcher:
@@ -72,7 +72,7 @@
         metrics: metrics.Metrics,
         cfg: Config | None = None,
     ) -> None:
-        """Create a dispatcher that follows the VM lists of ``directory``."""
+        """Create a dispatcher for the endpoints listed in ``directory``."""
         self._clock = clock
         self._rng = rng
         self._client = client
@@ -160,7 +160,7 @@
             )
         )
 
-    def wake(self) -> None:
+    def start_waiting_tasks(self) -> None:
         """Start waiting tasks after a change of the slot table."""
         if self._queue.waiting:
             now = self._clock.now()
@@ -199,7 +199,7 @@
 
     def _on_listing(self, vm_list: platform.VmList) -> None:
         self._matcher.router.set_listing(vm_list)
-        self.wake()
+        self.start_waiting_tasks()
 
     def _prepare_wait(self, entry: flows.QueueEntry, now: float) -> None:
         entry.waiter = asyncio.get_running_loop().create_future()
@@ -268,9 +268,9 @@
         )
         if isinstance(outcome, work.Refused):
             self._queue.undo_start(entry)
-            may_retry = not (self._closed or entry.cancelled)
+            may_requeue = not (self._closed or entry.cancelled)
             if (
-                may_retry
+                may_requeue
                 and _is_unreachable(outcome)
                 and now < entry.task.deadline
             ):
@@ -281,39 +281,37 @@
             self._queue.finish(entry, run_s=run_s)
         self._matcher.release(placement, now=now)
         if len(self._health.ranks) > in_service_before:
-            self.wake()
+            self.start_waiting_tasks()
         elif self._queue.waiting:
             self._report_backlog(now)
 
     def _requeue(
         self, entry: flows.QueueEntry, endpoint: ids.EndpointId, now: float
     ) -> None:
-        """Return a task whose endpoint was unreachable to the queue's front.
+        """Requeue a task at the front after its endpoint was unreachable.
 
-        No part of it was sent, so it may be sent elsewhere.
+        No byte of the task was sent, so another endpoint may run it.
         """
         self._metrics.count('dispatch_put_back_total')
         self._prepare_wait(entry, now)
         entry.unreached_attempts += 1
-        if entry.unreached_attempts % self._cfg.refusals_before_pause:
+        if entry.unreached_attempts % self._cfg.max_unreachable_in_row:
             entry.unreachable |= {endpoint}
             self._queue.enqueue(entry, at_front=True)
             return
         # Several endpoints in a row are unreachable. Back off, because trying
-        # all the others at once would cause a storm of connection attempts.
+        # all others at once would cause a burst of connection attempts.
         entry.unreachable = NOTHING_EXCLUDED
         self._queue.pause(entry)
-        refusal_pause_s = self._cfg.refusal_pause_s * self._rng.uniform(
+        back_off_s = self._cfg.unreachable_back_off_s * self._rng.uniform(
             0.5, 1.5
         )
-        asyncio.get_running_loop().call_later(
-            refusal_pause_s, self._resume, entry
-        )
+        asyncio.get_running_loop().call_later(back_off_s, self._resume, entry)
 
     def _resume(self, entry: flows.QueueEntry) -> None:
         if entry.state is flows.EntryState.WAITING:
             self._queue.enqueue(entry, at_front=True)
-            self.wake()
+            self.start_waiting_tasks()
 
     def _refuse(
         self, entry: flows.QueueEntry, problem: problems.Problem
@@ -337,7 +335,7 @@
             self._next_housekeeping = now + self._cfg.housekeeping_s
             self._matcher.report_stragglers(now=now)
             self._health.decay_unused(now=now)
-        self.wake()
+        self.start_waiting_tasks()
         if not self._queue.waiting and not self._matcher.running:
             return
         for fire_at in (
@@ -365,7 +363,7 @@
 def _final_refusal(
     entry: flows.QueueEntry, *, closed: bool
 ) -> problems.Problem:
-    """Return why a task is not retried after an unreachable endpoint."""
+    """Return the problem of a task that is not requeued."""
     if entry.cancelled:
         return _cancelled()
     return _shutting_down() if closed else endpoint_conn.deadline_passed()
