--- a/sardineproxy/process/membership/table_follower.py
+++ b/sardineproxy/process/membership/table_follower.py
@@ -81,11 +81,11 @@
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            answer = await self._fetch_changes()
-            self._record_outcome(answer)
-            if isinstance(answer, result.Ok):
-                self._apply(answer.ok_value)
-            await self._pause(answer)
+            response = await self._fetch_changes()
+            self._record_outcome(response)
+            if isinstance(response, result.Ok):
+                self._apply(response.ok_value)
+            await self._pause(response)
 
     async def _fetch_changes(
         self,
@@ -95,34 +95,34 @@
             return await self._fetch_all()
         # After a failure, do not long-poll: an immediate response shows that
         # the store is available again.
-        answer = await self._store.changes(
+        response = await self._store.changes(
             self._table,
             after=self._revision,
             wait_s=0 if self._failures else self._timing().wait_s,
         )
-        if isinstance(answer, result.Err):
-            if answer.err_value.kind is store.ErrorKind.HISTORY_LOST:
+        if isinstance(response, result.Err):
+            if response.err_value.kind is store.ErrorKind.HISTORY_LOST:
                 _LOG.info(
                     'Change history is not available; reading the whole table.',
                     extra={'table': self._table},
                 )
                 return await self._fetch_all()
-        return answer
+        return response
 
     async def _fetch_all(self) -> result.Result[store.Rows, store.StoreError]:
         """Read the whole table; report absent rows as removed."""
-        answer = await self._store.read(self._table)
-        if isinstance(answer, result.Err):
-            return answer
-        present = {row.key for row in answer.ok_value.rows}
+        response = await self._store.read(self._table)
+        if isinstance(response, result.Err):
+            return response
+        present = {row.key for row in response.ok_value.rows}
         removed = tuple(
-            store.Row(key=key, revision=answer.ok_value.revision, body=None)
+            store.Row(key=key, revision=response.ok_value.revision, body=None)
             for key in self._rows
             if key not in present
         )
         return result.Ok(
             dataclasses.replace(
-                answer.ok_value, rows=answer.ok_value.rows + removed
+                response.ok_value, rows=response.ok_value.rows + removed
             )
         )
 
@@ -138,11 +138,11 @@
             self._on_rows(changed.rows)
 
     def _record_outcome(
-        self, answer: result.Result[store.Rows, store.StoreError]
+        self, response: result.Result[store.Rows, store.StoreError]
     ) -> None:
         """Update the health state; log the start and the end of an outage."""
         now = self._clock.now()
-        if isinstance(answer, result.Ok):
+        if isinstance(response, result.Ok):
             self._failures = 0
             self.last_success_at = now
             if self.healthy_since is None:
@@ -165,15 +165,15 @@
                 'Store unavailable.',
                 extra={
                     'table': self._table,
-                    'cause': answer.err_value.detail,
+                    'cause': response.err_value.detail,
                 },
             )
 
     async def _pause(
-        self, answer: result.Result[store.Rows, store.StoreError]
+        self, response: result.Result[store.Rows, store.StoreError]
     ) -> None:
         pause_s = self._timing().pause_s
-        if isinstance(answer, result.Err):
+        if isinstance(response, result.Err):
             max_pause_s = min(
                 BACK_OFF_MIN_S * 2 ** min(self._failures, 8), BACK_OFF_MAX_S
             )
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -17,7 +17,8 @@
 #: The same delay for a shard that has had a leader before, in seconds.
 CLAIM_DELAY_S = 0.05
 
-#: Additional delay of every further candidate, in seconds.
+#: Additional delay of every further candidate, in seconds. The candidates
+#: are the reachable VMs of the shard's zone, or all reachable VMs without them.
 CANDIDATE_STEP_S = 0.25
 
 #: Time without a leader, but with reachable workers, after which VMs of other
@@ -132,18 +133,18 @@
             revision=previous.revision if previous else 0,
         )
         write = registry.claim_write(claim)
-        answer = await self._store.transact(
+        response = await self._store.transact(
             conditions=(
                 store.Condition(key=write.key, revision=claim.revision),
             ),
             writes=(write,),
         )
-        if isinstance(answer, result.Ok):
+        if isinstance(response, result.Ok):
             self._registry.apply(
                 (
                     store.Row(
                         key=write.key,
-                        revision=answer.ok_value,
+                        revision=response.ok_value,
                         body=write.body,
                     ),
                 )
@@ -158,13 +159,13 @@
             shard,
             claim.epoch,
             0,
-            answer.err_value.detail,
+            response.err_value.detail,
         )
-        if answer.err_value.kind is not store.ErrorKind.CONFLICT:
+        if response.err_value.kind is not store.ErrorKind.CONFLICT:
             self._claim_as_successor(shard, previous)
 
     def successors(self, shard: ids.ShardId) -> tuple[registry.ProcessId, ...]:
-        """Return the successors of this process as leader, in order."""
+        """Return the successors that a claim by this process names, in order."""
         return tuple(
             (member.vm, member.incarnation)
             for member in self._candidates(shard)
@@ -221,10 +222,10 @@
         return now - since >= REFRESH_DELAY_S
 
     def _may_lead_for(self, vm: ids.VmId, other_vm: ids.VmId) -> bool:
-        """Return whether a VM leads any shard, or may soon lead the other VM's.
+        """Return whether a VM leads a shard, or may soon lead the other VM's.
 
-        It may soon do so if it is among the first candidates of the other
-        VM's zone.
+        The latter holds if it is among the first candidates of the other VM's
+        zone.
         """
         if any(
             claim.owner[0] == vm for claim in self._registry.claims.values()
--- a/sardineproxy/process/node/feeds.py
+++ b/sardineproxy/process/node/feeds.py
@@ -15,7 +15,7 @@
 )
 
 #: Long-poll timeout for the configuration, as a fraction of the time within
-#: which a new version must be in force. With one half, a version is in time
+#: which a new version must be active. With one half, a version is in time
 #: even if one response is lost.
 CONFIG_POLL_WAIT_SHARE = 0.5
 
@@ -72,7 +72,7 @@
     ) -> None:
         """Create the followers.
 
-        A new configuration must be in force within ``max_config_delay_s``
+        A new configuration must be active within ``max_config_delay_s``
         seconds.
         """
         self._store = source
@@ -152,15 +152,15 @@
     async def _register(self, member: registry.Member) -> None:
         """Write this process's member row, with retries until it succeeds."""
         while True:
-            answer = await self._store.transact(
+            response = await self._store.transact(
                 conditions=(), writes=(registry.member_write(member),)
             )
-            if isinstance(answer, result.Ok):
+            if isinstance(response, result.Ok):
                 _LOG.info('Registered.', extra={'vm': member.vm})
                 return
             _LOG.warning(
                 'Registration failed; retrying.',
-                extra={'cause': answer.err_value.detail},
+                extra={'cause': response.err_value.detail},
             )
             await asyncio.sleep(
                 self._rng.uniform(REGISTER_RETRY_MIN_S, REGISTER_RETRY_MAX_S)
--- a/sardineproxy/process/node/job_intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -6,8 +6,8 @@
 from sardineproxy.request import active_jobs, coordinator, jobs, open_tasks
 from sardineproxy.version import active_config, routes
 
-#: Retry delay that a process names in a refusal while it shuts down, in
-#: seconds. It is short, as other VMs can accept the job immediately.
+#: Suggested retry delay of a refusal during shutdown, in seconds. It is short,
+#: as other VMs can accept the job immediately.
 DRAINING_RETRY_S = 1.0
 
 _LOG = logs.get_logger('node')
@@ -73,14 +73,14 @@
     ) -> job_manager.JobReply:
         """Store a job in its home shard; wait at most ``wait_s`` seconds."""
         now = self._clock.now()
-        answer = await self._job_service.store(
+        reply = await self._job_service.store(
             records.StoredJob(
                 job=job, route=route, accepted_at=self._clock.wall()
             ),
             wait_s,
         )
-        self._record_event('Job handed in.', job.job_id, answer, now)
-        return answer
+        self._record_event('Job handed in.', job.job_id, reply, now)
+        return reply
 
     async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
@@ -90,16 +90,16 @@
         Waits at most ``wait_s`` seconds for the response.
         """
         now = self._clock.now()
-        answer = await self._job_service.query(job, wait_s, cancel=cancel)
+        reply = await self._job_service.query(job, wait_s, cancel=cancel)
         event = 'Job cancelled.' if cancel else 'State asked.'
-        self._record_event(event, job, answer, now)
-        return answer
+        self._record_event(event, job, reply, now)
+        return reply
 
     def _record_event(
         self,
         event: str,
         job: ids.JobId,
-        answer: job_manager.JobReply,
+        reply: job_manager.JobReply,
         started_at: float,
     ) -> None:
         """Log a client's call about a stored job, and count it.
@@ -107,13 +107,13 @@
         ``event`` is the log message and also a label of the metric.
         """
         self._metrics.count(
-            'stored_job_questions_total', question=event, answer=answer.value
+            'stored_job_questions_total', question=event, answer=reply.value
         )
         _LOG.info(
             event,
             extra={
                 'job': job,
-                'answer': answer.value,
+                'answer': reply.value,
                 'home': self._job_service.home_shard(job),
                 'version': self._versions.number,
                 'took_s': round(self._clock.now() - started_at, 4),
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -160,7 +160,7 @@
             leader.link_lost(lost, now)
 
     def mark_all_unconfirmed(self, cause: str) -> None:
-        """Mark all workers unconfirmed: no orders until their next report."""
+        """Start no runs on any worker until it has sent a new report."""
         for leader in self.shards.values():
             leader.mark_all_unconfirmed(cause)
 
@@ -295,14 +295,15 @@
     async def _may_claim(self, shard: ids.ShardId) -> bool:
         """Return whether another zone's shard may be claimed.
 
-        If most of its workers are unreachable, this VM rather than the
+        Unless most of its workers are reachable, this VM rather than the
         shard's leader may be cut off from the network.
         """
         self._claimer.postpone(shard, self._dependencies.clock.now())
         probed = self._context.workers_of(shard)[:PROBE_SAMPLE_SIZE]
-        answers = await asyncio.gather(*map(self._probe, probed))
+        responses = await asyncio.gather(*map(self._probe, probed))
         reached = sum(
-            not isinstance(answer, workers.Unanswered) for answer in answers
+            not isinstance(response, workers.Unanswered)
+            for response in responses
         )
         _LOG.info(
             'Probed the workers of a shard without a leader.',
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -290,7 +290,7 @@
         return self.leader_link(self.job_service.home_shard(job))
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
-        """Return a route of the version in force, None if it was removed."""
+        """Return a route of the active version, None if it was removed."""
         table = self.versions.table
         return None if table is None else table.get(route)
 
--- a/sardineproxy/process/node/peer_sync.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -93,7 +93,7 @@
 def pack_version(
     versions: active_config.ActiveConfig,
 ) -> messages.VersionResponse:
-    """Compress the version in force; similar routes compress well."""
+    """Compress the active version; similar routes compress well."""
     return messages.VersionResponse(
         number=versions.number, compressed_body=zlib.compress(versions.body)
     )
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -169,7 +169,7 @@
 
     @property
     def routing_table(self) -> routes.RoutingTable | None:
-        """Return the routes of the version in force."""
+        """Return the routes of the active version."""
         return self._node.versions.table
 
     @property
--- a/sardineproxy/process/shards/agent.py
+++ b/sardineproxy/process/shards/agent.py
@@ -35,10 +35,10 @@
     """Receives the events of one worker and its runs."""
 
     def capacity_freed(self) -> None:
-        """Handle that capacity became available."""
+        """Handle newly available capacity."""
 
     def superseded(self, agent: 'Agent') -> None:
-        """Handle that the worker has seen the fence of a newer leader."""
+        """Handle a worker that has seen the fence of a newer leader."""
 
     def unrequested_runs(
         self, agent: 'Agent', unrequested: list[workers.ActiveRun]
@@ -136,7 +136,7 @@
 
     @property
     def is_unresponsive(self) -> bool:
-        """Return whether the worker did not answer its last call."""
+        """Return whether the worker currently fails to respond to calls."""
         return self._poller.unresponsive_since is not None
 
     def is_removable(self, now: float) -> bool:
@@ -274,7 +274,7 @@
         """Handle an applied report.
 
         ``unrequested`` are runs that this process did not start.
-        ``is_newly_confirmed`` is true if the worker's state became known.
+        ``is_newly_confirmed`` is true if it confirmed the worker's state.
         """
         if unrequested:
             self._events.unrequested_runs(self, unrequested)
@@ -308,7 +308,7 @@
             self._handle_not_started(run, 'stopped before its start was sent')
             return
         run.is_sent = True
-        answer = await self._api.start(
+        response = await self._api.start(
             self.worker,
             workers.Order(
                 task=run.task,
@@ -323,18 +323,18 @@
         self._metrics.observe('worker_order_seconds', now - run.ordered_at)
         if self.ledger.runs.get(run.task) is not run:
             return
-        match answer:
+        match response:
             case workers.Accepted():
                 run.mark_running(now)
             case workers.Refused():
-                self._handle_refusal(run, answer, now)
+                self._handle_refusal(run, response, now)
             case workers.Unanswered(unsent=True):
-                self._handle_not_started(run, answer.cause)
-                self._poller.mark_unresponsive(answer.cause, now)
+                self._handle_not_started(run, response.cause)
+                self._poller.mark_unresponsive(response.cause, now)
             case workers.Unanswered():
                 self._mark_run_unconfirmed(run)
                 self.mark_unconfirmed(
-                    f'start of {run.task} not answered: {answer.cause}'
+                    f'start of {run.task} not answered: {response.cause}'
                 )
 
     def _mark_run_unconfirmed(self, run: runs.Run) -> None:
@@ -384,14 +384,14 @@
         run_number: int,
         run: runs.Run | None = None,
     ) -> None:
-        answer = await self._api.stop(
+        response = await self._api.stop(
             self.worker,
             task=task,
             run=run_number,
             fence=self.fence,
             timeout_s=self._cfg.order_timeout_s,
         )
-        match answer:
+        match response:
             case workers.Accepted() if run is not None:
                 run.stop_accepted_at = self._clock.now()
             case workers.Unanswered():
@@ -399,7 +399,7 @@
                     # The stop is sent again as soon as the run is listed.
                     run.stop_sent_at = 0
                 self.mark_unconfirmed(
-                    f'stop of {task} not answered: {answer.cause}'
+                    f'stop of {task} not answered: {response.cause}'
                 )
             case _:
                 pass
--- a/sardineproxy/process/shards/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -12,8 +12,9 @@
 EJECTION_MIN_S = 0.5
 EJECTION_MAX_S = 4.0
 
-#: Weight of one run time in the speed estimate. Clients' estimates are off by
-#: a factor of 1.5 (standard deviation), so that a single one proves little.
+#: Smallest weight of one run time in the speed estimate; it is larger for the
+#: first runs. Clients' estimates are off by a factor of 1.5 (standard
+#: deviation), so that a single one proves little.
 SPEED_WEIGHT = 0.05
 
 #: Number of run times that weigh as much as the prior speed of 1.
@@ -23,11 +24,12 @@
 #: of a slow worker: three standard deviations of the estimates' error.
 SLOW_FACTOR = 3.5
 
-#: Weight of such a run in the speed estimate.
+#: Weight of such a run in the speed estimate, and of one that is faster than
+#: the estimated speed by the same factor.
 SLOW_WEIGHT = 0.5
 
-#: Progress from which a run's total time can be projected, in percent, and
-#: the shortest elapsed time, in seconds.
+#: Bounds for the projection of a run's total time: less progress counts as
+#: this much, in percent, and the run must have taken this long, in seconds.
 PROJECTION_MIN_PERCENT = 2
 PROJECTION_MIN_RUN_S = 0.1
 
--- a/sardineproxy/process/shards/lease.py
+++ b/sardineproxy/process/shards/lease.py
@@ -49,5 +49,5 @@
         return self._clock_ms + int((elapsed_s + self._cfg.lease_s) * _MS_PER_S)
 
     def has_expired(self, now: float) -> bool:
-        """Return whether the lease has expired on the worker for certain."""
+        """Return whether the lease has certainly expired on the worker."""
         return now >= self._expires_at
--- a/sardineproxy/process/shards/placement.py
+++ b/sardineproxy/process/shards/placement.py
@@ -81,7 +81,7 @@
 
 
 def count_startable(millicores: int, candidates: Iterable[agent.Agent]) -> int:
-    """Return how many tasks of a size could start on the candidates."""
+    """Return how many tasks of ``millicores`` each could start."""
     if not millicores:
         return 0
     return sum(
@@ -99,7 +99,7 @@
 
 
 def _is_allowed(batch: runs.Batch, candidate: agent.Agent) -> bool:
-    """Return whether a task may run on a worker regardless of capacity."""
+    """Return whether constraints other than capacity allow a placement."""
     if candidate.worker.service != batch.service:
         return False
     if (
--- a/sardineproxy/process/shards/poller.py
+++ b/sardineproxy/process/shards/poller.py
@@ -1,7 +1,7 @@
 """Polls one worker as long as runs may exist on it.
 
 A poll returns the results of runs, extends the lease of those that are still
-active, and confirms the worker's state after an unanswered call.
+active, and confirms the worker's state after a call without a response.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
         """Start no runs until a report for a higher fence has arrived."""
 
     def handle_fenced(self) -> None:
-        """Handle that the worker has seen the fence of a newer leader."""
+        """Handle a worker that has seen the fence of a newer leader."""
 
     def handle_report(
         self, unrequested: list[workers.ActiveRun], *, is_newly_confirmed: bool
@@ -51,11 +51,11 @@
         """Handle an applied report.
 
         ``unrequested`` are runs that this process did not start.
-        ``is_newly_confirmed`` is true if the worker's state became known.
+        ``is_newly_confirmed`` is true if it confirmed the worker's state.
         """
 
     def handle_lease_expired(self, run: runs.Run) -> None:
-        """Handle that a run's lease expired on an unresponsive worker."""
+        """Handle a run whose lease expired on an unresponsive worker."""
 
 
 class Poller:
@@ -92,8 +92,8 @@
         #: milliseconds; 0 before the first report.
         self.started_ms = 0
 
-        #: Local time of the first unanswered call, in seconds; None if the
-        #: last call was answered.
+        #: Local time since which the worker is unresponsive, in seconds; None
+        #: if it responds.
         self.unresponsive_since: float | None = None
         self._failed_polls = 0
         self._acked_position = 0
@@ -119,7 +119,7 @@
         self._wake.set()
 
     def mark_unresponsive(self, cause: str, now: float) -> None:
-        """Record that the worker did not answer a call."""
+        """Record that a call failed or a poll was refused."""
         if self.unresponsive_since is not None:
             return
         self.unresponsive_since = now
@@ -145,14 +145,14 @@
                 )
             )
             try:
-                answer = await self._poll
+                response = await self._poll
             except asyncio.CancelledError:
                 if asyncio.current_task().cancelling():  # type: ignore[union-attr]
                     raise
                 continue
             finally:
                 self._poll = None
-            await self._handle_answer(poll, answer, now)
+            await self._handle_response(poll, response, now)
 
     async def _wait_until_needed(self) -> None:
         if self._is_poll_needed():
@@ -200,7 +200,7 @@
         )
         expires_ms = None
         # The leases on an unresponsive worker are not extended, so that its
-        # runs end at a known time even if it never answers again.
+        # runs end at a known time even if it never responds again.
         is_responsive = self.unresponsive_since is None
         is_extendable = is_responsive and self._agent.may_extend_lease
         if is_extendable and self._lease.has_clock:
@@ -214,34 +214,34 @@
             wait_s=0 if answer_at_once else self._cfg.look_wait_s,
         )
 
-    async def _handle_answer(
+    async def _handle_response(
         self,
         poll: workers.Poll,
-        answer: workers.Report | workers.Refused | workers.Unanswered,
+        response: workers.Report | workers.Refused | workers.Unanswered,
         sent_at: float,
     ) -> None:
         now = self._clock.now()
-        match answer:
+        match response:
             case workers.Report():
                 self._mark_responsive(now)
                 self._acked_position = max(self._acked_position, poll.acked)
-                self._apply_report(poll, answer, sent_at, now)
+                self._apply_report(poll, response, sent_at, now)
             case workers.Refused(reason=workers.Refusal.FENCED):
                 if poll.fence >= self._agent.fence:
                     self._agent.handle_fenced()
                     await asyncio.sleep(self._cfg.silent_pause_s)
             case workers.Refused():
                 self.mark_unresponsive(
-                    f'{answer.reason.value} {answer.detail}', now
+                    f'{response.reason.value} {response.detail}', now
                 )
                 await self._back_off()
             case workers.Unanswered():
                 if self.is_unconfirmed:
-                    self.mark_unresponsive(answer.cause, now)
+                    self.mark_unresponsive(response.cause, now)
                     await self._back_off()
                 else:
                     self._agent.mark_unconfirmed(
-                        f'poll not answered: {answer.cause}'
+                        f'poll not answered: {response.cause}'
                     )
 
     async def _back_off(self) -> None:
@@ -286,6 +286,8 @@
         if report.started_ms != self.started_ms:
             self._handle_restart(report)
             if poll.acked:
+                # The poll acknowledged positions of the previous process, so
+                # that results of the new one may be missing from the report.
                 return
         if report.clock_ms < self._lease.clock_ms:
             # A newer report has already arrived.
--- a/sardineproxy/process/shards/recent_results.py
+++ b/sardineproxy/process/shards/recent_results.py
@@ -1,7 +1,7 @@
 """Recent results of a shard's tasks.
 
-A client whose answer was lost submits its job again seconds later. Tasks that
-are already done do not run again for it.
+A client that lost the reply to its job submits the job again seconds later.
+Tasks that are already done do not run again for it.
 """
 
 import collections
--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -12,10 +12,10 @@
 class RunState(enum.Enum):
     """State of a run at its worker."""
 
-    #: The start order was created; its answer is pending.
+    #: The start order was created; its response is pending.
     ORDERED = 'ordered'
 
-    #: The start order was not answered; the run may exist, now or later.
+    #: The start order got no response; the run may exist, now or later.
     UNCONFIRMED = 'doubtful'
 
     RUNNING = 'running'
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -27,7 +27,7 @@
     """Receives the events of a shard leader."""
 
     def superseded(self, shard: 'ShardLeader') -> None:
-        """Handle that another process leads the shard now."""
+        """Handle the takeover of the shard by another process."""
 
 
 class ShardContext(
@@ -83,7 +83,7 @@
             metrics=metrics,
             result_retention_s=cfg.recall_s,
         )
-        self._is_confirmed = True
+        self._is_leadership_confirmed = True
         self._takeover = takeover.Takeover(
             agents=self._agents,
             backlog=self._backlog,
@@ -194,8 +194,8 @@
 
     def tick(self, now: float) -> None:
         """Run the periodic work: takeover, removals, expiry and dispatch."""
-        for request in self._takeover.pop_ready(now):
-            self.submit(request.source, request.submit, now)
+        for deferred in self._takeover.pop_ready(now):
+            self.submit(deferred.source, deferred.submit, now)
         self._takeover.stop_unresumed(now)
         self._remove_unlisted(now)
         self._stored_results.send_unclaimed(now)
@@ -211,7 +211,9 @@
     def dispatch(self, now: float) -> None:
         """Start waiting tasks as far as free capacity allows."""
         if self._is_list_current(now):
-            self._scheduler.dispatch(with_stored=self._is_confirmed, now=now)
+            self._scheduler.dispatch(
+                with_stored=self._is_leadership_confirmed, now=now
+            )
 
     def state(self, now: float) -> dict[str, object]:
         """Return the workers and queue lengths for the state dump."""
@@ -292,7 +294,7 @@
         """Return whether the worker list is recent enough to dispatch.
 
         A VM that leads no shard reads the list rarely, so that its copy may
-        miss workers that are draining. A new leader waits for a newer list,
+        show draining workers as ready. A new leader waits for a newer list,
         but no longer than ``list_wait_s``, and not if the store is down.
         """
         if self._context.workers_listed_at() >= self._leader_since:
@@ -310,8 +312,8 @@
             self.shard, now
         )
         is_confirmed = unconfirmed_s < self._cfg.unconfirmed_s
-        if is_confirmed is not self._is_confirmed:
-            self._is_confirmed = is_confirmed
+        if is_confirmed is not self._is_leadership_confirmed:
+            self._is_leadership_confirmed = is_confirmed
             _LOG.warning(
                 'Leadership confirmed again.'
                 if is_confirmed
--- a/sardineproxy/process/shards/stored_results.py
+++ b/sardineproxy/process/shards/stored_results.py
@@ -11,7 +11,7 @@
 
 
 class JobManagers(Protocol):
-    """Finds the stored-job managers."""
+    """Finds the managers of stored jobs."""
 
     def find_manager(self, job: ids.JobId) -> loaded_shards.LoadedShard | None:
         """Return the loaded shard whose manager is responsible for a job.
--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -116,9 +116,9 @@
     ) -> dict[int, int]:
         """Adopt the active runs of a batch and send the results of others.
 
-        ``tasks`` maps task indices to the numbers of their next runs. The
-        returned mapping holds those without a run or a result that may be
-        started.
+        ``tasks`` maps task indices to the numbers of their next runs. Returns
+        the entries of the tasks to start: those without a run or a result, or
+        none if a worker that has not reported may still run them.
         """
         missing = {
             index: run_number
--- a/sardineproxy/process/shards/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -15,9 +15,9 @@
     #: first order is lost.
     order_timeout_s: float = 0.06
 
-    #: Longest wait of a worker for a new result before it answers a poll. The
-    #: lease must be extended twice within its duration even if one answer is
-    #: lost.
+    #: Longest wait of a worker for a new result before it responds to a poll.
+    #: The lease must be extended twice within its duration even if one response
+    #: is lost.
     look_wait_s: float = 0.3
 
     #: Timeout of a poll in addition to ``look_wait_s``.
--- a/sardineproxy/process/shards/workers.py
+++ b/sardineproxy/process/shards/workers.py
@@ -1,4 +1,4 @@
-"""Interface to workers: list entries, orders, answers and reports."""
+"""Interface to workers: list entries, orders, responses and reports."""
 
 import dataclasses
 import enum
@@ -60,7 +60,7 @@
     #: The worker is unhealthy or could not parse the order.
     NOT_EXECUTED = 'not_done'
 
-    #: Another worker answers at this address.
+    #: Another worker responds at this address.
     OTHER_WORKER = 'other_worker'
 
 
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unanswered:
-    """No answer; the order may have been executed, or may be later."""
+    """No response; the order may have been executed, or may be later."""
 
     #: True if no connection was established, so that nothing was sent.
     unsent: bool
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -29,10 +29,10 @@
 
 
 class Router(open_tasks.Router, Protocol):
-    """Looks up shard leaders and the routes in force."""
+    """Looks up shard leaders and the active routes."""
 
     def route(self, route: ids.RouteId) -> routes.Route | None:
-        """Return the route in the version in force, None if removed."""
+        """Return a route of the active version, None if it was removed."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -100,7 +100,7 @@
         self._on_finished = on_finished
         self._events: asyncio.Queue[Event] = asyncio.Queue()
         now = clock.now()
-        self._open = open_tasks.OpenTasks(
+        self._open_tasks = open_tasks.OpenTasks(
             job=stored_job.job,
             route=stored_job.route,
             router=router,
@@ -139,7 +139,7 @@
         if state is None:
             return
         self.is_finishing = True
-        self._open.withdraw()
+        self._open_tasks.withdraw()
         ended_job = self.stored_job.finish(state, self._clock.wall())
         _LOG.info(
             'Job ended.',
@@ -179,7 +179,7 @@
 
     async def _run(self) -> records.JobState | None:
         """Return the final state, None if another leader has the job."""
-        while self._open or self._waiting_steps:
+        while self._open_tasks or self._waiting_steps:
             event = await self._events.get()
             self._refresh_route()
             match event:
@@ -206,18 +206,18 @@
             case messages.JobStarted():
                 self.has_started = True
             case open_tasks.LeaderLost(shard=shard):
-                self._open.unassign(event)
-                self._open.resume(shard, job_started=True)
+                self._open_tasks.unassign(event)
+                self._open_tasks.resume(shard, job_started=True)
             case open_tasks.LeaderFound(shard=shard):
-                self._open.resume(shard, job_started=True)
+                self._open_tasks.resume(shard, job_started=True)
             case _ShardChangeStored(tasks=tasks, shard=shard):
                 self._send_to_new_shard(tasks, shard)
 
     def _refresh_route(self) -> None:
-        """Update the route from the version in force."""
+        """Update the route from the active version."""
         route = self._router.route(self.stored_job.route.route)
         if route is not None:
-            self._open.route = route
+            self._open_tasks.route = route
 
     def _start_ready_steps(self) -> None:
         """Send the tasks of steps whose predecessors are completed."""
@@ -237,10 +237,10 @@
                 self._done_steps.add(step_index)
                 self._start_ready_steps()
                 return
-            self._open.add(tasks)
+            self._open_tasks.add(tasks)
             shards = {task.shard for task in tasks}
             for shard in shards:
-                self._open.send(
+                self._open_tasks.send(
                     [task for task in tasks if task.shard == shard],
                     pinned=shard != self._home_shard,
                     job_started=self._resumed,
@@ -278,13 +278,15 @@
     def _record_success(self, key: open_tasks.TaskKey) -> None:
         """Record a success, also of a task that a previous leader sent."""
         self._progress.record_success(key)
-        if self._open.get(key) is not None and self._open.close(key):
+        if self._open_tasks.get(key) is not None and self._open_tasks.close(
+            key
+        ):
             self._done_steps.add(key[0])
             self._start_ready_steps()
 
     def _record_failure(self, key: open_tasks.TaskKey, run: int) -> bool:
         failures = self._progress.record_failure(key, run)
-        max_attempts = self._open.route.max_attempts
+        max_attempts = self._open_tasks.route.max_attempts
         _LOG.info(
             'Task failed.',
             extra={
@@ -301,18 +303,18 @@
         return False
 
     def _retry(self, key: open_tasks.TaskKey) -> None:
-        task = self._open.get(key)
+        task = self._open_tasks.get(key)
         if task is not None:
             self._restore_progress(task)
-            self._open.send([task], pinned=True, job_started=True)
+            self._open_tasks.send([task], pinned=True, job_started=True)
 
     def _handle_declined(self, declined: messages.Declined) -> None:
-        """Move declined tasks to a shard with more free capacity.
+        """Move declined tasks to the suggested shard, else to the home shard.
 
         The new shard is stored before the tasks are sent, because the next
         leader has to look for their runs there.
         """
-        tasks = self._open.in_shard(
+        tasks = self._open_tasks.in_shard(
             declined.step, declined.indices, declined.shard
         )
         if not tasks:
@@ -330,13 +332,19 @@
     def _send_to_new_shard(
         self, tasks: tuple[open_tasks.OpenTask, ...], shard: ids.ShardId
     ) -> None:
-        remaining = [task for task in tasks if self._open.get(task.key) is task]
+        remaining = [
+            task for task in tasks if self._open_tasks.get(task.key) is task
+        ]
         if remaining:
-            self._open.move(remaining, shard, job_started=self.has_started)
+            self._open_tasks.move(
+                remaining, shard, job_started=self.has_started
+            )
 
     def _store_progress(self) -> None:
         """Store new results, then acknowledge them to the workers."""
-        if not self._unacknowledged or not (self._open or self._waiting_steps):
+        if not self._unacknowledged or not (
+            self._open_tasks or self._waiting_steps
+        ):
             return
         finished_runs = self._pop_unacknowledged()
         self._put_progress().add_done_callback(
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -88,8 +88,8 @@
         self._clock = clock
         self._metrics = metrics
         self._retention_s = retention_s
-        self._open: dict[ids.JobId, execution.Execution] = {}
-        self._finished: dict[ids.JobId, records.StoredJob] = {}
+        self._executions: dict[ids.JobId, execution.Execution] = {}
+        self._ended_jobs: dict[ids.JobId, records.StoredJob] = {}
         self._storing: dict[ids.JobId, asyncio.Future[bool]] = {}
         self._tasks = background.Tasks()
         self._is_loaded = False
@@ -111,9 +111,9 @@
     def pending(self) -> dict[ids.RouteId, int]:
         """Return the number of jobs per route that have not started."""
         return collections.Counter(
-            unfinished.stored_job.route.route
-            for unfinished in self._open.values()
-            if not unfinished.has_started
+            job_execution.stored_job.route.route
+            for job_execution in self._executions.values()
+            if not job_execution.has_started
         )
 
     async def accept(self, stored_job: records.StoredJob) -> JobReply:
@@ -121,10 +121,10 @@
         job = stored_job.job.job_id
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
-        if job in self._open or job in self._finished:
+        if job in self._executions or job in self._ended_jobs:
             return JobReply.ACCEPTED
         if job not in self._storing:
-            if len(self._open) >= MAX_OPEN_JOBS:
+            if len(self._executions) >= MAX_OPEN_JOBS:
                 return JobReply.REFUSED
             self._storing[job] = self._store(stored_job)
         return await self._wait_stored(job, self._storing[job])
@@ -133,10 +133,10 @@
         """Return the state of a job according to the store."""
         if not self.is_loaded:
             return JobReply.UNAVAILABLE
-        job_execution = self._open.get(job)
+        job_execution = self._executions.get(job)
         if job_execution is not None:
             return await self._query_execution(job_execution)
-        ended_job = self._finished.get(job)
+        ended_job = self._ended_jobs.get(job)
         if ended_job is not None:
             return JobReply(ended_job.state.value)
         if job in self._storing:
@@ -145,7 +145,7 @@
 
     async def cancel(self, job: ids.JobId) -> JobReply:
         """Cancel a job unless it has ended; return the resulting state."""
-        job_execution = self._open.get(job)
+        job_execution = self._executions.get(job)
         if job_execution is None:
             return await self.query(job)
         job_execution.post_event(execution.CancelRequested())
@@ -160,7 +160,7 @@
         message: messages.RunEnded | messages.Declined | messages.JobStarted,
     ) -> None:
         """Pass a message to the execution of its job."""
-        job_execution = self._open.get(message.job)
+        job_execution = self._executions.get(message.job)
         if job_execution is not None:
             job_execution.post_event(message)
         elif isinstance(message, messages.RunEnded):
@@ -180,8 +180,8 @@
         self, event: open_tasks.LeaderLost | open_tasks.LeaderFound
     ) -> None:
         """Report a change of a shard's leader to all unfinished jobs."""
-        for unfinished in self._open.values():
-            unfinished.post_event(event)
+        for job_execution in self._executions.values():
+            job_execution.post_event(event)
 
     def state(self, now: float) -> dict[str, object]:
         """Return the jobs and the state of the table, for the state dump."""
@@ -191,10 +191,10 @@
             'unstored_s': round(self._table.oldest_unstored_s(now), 3),
             'superseded': self._table.is_superseded,
             'open': {
-                job: unfinished.state().value
-                for job, unfinished in self._open.items()
+                job: job_execution.state().value
+                for job, job_execution in self._executions.items()
             },
-            'ended': len(self._finished),
+            'ended': len(self._ended_jobs),
         }
 
     async def _query_execution(
@@ -235,8 +235,8 @@
             extra={
                 'cell': self.shard,
                 'epoch': self._table.epoch,
-                'open': len(self._open),
-                'ended': len(self._finished),
+                'open': len(self._executions),
+                'ended': len(self._ended_jobs),
             },
         )
 
@@ -250,7 +250,7 @@
             return
         stored_job = decoded.ok_value
         if stored_job.state.is_final:
-            self._finished[stored_job.job.job_id] = stored_job
+            self._ended_jobs[stored_job.job.job_id] = stored_job
             return
         progress = records.JobProgress()
         if progress_row is not None:
@@ -281,7 +281,7 @@
             on_finished=self._record_finished,
             resumed=resumed,
         )
-        self._open[stored_job.job.job_id] = job_execution
+        self._executions[stored_job.job.job_id] = job_execution
         job_execution.start()
         self._tasks.spawn(job_execution.run())
 
@@ -294,8 +294,8 @@
             max(0, ended_job.ended_at - ended_job.accepted_at),
             state=ended_job.state.value,
         )
-        self._open.pop(ended_job.job.job_id)
-        self._finished[ended_job.job.job_id] = ended_job
+        self._executions.pop(ended_job.job.job_id)
+        self._ended_jobs[ended_job.job.job_id] = ended_job
 
     def _store(self, stored_job: records.StoredJob) -> asyncio.Future[bool]:
         job = stored_job.job.job_id
@@ -340,11 +340,11 @@
             )
             expired = [
                 job
-                for job, ended_job in self._finished.items()
+                for job, ended_job in self._ended_jobs.items()
                 if ended_job.ended_at < ended_before
             ]
             for job in expired:
-                self._finished.pop(job)
+                self._ended_jobs.pop(job)
                 for prefix in (job_table.JOB_PREFIX, job_table.PROGRESS_PREFIX):
                     self._table.put(
                         f'{prefix}{job}',
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -58,7 +58,7 @@
         self._clock = clock
         self._request_ids = itertools.count()
         self._pending_replies: dict[int, asyncio.Future[_Reply]] = {}
-        self._links: dict[int, link.Link] = {}
+        self._request_links: dict[int, link.Link] = {}
         self._tasks = background.Tasks()
         self.managers: dict[ids.ShardId, job_manager.JobManager] = {}
 
@@ -134,10 +134,10 @@
         match message:
             case messages.StoreJob() | messages.QueryJob():
                 self._tasks.spawn(self._serve(source, message))
-            case messages.JobResponse(request_id=request_id, reply=answer):
+            case messages.JobResponse(request_id=request_id, reply=reply):
                 reply_fut = self._pending_replies.get(request_id)
                 if reply_fut is not None and not reply_fut.done():
-                    reply_fut.set_result(_Reply(answer))
+                    reply_fut.set_result(_Reply(reply))
             case (
                 messages.RunEnded(stored=True) | messages.Declined(stored=True)
             ):
@@ -150,7 +150,7 @@
 
     def link_closed(self, closed: link.Link) -> None:
         """Resolve requests that were sent over a closed link as UNKNOWN."""
-        for request_id, request_link in self._links.items():
+        for request_id, request_link in self._request_links.items():
             reply_fut = self._pending_replies[request_id]
             if request_link is closed and not reply_fut.done():
                 reply_fut.set_result(_Reply.UNKNOWN)
@@ -208,7 +208,7 @@
             asyncio.get_running_loop().create_future()
         )
         self._pending_replies[request_id] = reply_fut
-        self._links[request_id] = leader
+        self._request_links[request_id] = leader
         try:
             if not leader.send(make_request(shard, request_id)):
                 return _Reply.UNAVAILABLE
@@ -218,7 +218,7 @@
             return _Reply.UNKNOWN
         finally:
             self._pending_replies.pop(request_id)
-            self._links.pop(request_id)
+            self._request_links.pop(request_id)
 
     async def _serve(
         self, source: link.Link, request: messages.StoreJob | messages.QueryJob
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -36,7 +36,7 @@
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _PendingWrite:
     body: bytes | None
-    done: asyncio.Future[bool]
+    stored_fut: asyncio.Future[bool]
 
     #: Local times of creation and of the latest start of its commit, in
     #: seconds.
@@ -129,26 +129,26 @@
             waiting.body = body
             waiting.due_at = min(waiting.due_at, now + max_delay_s)
             self._wake.set()
-            return waiting.done
+            return waiting.stored_fut
         change = _PendingWrite(
             body=body,
-            done=asyncio.get_running_loop().create_future(),
+            stored_fut=asyncio.get_running_loop().create_future(),
             created_at=now,
             due_at=now + max_delay_s,
         )
         if self.is_superseded:
-            change.done.set_result(False)
-            return change.done
+            change.stored_fut.set_result(False)
+            return change.stored_fut
         self._waiting[key] = change
         self._wake.set()
-        return change.done
+        return change.stored_fut
 
     def withdraw(self, key: str) -> bool:
         """Withdraw a waiting change; return False if it may have been sent."""
         change = self._waiting.pop(key, None)
         if change is None:
             return False
-        change.done.cancel()
+        change.stored_fut.cancel()
         return True
 
     async def run(self) -> None:
@@ -273,15 +273,15 @@
 
 def _resolve(changes: Iterable[_PendingWrite], *, stored: bool) -> None:
     for change in changes:
-        if not change.done.done():
-            change.done.set_result(stored)
+        if not change.stored_fut.done():
+            change.stored_fut.set_result(stored)
 
 
 def _resolve_with(change: _PendingWrite, newer: _PendingWrite) -> None:
     """Resolve a change with the outcome of a newer change of the same row."""
 
-    def resolve(done: asyncio.Future[bool]) -> None:  # noqa: WPS430
-        if not change.done.done():
-            change.done.set_result(not done.cancelled() and done.result())
+    def resolve(fut: asyncio.Future[bool]) -> None:  # noqa: WPS430
+        if not change.stored_fut.done():
+            change.stored_fut.set_result(not fut.cancelled() and fut.result())
 
-    newer.done.add_done_callback(resolve)
+    newer.stored_fut.add_done_callback(resolve)
--- a/tests/process/membership/test_worker_list.py
+++ b/tests/process/membership/test_worker_list.py
@@ -58,9 +58,9 @@
         self.assertEqual(1, len(tested.of_shard(SHARD)))
 
     def test_malformed_entry_counts_as_removed(self) -> None:
-        """Guards against orders based on an entry that is malformed now.
+        """Guards against orders based on an outdated entry.
 
-        Otherwise the last valid entry of the worker would stay in use.
+        The last valid entry must not stay in use after a malformed one.
         """
         tested = make_list()
         tested.update((row(samples.worker_entry()),), 10)
--- a/tests/process/node/samples.py
+++ b/tests/process/node/samples.py
@@ -37,7 +37,7 @@
         self.calls = 0
 
     async def read(self, table: str, *, part: str = '') -> Any:
-        return self._answer(self.rows.read(table, part=part))
+        return self._to_response(self.rows.read(table, part=part))
 
     async def get(self, key: str, *, part: str = '') -> Any:
         self.calls += 1
@@ -46,7 +46,7 @@
         return result.Ok(self.rows.get(key, part=part))
 
     async def changes(self, table: str, *, after: int, wait_s: float) -> Any:
-        return self._answer(self.rows.changes(table, after=after))
+        return self._to_response(self.rows.changes(table, after=after))
 
     async def transact(self, **changes: Any) -> Any:
         if self.is_down:
@@ -56,7 +56,7 @@
             return _failed(store.ErrorKind.CONFLICT)
         return result.Ok(outcome)
 
-    def _answer(self, page: Any) -> Any:
+    def _to_response(self, page: Any) -> Any:
         self.calls += 1
         if self.is_down:
             return _unavailable()
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -196,10 +196,10 @@
 
         run(scenario)
 
-    def test_restarted_successor_does_not_take_over(self) -> None:
-        """Guards against two processes of one VM that use the same rank.
+    def test_process_not_named_in_the_claim_does_not_take_over(self) -> None:
+        """Guards against two processes that use the same rank.
 
-        Only a process that the claim names as successor may use its rank.
+        Only a process that the claim names as successor has a rank.
         """
 
         async def scenario() -> None:
--- a/tests/process/shards/faults.py
+++ b/tests/process/shards/faults.py
@@ -17,9 +17,9 @@
 
     DONE = 'done'
     REQUEST_LOST = 'request_lost'
-    ANSWER_LOST = 'answer_lost'
+    RESPONSE_LOST = 'answer_lost'
 
-    #: Not answered in time; executed seconds later.
+    #: No response in time; executed seconds later.
     LATE = 'late'
     REFUSED = 'refused'
 
@@ -31,7 +31,7 @@
     return rng.choice(
         (
             CallFault.REQUEST_LOST,
-            CallFault.ANSWER_LOST,
+            CallFault.RESPONSE_LOST,
             CallFault.LATE,
             CallFault.REFUSED,
         )
@@ -119,13 +119,13 @@
                 if fault is CallFault.LATE:
                     self._call_later(model, call)
                     await asyncio.sleep(timeout_s)
-                answer = call(model, self.clock.now())
-                if fault is CallFault.ANSWER_LOST:
+                response = call(model, self.clock.now())
+                if fault is CallFault.RESPONSE_LOST:
                     await asyncio.sleep(timeout_s)
-                if wait_s and isinstance(answer, workers.Report):
-                    answer = await self._wait(model, call, wait_s, acked)
+                if wait_s and isinstance(response, workers.Report):
+                    response = await self._wait(model, call, wait_s, acked)
                 await asyncio.sleep(self.delay_s())
-                return answer
+                return response
         except TimeoutError:
             return workers.Unanswered(unsent=False, cause='no answer')
 
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -159,7 +159,7 @@
         }
         self.api = faults.FaultyWorkerApi(models=self.models, clock=self.clock)
         self.is_list_current = True
-        self.is_confirmed = True
+        self.is_leadership_confirmed = True
         self.superseded_shards: list[shards.ShardLeader] = []
         self.capacities = shard_capacities.ShardCapacities()
         self.unstored_manager = UnstoredJobManager()
@@ -170,7 +170,7 @@
         return self.clock.now() if self.is_list_current else 0
 
     def leadership_confirmed_at(self, shard: ids.ShardId, now: float) -> float:
-        return now if self.is_confirmed else 0
+        return now if self.is_leadership_confirmed else 0
 
     def is_worker_list_available(self) -> bool:
         return True
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -1,4 +1,4 @@
-"""Orders to one worker: lost answers, delayed orders, outages, restarts."""
+"""Orders to one worker: lost responses, delayed orders, outages, restarts."""
 
 import asyncio
 
@@ -51,14 +51,14 @@
 
         samples.with_rig(scenario)
 
-    def test_lost_answer_does_not_start_a_second_run(self) -> None:
-        """Guards against a second run if only the answer to an order is lost.
+    def test_lost_response_does_not_start_a_second_run(self) -> None:
+        """Guards against a second run if only the response to an order is lost.
 
         The worker has started the run, and lists it in its next report.
         """
 
         async def scenario(rig: samples.Rig) -> None:
-            rig.api.fault_of = _with_faults(faults.CallFault.ANSWER_LOST)
+            rig.api.fault_of = _with_faults(faults.CallFault.RESPONSE_LOST)
             link = samples.FakeLink()
             leader = await rig.lead_and_sync()
             leader.submit(link, samples.make_submit(), rig.clock.now())
@@ -92,7 +92,7 @@
     def test_pending_orders_occupy_capacity(self) -> None:
         """Guards against orders that exceed a worker's capacity.
 
-        All jobs are submitted before the first order is answered.
+        All jobs are submitted before the first response to an order.
         """
 
         async def scenario(rig: samples.Rig) -> None:
@@ -201,9 +201,9 @@
     def test_delayed_order_after_idle_time_is_refused_as_expired(self) -> None:
         """Guards against a run that starts after its replacement.
 
-        The worker's slow clock drifts for 200 s. Then the worker answers no
-        call, and receives the order after the lease that the leader has
-        waited for.
+        The worker's slow clock drifts for 200 s. Then the worker responds to
+        no call, and receives the order only after the time for which the
+        leader waits for the lease to expire.
         """
 
         async def scenario(rig: samples.Rig) -> None:
@@ -229,7 +229,7 @@
     def test_stalled_run_is_started_on_another_worker(self) -> None:
         """Guards against tasks that a hung worker holds until their deadline.
 
-        The worker answers polls, but its runs make no progress.
+        The worker responds to polls, but its runs make no progress.
         """
 
         async def scenario(rig: samples.Rig) -> None:
@@ -248,7 +248,7 @@
     def test_results_are_acknowledged_without_active_runs(self) -> None:
         """Guards against results that an idle worker lists forever.
 
-        Results are acknowledged in polls, and idle workers are not polled.
+        Results are acknowledged in polls, and idle workers are rarely polled.
         """
 
         async def scenario(rig: samples.Rig) -> None:
@@ -262,7 +262,7 @@
         samples.with_rig(scenario)
 
     def test_idle_worker_is_not_polled(self) -> None:
-        """Guards against needless polls; each one is charged for."""
+        """Guards against needless polls, each of which has a cost."""
 
         async def scenario(rig: samples.Rig) -> None:
             await rig.lead_and_sync()
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -1,6 +1,6 @@
 """Leaders, coordinators and workers under random faults.
 
-Leaders are replaced, links and answers are lost, orders are executed late, and
+Leaders are replaced, links and responses are lost, orders are executed late, and
 workers crash and restart. The modelled workers record their runs.
 """
 
@@ -297,7 +297,7 @@
 
         violations, simulation = virtual_time.run(main)
         self.assertEqual([], violations)
-        self.assertFalse(simulation.clients, 'a client got no answer')
+        self.assertFalse(simulation.clients, 'a client got no reply')
 
     def test_most_jobs_complete_without_faults(self) -> None:
         """Guards against a simulation in which no job is run."""
--- a/tests/process/shards/test_scheduler.py
+++ b/tests/process/shards/test_scheduler.py
@@ -30,22 +30,25 @@
                 rig.clock.now(),
             )
             await asyncio.sleep(0.1)
-            rig.is_confirmed = False
+            rig.is_leadership_confirmed = False
             await asyncio.sleep(3)
             record = samples.only_item(rig.records())
             self.assertIs(workers.RunResult.LEASE_EXPIRED, record.how)
-            rig.is_confirmed = True
+            rig.is_leadership_confirmed = True
             await asyncio.sleep(1)
             self.assertEqual(2, len(rig.records()))
 
         samples.with_rig(scenario, work_of=long_work)
 
     def test_other_jobs_run_while_another_leader_may_exist(self) -> None:
-        """Guards against an outage for jobs that are not stored."""
+        """Guards against an outage for jobs that are not stored.
+
+        A leader that is not confirmed must still start their tasks.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             leader = await rig.lead_and_sync()
-            rig.is_confirmed = False
+            rig.is_leadership_confirmed = False
             await asyncio.sleep(3)
             link = samples.FakeLink()
             leader.submit(link, samples.make_submit(), rig.clock.now())
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -126,7 +126,10 @@
         samples.with_rig(scenario)
 
     def test_pinned_tasks_are_not_declined(self) -> None:
-        """Guards against tasks that are sent back and forth between shards."""
+        """Guards against tasks that are sent back and forth between shards.
+
+        Tasks that another shard has declined are pinned in the next one.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
@@ -174,7 +177,7 @@
         )
 
     def test_done_tasks_of_a_resubmitted_job_are_not_repeated(self) -> None:
-        """Guards against second runs after the answer to a client was lost."""
+        """Guards against second runs after the reply to a client was lost."""
 
         async def scenario(rig: samples.Rig) -> None:
             leader = await rig.lead_and_sync()
@@ -253,7 +256,7 @@
         samples.with_rig(scenario)
 
     def test_new_leader_starts_tasks_without_a_new_worker_list(self) -> None:
-        """Guards against an idle shard while the store does not answer.
+        """Guards against an idle shard while the store does not respond.
 
         No newer list arrives; the leader waits for it no longer than 0.7 s.
         """
@@ -270,7 +273,7 @@
         samples.with_rig(scenario)
 
     def test_removed_worker_is_not_polled_forever(self) -> None:
-        """Guards against polls of removed workers; each one is charged for."""
+        """Guards against polls of removed workers, each of which has a cost."""
 
         async def scenario(rig: samples.Rig) -> None:
             leader = await rig.lead_and_sync()
@@ -367,7 +370,10 @@
         samples.with_rig(scenario, work_of=_work_of_1_s)
 
     def test_old_leader_is_fenced(self) -> None:
-        """Guards against two leaders that start runs on the same worker."""
+        """Guards against two leaders that start runs on the same worker.
+
+        The old leader has not learned of the takeover.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             old = await rig.lead_and_sync()
@@ -408,7 +414,10 @@
         samples.with_rig(scenario, count=2, work_of=_work_of_1_s)
 
     def test_task_on_an_unreachable_worker_is_not_started_again(self) -> None:
-        """Guards against a second run beside one that no report has shown."""
+        """Guards against a second run beside one that no report has shown.
+
+        The new leader cannot reach the worker that runs the task.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             old = await rig.lead_and_sync()
@@ -470,7 +479,10 @@
         samples.with_rig(scenario, work_of=_work_of_1_s)
 
     def test_resubmitted_task_waits_for_its_withdrawn_run(self) -> None:
-        """Guards against two runs at a time if a stop order is lost."""
+        """Guards against two runs at a time if a stop order is lost.
+
+        The job is submitted again while its withdrawn run is still active.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             leader = await rig.lead_and_sync()
