--- a/sardineproxy/process/node/job_intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -16,7 +16,8 @@
 class JobIntake:
     """Runs, stores and queries jobs.
 
-    While the process is shutting down, refuses jobs that would not finish.
+    While the process is shutting down, refuses to run jobs that would not
+    finish before its end.
     """
 
     def __init__(
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -138,9 +138,10 @@
         ).start()
 
     async def _drain(self) -> None:
-        """Wait for requests in progress, until near the end of the grace period.
+        """Hand over the shards and wait for requests in progress.
 
-        Waits for at least ``MIN_DRAIN_S`` unless the grace period is shorter.
+        Waits for at least ``MIN_DRAIN_S``, but no longer than until
+        ``CLOSE_RESERVE_S`` before the end of the grace period.
         """
         started_at = self._clock.now()
         _LOG.info(
@@ -156,7 +157,7 @@
             if is_min_drain_over and not self._client_server.active_requests:
                 return
         _LOG.warning(
-            'Grace period ended with requests in progress.',
+            'Drain deadline reached, closing the listeners.',
             extra={'requests': self._client_server.active_requests},
         )
 
