--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -126,10 +126,7 @@
         samples.with_rig(scenario)
 
     def test_pinned_tasks_are_not_declined(self) -> None:
-        """Guards against tasks that are sent back and forth between shards.
-
-        Tasks that another shard has declined are pinned in the next one.
-        """
+        """Guards against tasks that are sent back and forth between shards."""
 
         async def scenario(rig: samples.Rig) -> None:
             rig.capacities.update(ids.ShardId('zone-b'), 5, rig.clock.now())
@@ -370,10 +367,7 @@
         samples.with_rig(scenario, work_of=_work_of_1_s)
 
     def test_old_leader_is_fenced(self) -> None:
-        """Guards against two leaders that start runs on the same worker.
-
-        The old leader has not learned of the takeover.
-        """
+        """Guards against starts by a leader that missed the takeover."""
 
         async def scenario(rig: samples.Rig) -> None:
             old = await rig.lead_and_sync()
@@ -414,10 +408,7 @@
         samples.with_rig(scenario, count=2, work_of=_work_of_1_s)
 
     def test_task_on_an_unreachable_worker_is_not_started_again(self) -> None:
-        """Guards against a second run beside one that no report has shown.
-
-        The new leader cannot reach the worker that runs the task.
-        """
+        """Guards against a second run beside one on an unreachable worker."""
 
         async def scenario(rig: samples.Rig) -> None:
             old = await rig.lead_and_sync()
