--- a/sardineproxy/command_line.py
+++ b/sardineproxy/command_line.py
@@ -11,15 +11,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Help:
-    """The command line has ``--help``."""
+    """The text to print because the command line has ``--help``."""
 
     text: str
 
 
-def read(
+def parse_flags(
     values: flags.FlagValues, argv: list[str], usage: str
 ) -> result.Result[Help | None, str]:
-    """Parse ``argv`` into ``values``; the error is one sentence."""
+    """Parse ``argv`` into ``values`` without output.
+
+    Returns the help if it is requested; the error is one sentence.
+    """
     try:
         remaining = values(argv)
     except flags.Error as exc:
--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -31,7 +31,7 @@
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Parse the command line; the error is one sentence."""
     values = _define_flags()
-    help_requested = command_line.read(values, argv, USAGE)
+    help_requested = command_line.parse_flags(values, argv, USAGE)
     if isinstance(help_requested, result.Err):
         return help_requested
     if help_requested.ok_value is not None:
--- a/sardineproxy/process/node/cli.py
+++ b/sardineproxy/process/node/cli.py
@@ -35,7 +35,7 @@
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Return the parsed command line or help, or an error sentence."""
     values = _define_flags()
-    parsed = command_line.read(values, argv, USAGE)
+    parsed = command_line.parse_flags(values, argv, USAGE)
     if isinstance(parsed, result.Err):
         return parsed
     if parsed.ok_value is not None:
