--- a/sardineproxy/background.py
+++ b/sardineproxy/background.py
@@ -3,7 +3,8 @@
 import asyncio
 from typing import Any, Coroutine
 
-#: Key in the event loop's exception context of errors that end the process.
+#: Key in the event loop's exception context that marks an error as ending the
+#: process.
 FATAL = 'fatal'
 
 
--- a/sardineproxy/connection/caller_connection.py
+++ b/sardineproxy/connection/caller_connection.py
@@ -99,7 +99,7 @@
 
 
 class ListenerLoad:
-    """Resources that all connections of one listener use together."""
+    """Total resource usage of all connections of one listener."""
 
     def __init__(self, *, limits: ConnectionLimits) -> None:
         """Start with no connections."""
@@ -140,7 +140,7 @@
         load: ListenerLoad,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Wait for the first request; the listener shares ``load``."""
+        """Wait for the first request; a listener's connections share ``load``."""
         super().__init__(
             server,
             loop=loop,
--- a/sardineproxy/connection/deadlines.py
+++ b/sardineproxy/connection/deadlines.py
@@ -20,6 +20,8 @@
     def __init__(self, task: 'asyncio.Task[object]') -> None:
         """Start open; ``task`` runs the coroutine."""
         self.task = task
+
+        #: Number of cancellations of the task that were pending at the start.
         self.cancelling = task.cancelling()
         self.is_open = True
         self.is_expired = False
--- a/sardineproxy/connection/endpoint.py
+++ b/sardineproxy/connection/endpoint.py
@@ -88,8 +88,8 @@
     #: responds twice to a request would shift all later responses by one.
     min_idle_s: float = 0.01
 
-    #: Upper bound on concurrent connections to an endpoint, whatever its VM
-    #: entry states.
+    #: Upper bound on concurrent connections to an endpoint, even if its entry
+    #: in the VM list states a higher number.
     max_connections: int = 64
 
     #: Largest response body of an endpoint, in bytes.
--- a/sardineproxy/connection/frames.py
+++ b/sardineproxy/connection/frames.py
@@ -26,7 +26,7 @@
     incarnation: ids.Incarnation = codec.checked_field(codec.text)
     zone: ids.ZoneId = codec.checked_field(codec.text)
 
-    #: Number of the configuration version, 0 for none.
+    #: Number of the active configuration version, 0 for none.
     version: int = codec.checked_field(codec.count)
 
     #: Revision of the list of VMs.
--- a/sardineproxy/connection/messages.py
+++ b/sardineproxy/connection/messages.py
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
-    """Liveness, newest configuration version, and the shards that are led."""
+    """Liveness, active configuration version and led shards of the sender."""
 
     version: int = codec.checked_field(codec.count)
     shards: tuple[ShardStatus, ...] = codec.checked_field(
@@ -34,7 +34,7 @@
         )
     )
 
-    #: Stored jobs that have not started, of the shards that are led.
+    #: Stored jobs that have not started, of the shards that the sender leads.
     pending: tuple[PendingJobs, ...] = codec.checked_field(
         codec.rows(codec.text, codec.count)
     )
@@ -42,10 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Submit:
-    """Asks a shard leader to run tasks of one step of a job.
+    """Submits tasks of one step of a job to the leader of a shard.
 
-    A new leader of the shard receives it again and takes over the tasks that
-    still run.
+    It is sent again to a new leader of the shard, which takes over the tasks
+    that still run.
     """
 
     shard: ids.ShardId = codec.checked_field(codec.text)
@@ -82,8 +82,8 @@
     #: Time until the client stops waiting, in seconds.
     timeout_s: float = codec.checked_field(codec.finite_number)
 
-    #: The job is on time within ``stretch`` times its longest task and
-    #: ``slack_s`` seconds more.
+    #: The job is on time if it takes at most ``stretch`` times the run time of
+    #: its longest task, plus ``slack_s`` seconds.
     stretch: float = codec.checked_field(codec.finite_number)
     slack_s: float = codec.checked_field(codec.finite_number)
 
@@ -157,7 +157,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TakeOver:
-    """Asks the receiver to claim a shard whose leader shuts down."""
+    """Requests that the receiver claim a shard whose leader shuts down."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
 
@@ -219,7 +219,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoreJob:
-    """Asks the leader of a job's home shard to store the job."""
+    """Submits a job to the leader of its home shard, which stores the job."""
 
     shard: ids.ShardId = codec.checked_field(codec.text)
 
--- a/sardineproxy/connection/peer.py
+++ b/sardineproxy/connection/peer.py
@@ -62,7 +62,8 @@
         self.last_received_at = self.opened_at
         self.last_sent_at = self.opened_at
 
-        #: Time of the last frame, sent or received, that was no keep-alive.
+        #: Time of the last use: a sent frame other than a heartbeat, or a
+        #: received frame that does not report the peer's version and revision.
         self.last_used_at = self.opened_at
         self.free_slots = 0
         self.version = 0
--- a/sardineproxy/operator/fleet.py
+++ b/sardineproxy/operator/fleet.py
@@ -30,15 +30,15 @@
 ) -> _Status:
     """Show the active version of each entry VM."""
     async with aiohttp.ClientSession() as session:
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(
                 _read_state(session, address, opts.timeout_s)
                 for address in opts.admin
             )
         )
     active: list[_ActiveVersion] = []
-    for address, answer in zip(opts.admin, answers):
-        version = answer.and_then(_to_active_version)
+    for address, response in zip(opts.admin, responses):
+        version = response.and_then(_to_active_version)
         if isinstance(version, result.Err):
             env.print_error(f'{address}: {version.err_value}')
             continue
@@ -52,11 +52,11 @@
 async def state(env: environment.Environment, opts: options.Options) -> _Status:
     """Show the state dump of one entry VM."""
     async with aiohttp.ClientSession() as session:
-        answer = await _read_state(session, opts.admin[0], opts.timeout_s)
-    if isinstance(answer, result.Err):
-        env.print_error(f'{opts.admin[0]}: {answer.err_value}')
+        response = await _read_state(session, opts.admin[0], opts.timeout_s)
+    if isinstance(response, result.Err):
+        env.print_error(f'{opts.admin[0]}: {response.err_value}')
         return _Status.UNAVAILABLE
-    env.print_result(json.dumps(answer.ok_value, indent=2, sort_keys=True))
+    env.print_result(json.dumps(response.ok_value, indent=2, sort_keys=True))
     return _Status.SUCCESS
 
 
@@ -70,11 +70,11 @@
     try:
         async with session.get(
             url, timeout=timeout, allow_redirects=False
-        ) as reply:
-            body = await _read_bounded(reply)
-            status = reply.status
+        ) as response:
+            body = await _read_bounded(response)
+            status = response.status
     except (aiohttp.ClientError, TimeoutError, OSError) as exc:
-        return result.Err(f'no answer: {exc or type(exc).__name__}')
+        return result.Err(f'no response: {exc or type(exc).__name__}')
     if status != 200:
         return result.Err(f'response has status {status}')
     return json_text.parse_object(
@@ -82,10 +82,10 @@
     )
 
 
-async def _read_bounded(reply: aiohttp.ClientResponse) -> bytes:
+async def _read_bounded(response: aiohttp.ClientResponse) -> bytes:
     """Return the response body, truncated one byte after the limit."""
     body = bytearray()
-    async for chunk in reply.content.iter_chunked(65_536):
+    async for chunk in response.content.iter_chunked(65_536):
         body += chunk
         if len(body) > MAX_STATE_BYTES:
             break
@@ -126,5 +126,5 @@
         return _Status.ERROR
     if len(numbers) > 1:
         joined = ', '.join(str(number) for number in numbers)
-        env.print_result(f'Versions in force: {joined}.')
+        env.print_result(f'Active versions: {joined}.')
     return _Status.SUCCESS
--- a/sardineproxy/operator/options.py
+++ b/sardineproxy/operator/options.py
@@ -12,7 +12,7 @@
 _INTRODUCTION = """\
 Usage: sardineproxyctl COMMAND [arguments] [flags]
 
-Checks contracts, makes configuration versions and shows what is in force.
+Checks contracts, makes configuration versions and shows the active ones.
 A contract directory DIR contains one *.jsonc file for each customer.
 
 Commands:
@@ -24,7 +24,7 @@
                         is made at most once.
   history               Show the latest versions and who made them.
   versions --admin HOST:PORT,...
-                        Show which version is in force on each entry VM.
+                        Show which version is active on each entry VM.
   state --admin HOST:PORT
                         Show the state dump of one entry VM.
   hash-credential       Read a credential from standard input and print the
--- a/sardineproxy/platform/http_calls.py
+++ b/sardineproxy/platform/http_calls.py
@@ -99,26 +99,28 @@
                 data=body,
                 headers=request_headers,
                 allow_redirects=False,
-            ) as reply:
-                return await _read_response(reply)
+            ) as response:
+                return await _read_response(response)
     except aiohttp.ClientConnectorError as exc:
         return NoResponse(unsent=True, cause=f'not connected: {exc.strerror}')
     except TimeoutError:
-        return NoResponse(unsent=False, cause=f'no answer in {timeout_s:.3f} s')
+        return NoResponse(
+            unsent=False, cause=f'no response in {timeout_s:.3f} s'
+        )
     except (aiohttp.ClientError, OSError, ValueError) as exc:
         return NoResponse(unsent=False, cause=f'{type(exc).__name__}: {exc}')
 
 
-async def _read_response(reply: aiohttp.ClientResponse) -> Response:
-    length = reply.content_length
+async def _read_response(response: aiohttp.ClientResponse) -> Response:
+    length = response.content_length
     if length is not None and length > MAX_RESPONSE_BYTES:
-        raise ValueError(f'answer of {length} bytes is too large')
-    body = await reply.read()
+        raise ValueError(f'response of {length} bytes is too large')
+    body = await response.read()
     if len(body) > MAX_RESPONSE_BYTES:
-        raise ValueError(f'answer of {len(body)} bytes is too large')
+        raise ValueError(f'response of {len(body)} bytes is too large')
     if not body:
-        return Response(status=reply.status, document={})
+        return Response(status=response.status, document={})
     document = json.loads(body)
     if not isinstance(document, dict):
-        raise ValueError('answer is not a JSON object')
-    return Response(status=reply.status, document=document)
+        raise ValueError('response is not a JSON object')
+    return Response(status=response.status, document=document)
--- a/sardineproxy/platform/store_http.py
+++ b/sardineproxy/platform/store_http.py
@@ -55,13 +55,13 @@
         rows: list[store.Row] = []
         query: dict[str, str | int] = {'table': table, 'part': part}
         for _ in range(MAX_PAGES):
-            answer = await self._get('/v1/rows-get', query, wait_s=0)
-            page = _decode_rows(table, answer)
+            response = await self._get('/v1/rows-get', query, wait_s=0)
+            page = _decode_rows(table, response)
             if isinstance(page, result.Err):
                 return page
             rows.extend(page.ok_value.rows)
-            assert isinstance(answer, http_calls.Response)
-            if not answer.document.get('has_more') or not page.ok_value.rows:
+            assert isinstance(response, http_calls.Response)
+            if not response.document.get('has_more') or not page.ok_value.rows:
                 return result.Ok(
                     store.Rows(
                         rows=tuple(rows), revision=page.ok_value.revision
@@ -76,7 +76,7 @@
     ) -> result.Result[store.Row | None, _Error]:
         """Return a row, None if it does not exist."""
         table, _, key_in_table = key.partition('/')
-        answer = await self._get(
+        response = await self._get(
             '/v1/rows-get',
             {
                 'table': table,
@@ -86,7 +86,7 @@
             },
             wait_s=0,
         )
-        page = _decode_rows(table, answer)
+        page = _decode_rows(table, response)
         if isinstance(page, result.Err):
             return page
         return result.Ok(next(iter(page.ok_value.rows), None))
@@ -95,7 +95,7 @@
         self, table: str, *, after: int, wait_s: float
     ) -> result.Result[store.Rows, _Error]:
         """Return the rows that changed after a revision, in order."""
-        answer = await self._get(
+        response = await self._get(
             '/v1/rows-feed',
             {
                 'table': table,
@@ -104,7 +104,7 @@
             },
             wait_s=wait_s,
         )
-        return _decode_rows(table, answer)
+        return _decode_rows(table, response)
 
     async def transact(
         self,
@@ -128,14 +128,14 @@
             ],
             'remove': [_encode_key(removal) for removal in removals],
         }
-        answer = await http_calls.send(
+        response = await http_calls.send(
             self._session,
             'POST',
             http_calls.make_url(self._address, '/v1/rows-tx'),
             timeout_s=RESPONSE_TIMEOUT_S,
             document=document,
         )
-        return _decode_write(answer)
+        return _decode_write(response)
 
     async def _get(
         self, path: str, query: dict[str, str | int], *, wait_s: float
@@ -164,21 +164,21 @@
 
 
 def _decode_rows(
-    table: str, answer: http_calls.Response | http_calls.NoResponse
+    table: str, response: http_calls.Response | http_calls.NoResponse
 ) -> result.Result[store.Rows, _Error]:
-    if isinstance(answer, http_calls.NoResponse):
-        return _error(_Kind.UNAVAILABLE, f'reading {table}: {answer.cause}')
-    if answer.status != _OK:
-        kind = _READ_ERROR_KINDS.get(answer.status, _Kind.INVALID)
-        return _error(kind, f'reading {table}: status {answer.status}')
+    if isinstance(response, http_calls.NoResponse):
+        return _error(_Kind.UNAVAILABLE, f'reading {table}: {response.cause}')
+    if response.status != _OK:
+        kind = _READ_ERROR_KINDS.get(response.status, _Kind.INVALID)
+        return _error(kind, f'reading {table}: status {response.status}')
     try:
         return result.Ok(
             store.Rows(
                 rows=tuple(
                     _decode_row(table, row)
-                    for row in fields.get_list(answer.document, 'rows')
+                    for row in fields.get_list(response.document, 'rows')
                 ),
-                revision=fields.get_integer(answer.document, 'ver'),
+                revision=fields.get_integer(response.document, 'ver'),
             )
         )
     except (fields.FormatError, binascii.Error) as exc:
@@ -207,20 +207,20 @@
 
 
 def _decode_write(
-    answer: http_calls.Response | http_calls.NoResponse,
+    response: http_calls.Response | http_calls.NoResponse,
 ) -> result.Result[int, _Error]:
-    if isinstance(answer, http_calls.NoResponse):
-        kind = _Kind.UNAVAILABLE if answer.unsent else _Kind.UNKNOWN
-        return _error(kind, f'writing: {answer.cause}')
-    if answer.status == _OK:
-        revision = answer.document.get('ver')
+    if isinstance(response, http_calls.NoResponse):
+        kind = _Kind.UNAVAILABLE if response.unsent else _Kind.UNKNOWN
+        return _error(kind, f'writing: {response.cause}')
+    if response.status == _OK:
+        revision = response.document.get('ver')
         if isinstance(revision, int):
             return result.Ok(revision)
-        return _error(_Kind.UNKNOWN, 'writing: the answer has no revision')
+        return _error(_Kind.UNKNOWN, 'writing: the response has no revision')
     kinds = {
         _PRECONDITION_FAILED: _Kind.CONFLICT,
         _TOO_MANY_REQUESTS: _Kind.UNAVAILABLE,
         _UNAVAILABLE: _Kind.UNAVAILABLE,
     }
-    kind = kinds.get(answer.status, _Kind.INVALID)
-    return _error(kind, f'writing: status {answer.status}')
+    kind = kinds.get(response.status, _Kind.INVALID)
+    return _error(kind, f'writing: status {response.status}')
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Decodes clients' requests and encodes their answers."""
+"""Decodes clients' requests and encodes the responses."""
 
 import dataclasses
 import json
@@ -68,7 +68,7 @@
     job_id = decode_job_id(name)
     if job_id is None or not isinstance(document, dict):
         return result.Err(
-            Malformed(detail='job id is malformed or body is no JSON object')
+            Malformed(detail='malformed job id, or body is not a JSON object')
         )
     try:
         feature = _find_unsupported_feature(document)
--- a/sardineproxy/platform/worker_http.py
+++ b/sardineproxy/platform/worker_http.py
@@ -51,7 +51,7 @@
         timeout_s: float,
     ) -> workers.Accepted | workers.Refused | workers.Unanswered:
         """Order the start of a run."""
-        answer = await self._post(
+        response = await self._post(
             worker,
             '/v1/run-start',
             {
@@ -63,7 +63,7 @@
             },
             timeout_s,
         )
-        return _decode_outcome(answer)
+        return _decode_outcome(response)
 
     async def stop(
         self,
@@ -75,13 +75,13 @@
         timeout_s: float,
     ) -> workers.Accepted | workers.Refused | workers.Unanswered:
         """Order the stop of a run, which must not start afterwards either."""
-        answer = await self._post(
+        response = await self._post(
             worker,
             '/v1/run-stop',
             {'task': task, 'run': run, 'fence': fence},
             timeout_s,
         )
-        return _decode_outcome(answer)
+        return _decode_outcome(response)
 
     async def poll(
         self, worker: workers.Worker, poll: workers.Poll, *, timeout_s: float
@@ -95,13 +95,13 @@
             document['expires_ms'] = poll.expires_ms
         if poll.wait_s:
             document['wait_ms'] = int(poll.wait_s * _MS_PER_S)
-        answer = await self._post(worker, '/v1/hold', document, timeout_s)
-        outcome = _decode_outcome(answer)
+        response = await self._post(worker, '/v1/hold', document, timeout_s)
+        outcome = _decode_outcome(response)
         if not isinstance(outcome, workers.Accepted):
             return outcome
-        assert isinstance(answer, http_calls.Response)
+        assert isinstance(response, http_calls.Response)
         try:
-            return _decode_report(answer.document)
+            return _decode_report(response.document)
         except (fields.FormatError, KeyError) as exc:
             return _malformed_response(f'report: {exc}')
 
@@ -123,23 +123,23 @@
 
 
 def _decode_outcome(
-    answer: _Response,
+    response: _Response,
 ) -> workers.Accepted | workers.Refused | workers.Unanswered:
-    if isinstance(answer, http_calls.NoResponse):
-        return workers.Unanswered(unsent=answer.unsent, cause=answer.cause)
-    if answer.status == _OK:
-        clock_ms = answer.document.get('clock_ms')
+    if isinstance(response, http_calls.NoResponse):
+        return workers.Unanswered(unsent=response.unsent, cause=response.cause)
+    if response.status == _OK:
+        clock_ms = response.document.get('clock_ms')
         if isinstance(clock_ms, int):
             return workers.Accepted(clock_ms=clock_ms)
-        return _malformed_response('the answer has no clock')
-    if answer.status == _CONFLICT:
-        reason = answer.document.get('reason')
+        return _malformed_response('the response has no clock')
+    if response.status == _CONFLICT:
+        reason = response.document.get('reason')
         refusal = _REFUSALS.get(str(reason), workers.Refusal.NOT_EXECUTED)
         return workers.Refused(reason=refusal, detail=f'reason {reason}')
-    if answer.status == _OTHER_WORKER:
+    if response.status == _OTHER_WORKER:
         return workers.Refused(reason=workers.Refusal.OTHER_WORKER)
     return workers.Refused(
-        reason=workers.Refusal.NOT_EXECUTED, detail=f'status {answer.status}'
+        reason=workers.Refusal.NOT_EXECUTED, detail=f'status {response.status}'
     )
 
 
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -12,7 +12,7 @@
 from sardineproxy.request import jobs, open_tasks
 from sardineproxy.version import routes
 
-#: Maximum wait for the new leader of a shard that lost its leader, in seconds.
+#: Maximum wait for the new leader of a shard without a leader, in seconds.
 LEADER_WAIT_S = 1.0
 
 #: Time reserved for returning the response to the client, in seconds.
@@ -39,7 +39,7 @@
 
 
 class Coordinator:
-    """Submits a job's tasks to shards until all of them have ended."""
+    """Submits a job's tasks to shard leaders and determines its outcome."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
 
     def _timeout_cause(self) -> str:
         if self._open.has_unassigned():
-            return 'no leader of the shard in time'
+            return 'no shard leader before the timeout'
         return 'deadline passed'
 
     def _start_ready_steps(self, default_shard: ids.ShardId) -> None:
@@ -213,7 +213,7 @@
     def _declined_outcome(
         self, declined: messages.Declined, tasks: list[open_tasks.OpenTask]
     ) -> jobs.Outcome:
-        """Return ``NotRun`` if no task of the job can have started."""
+        """Return ``NotRun`` if no task can have started, else ``GivenUp``."""
         for task in tasks:
             task.leader = None
         all_declined = len(tasks) == len(self._open)
--- a/sardineproxy/request/executions.py
+++ b/sardineproxy/request/executions.py
@@ -40,7 +40,7 @@
 
 
 class Execution:
-    """Runs the tasks of one record, each exactly once."""
+    """Runs the tasks of one record unless they are cancelled."""
 
     def __init__(
         self,
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -28,9 +28,9 @@
 #: Maximum number of tasks with excluded endpoints among the candidates.
 MAX_RESTRICTED_CANDIDATES = 4
 
-#: Credit of a customer whose queue was empty, in run times per running task.
-#: Without it, bursts of a customer below its share would wait although its
-#: average load allows them.
+#: Credit of a customer whose queue was empty, in run times per running task;
+#: one run time is added. Without it, bursts of a customer below its share would
+#: wait although its average load allows them.
 IDLE_CREDIT_PER_RUNNING = 0.25
 
 
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaderLost:
-    """The link to a shard's leader closed, or it gave up the shard."""
+    """The link to a shard's leader closed, or the leader stepped down."""
 
     shard: ids.ShardId
     former_leader: link.Link
@@ -58,7 +58,7 @@
     #: True if the task was moved from its initial shard.
     was_moved: bool = False
 
-    #: True until the move to another shard has been stored.
+    #: True while the move to another shard is being stored.
     is_moving: bool = False
 
     #: Link to the leader that the task is assigned to, None if unassigned.
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -4,7 +4,8 @@
 replaced it, outlives the key. Records that are evicted early are replaced by
 tombstones without the reply; evicting a tombstone early voids all older keys
 of the same customer that have no record. Eviction starts with the customer
-that has the most entries, so that no customer can evict those of another.
+that has the most records, reply bytes or tombstones, depending on the exceeded
+limit, so that no customer can evict the entries of another.
 """
 
 import asyncio
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -24,8 +24,8 @@
 #: Number of random bits in the id of a keyless request.
 KEYLESS_ID_BITS = 64
 
-#: Timeout of a forwarded request, in seconds beyond the longest deadline of
-#: the submission.
+#: Timeout of a forwarded request, in seconds. The maximum deadline of the
+#: contract is added if the reply is sent when the submission has ended.
 FORWARD_SLACK_S = 5
 
 Runner = executions.Runner
--- a/sardineproxy/version/fetch_policy.py
+++ b/sardineproxy/version/fetch_policy.py
@@ -1,9 +1,9 @@
 """Policy for requesting newer versions from other entry VMs."""
 
-#: Time for which a process waits to read a version from the store that other
-#: VMs have announced, in seconds. A large version takes half a second on the
-#: network links of the slowest VMs and must not be fetched from several
-#: sources at once.
+#: Time for which a process that can read the store waits for an announced
+#: version from there before requesting it from another VM, in seconds. A large
+#: version takes half a second on the network links of the slowest VMs and must
+#: not be fetched from several sources at once.
 STORE_WAIT_S = 0.3
 
 #: Time to wait for a response before requesting the version from another VM,
--- a/sardineproxy/version/follower.py
+++ b/sardineproxy/version/follower.py
@@ -28,8 +28,8 @@
     """Activates the newest version that this process can parse.
 
     The number of ``active_version`` never decreases. Versions whose contracts
-    cannot be parsed are followed as texts, so that a later version that can
-    be parsed becomes active.
+    cannot be parsed are retained as texts to which later changes are applied,
+    so that a later version that can be parsed becomes active.
     """
 
     def __init__(
--- a/sardineproxy/version/routes.py
+++ b/sardineproxy/version/routes.py
@@ -14,8 +14,8 @@
     path_prefix: str
     service: ids.ServiceId
 
-    #: A job is on time within ``stretch`` times its longest task and
-    #: ``slack_s`` seconds more.
+    #: A job is on time if it takes at most ``stretch`` times the run time of
+    #: its longest task, plus ``slack_s`` seconds.
     stretch: float
     slack_s: float
 
@@ -26,7 +26,7 @@
     max_attempts: int
 
     def time_limit_s(self, expected_s: float) -> float:
-        """Return the time within which a job is on time, in seconds."""
+        """Return the time limit of a job by its expected time, in seconds."""
         return expected_s * self.stretch + self.slack_s
 
 
--- a/tests/operator/test_core.py
+++ b/tests/operator/test_core.py
@@ -21,7 +21,7 @@
 
 
 class StateHandler(server.BaseHTTPRequestHandler):
-    """Answers ``/state`` as an entry process does."""
+    """Responds to ``/state`` as an entry process does."""
 
     def do_GET(self):
         self.send_response(200 if self.path == '/state' else 404)
@@ -219,7 +219,7 @@
         none_yet = self.admin('vm-4', 0, None)
         for addresses, status, expected in (
             ((first,), ExitStatus.SUCCESS, 'vm-1  3  aa\n'),
-            ((first, later), ExitStatus.SUCCESS, 'in force: 3, 4.'),
+            ((first, later), ExitStatus.SUCCESS, 'Active versions: 3, 4.'),
             (
                 (later, other),
                 ExitStatus.ERROR,
--- a/tests/platform/store_server.py
+++ b/tests/platform/store_server.py
@@ -74,14 +74,14 @@
             case Fault.RESET:
                 endpoint_reset.reset(req.transport)
             case Fault.RESPONSE_LOST:
-                await self._answer(req)
+                await self._respond(req)
                 endpoint_reset.reset(req.transport)
             case Fault.NONE:
                 with contextlib.suppress(ConnectionResetError):
-                    return await self._answer(req)
+                    return await self._respond(req)
         return web.Response(status=500)
 
-    async def _answer(self, req: web.BaseRequest) -> web.Response:
+    async def _respond(self, req: web.BaseRequest) -> web.Response:
         match req.path:
             case '/v1/rows-tx':
                 return self._transact(await req.json())
--- a/tests/platform/test_store_http.py
+++ b/tests/platform/test_store_http.py
@@ -47,8 +47,10 @@
     asyncio.run(main())
 
 
-def kind_of(answer: Any) -> Any:
-    return answer.err_value.kind if isinstance(answer, result.Err) else answer
+def kind_of(outcome: Any) -> Any:
+    return (
+        outcome.err_value.kind if isinstance(outcome, result.Err) else outcome
+    )
 
 
 class TestReading(testtools.TestCase):
@@ -62,10 +64,10 @@
             for number in range(1203):
                 rig.rows.put(f't/{number:05}', b'%d' % number)
             rig.rows.put('other/1', b'')
-            answer = await rig.client.read('t')
-            self.assertEqual(1203, len(answer.ok_value.rows))
-            self.assertEqual('t/01202', answer.ok_value.rows[-1].key)
-            self.assertEqual(1204, answer.ok_value.revision)
+            outcome = await rig.client.read('t')
+            self.assertEqual(1203, len(outcome.ok_value.rows))
+            self.assertEqual('t/01202', outcome.ok_value.rows[-1].key)
+            self.assertEqual(1204, outcome.ok_value.revision)
 
         with_rig(scenario)
 
@@ -76,10 +78,10 @@
             rig.rows.put('t/a', b'1')
             rig.rows.put('t/b', b'2')
             rig.rows.put('t/a', None)
-            answer = await rig.client.changes('t', after=1, wait_s=0)
+            outcome = await rig.client.changes('t', after=1, wait_s=0)
             self.assertEqual(
                 [('t/b', b'2'), ('t/a', None)],
-                [(row.key, row.body) for row in answer.ok_value.rows],
+                [(row.key, row.body) for row in outcome.ok_value.rows],
             )
 
         with_rig(scenario)
@@ -94,8 +96,8 @@
             await asyncio.sleep(0.05)
             self.assertFalse(reading.done())
             rig.rows.put('t/a', b'1')
-            answer = await reading
-            self.assertEqual(1, len(answer.ok_value.rows))
+            outcome = await reading
+            self.assertEqual(1, len(outcome.ok_value.rows))
 
         with_rig(scenario)
 
@@ -105,8 +107,8 @@
         async def scenario(rig: Rig) -> None:
             rig.rows.put('t/a', b'1')
             rig.rows.forget_history()
-            answer = await rig.client.changes('t', after=0, wait_s=0)
-            self.assertEqual(_Kind.HISTORY_LOST, kind_of(answer))
+            outcome = await rig.client.changes('t', after=0, wait_s=0)
+            self.assertEqual(_Kind.HISTORY_LOST, kind_of(outcome))
 
         with_rig(scenario)
 
@@ -120,8 +122,8 @@
                 _Fault.NO_RESPONSE,
             ):
                 rig.server.fault = fault
-                answer = await rig.client.read('t')
-                self.assertEqual(_Kind.UNAVAILABLE, kind_of(answer))
+                outcome = await rig.client.read('t')
+                self.assertEqual(_Kind.UNAVAILABLE, kind_of(outcome))
 
         with_rig(scenario)
 
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -14,7 +14,7 @@
 from tests.platform import worker_server
 from tests.process.shards import samples
 
-#: Timeout of calls that are answered without delay, in seconds.
+#: Timeout of calls whose response is not delayed, in seconds.
 LONG_S = 10
 
 
@@ -132,14 +132,14 @@
             listed = dataclasses.replace(
                 rig.model.worker, worker=ids.WorkerId('w0')
             )
-            answer = await rig.api.stop(
+            outcome = await rig.api.stop(
                 listed,
                 task=workers.TaskName('t'),
                 run=1,
                 fence=1,
                 timeout_s=LONG_S,
             )
-            self.assertEqual(workers.Refusal.OTHER_WORKER, answer.reason)
+            self.assertEqual(workers.Refusal.OTHER_WORKER, outcome.reason)
 
         with_rig(scenario)
 
@@ -151,9 +151,9 @@
 
         async def scenario(rig: Rig) -> None:
             rig.server.order_delay_s = LONG_S
-            answer = await rig.stop(timeout_s=0.05)
-            self.assertIsInstance(answer, workers.Unanswered)
-            self.assertFalse(answer.unsent)
+            outcome = await rig.stop(timeout_s=0.05)
+            self.assertIsInstance(outcome, workers.Unanswered)
+            self.assertFalse(outcome.unsent)
 
         with_rig(scenario)
 
@@ -162,8 +162,8 @@
 
         async def scenario(rig: Rig) -> None:
             rig.server.set_address(1)
-            answer = await rig.stop()
-            self.assertTrue(answer.unsent)
+            outcome = await rig.stop()
+            self.assertTrue(outcome.unsent)
 
         with_rig(scenario)
 
--- a/tests/platform/worker_server.py
+++ b/tests/platform/worker_server.py
@@ -35,7 +35,7 @@
         self.is_unhealthy = False
 
         #: Orders get no response and are executed after this delay, in seconds;
-        #: 0 if they are executed and answered without delay.
+        #: 0 if they are executed and get a response without delay.
         self.order_delay_s: float = 0
         self._delayed_orders: set[asyncio.Task[None]] = set()
 
@@ -120,7 +120,7 @@
         return None
 
     async def _wait_for_results(self, document: Any) -> None:
-        """Delay a poll until there is a result; its fence applies at once."""
+        """Wait for a result; the poll's fencing token takes effect at once."""
         wait_s = document.get('wait_ms', 0) / 1000
         first = self.model.poll(_decode_poll(document), self.clock.now())
         deadline = self.clock.now() + wait_s
--- a/tests/request/test_coordinator.py
+++ b/tests/request/test_coordinator.py
@@ -188,7 +188,11 @@
         run_scenario(scenario)
 
     def test_moved_tasks_are_submitted_with_job_started(self) -> None:
-        """Guards against declining tasks of a job that runs in two shards."""
+        """Guards against declining some tasks of a job whose others may run.
+
+        The second shard's leader declines late tasks unless the message says
+        that the job may have started in the first shard.
+        """
 
         async def scenario(rig: Rig) -> None:
             self.assertFalse(rig.submitted()[0].job_started)
@@ -198,7 +202,11 @@
         run_scenario(scenario)
 
     def test_completely_moved_job_has_not_started(self) -> None:
-        """Guards against running a late job that could still be declined."""
+        """Guards against running a late job that could still be declined.
+
+        The first shard's leader declined all tasks, so none has started, and
+        the second shard's leader may decline them, too.
+        """
 
         async def scenario(rig: Rig) -> None:
             await rig.decline(0, 1, suggested_shard=OTHER_SHARD)
--- a/tests/version/samples.py
+++ b/tests/version/samples.py
@@ -94,10 +94,10 @@
 
 async def apply(client, base, operator='ann', **weights):
     """Apply a version ``base + 1`` with these weights."""
-    wanted = applying.ApplyRequest(
+    request = applying.ApplyRequest(
         documents=documents(**weights),
         base=base,
         operator=operator,
         apply_id='0f',
     )
-    return (await applying.apply(client, wanted)).unwrap()
+    return (await applying.apply(client, request)).unwrap()
