--- a/sardineproxy/connection/caller_connection.py
+++ b/sardineproxy/connection/caller_connection.py
@@ -140,7 +140,7 @@
         load: ListenerLoad,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        """Wait for the first request; a listener's connections share ``load``."""
+        """Create a connection; all those of a listener share ``load``."""
         super().__init__(
             server,
             loop=loop,
--- a/sardineproxy/connection/endpoint_pool.py
+++ b/sardineproxy/connection/endpoint_pool.py
@@ -135,7 +135,7 @@
             self._complete_bytes = self._received_bytes
 
     def is_reusable(self) -> bool:
-        """Return whether only complete responses were received."""
+        """Return whether it is open and received only complete responses."""
         if self.should_close or self.transport is None:
             return False
         if self.exchange_count and self._complete_bytes != self._received_bytes:
--- a/sardineproxy/platform/http_calls.py
+++ b/sardineproxy/platform/http_calls.py
@@ -15,8 +15,8 @@
 #: up to 1 MB of row contents, and base64 adds a third.
 MAX_RESPONSE_BYTES = 4_194_304
 
-#: Most connections to one server of the platform. The platform allows 64
-#: connections to a worker from all entry VMs together.
+#: Maximum number of connections to one server of the platform. The platform
+#: allows 64 connections to a worker from all entry VMs together.
 MAX_CONNECTIONS = 8
 
 #: Idle connections are closed after this time, in seconds; it is shorter than
--- a/sardineproxy/platform/store_http.py
+++ b/sardineproxy/platform/store_http.py
@@ -16,10 +16,10 @@
 #: times 4 ms.
 RESPONSE_TIMEOUT_S = 0.6
 
-#: Most rows that the store returns in one page.
+#: Maximum number of rows that the store returns in one page.
 PAGE_ROWS = 500
 
-#: Most pages of one table that are read, to limit memory use.
+#: Maximum number of pages of one table that are read, to limit memory use.
 MAX_PAGES = 64
 
 _MS_PER_S = 1000
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -180,8 +180,8 @@
     )
 )
 
-#: ``Retry-After`` if a stored job's manager does not respond, in seconds; the
-#: manager is replaced within a second.
+#: ``Retry-After`` if a stored job's manager refuses a request or does not
+#: respond, in seconds; the manager is replaced within a second.
 NO_MANAGER_RETRY_S = 1.0
 
 
--- a/sardineproxy/platform/worker_http.py
+++ b/sardineproxy/platform/worker_http.py
@@ -9,7 +9,7 @@
 
 _MS_PER_S = 1000
 
-#: Most finished runs that a worker lists in one report.
+#: Maximum number of finished runs that a worker lists in one report.
 MAX_LISTED_RESULTS = 500
 
 _OK = 200
--- a/tests/connection/test_endpoint.py
+++ b/tests/connection/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Tests of single attempts against endpoints that fail in known ways."""
+"""Tests of single attempts against endpoints with scripted failures."""
 
 import asyncio
 from typing import Any, Awaitable, Callable
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -128,7 +128,7 @@
         self.assertIsNone(table.find('a.example', '/b/'))
 
     def test_error_names_the_route(self) -> None:
-        """Guards against an error that cannot be found in a thousand routes."""
+        """Guards against an error that does not say which route is invalid."""
         body = samples.configuration(7, samples.route(max_attempts='many'))
         error = configuration.decode(body).err_value
         self.assertThat(error, matchers.Contains('route r-1: max_attempts'))
--- a/tests/request/test_fair_queue.py
+++ b/tests/request/test_fair_queue.py
@@ -159,8 +159,11 @@
         bound += 2 * max(times) / min(weights)
         self.assertLess(max(normalized) - min(normalized), bound)
 
-    def test_idle_time_earns_no_credit(self) -> None:
-        """Guards against a customer that starves others after it was idle."""
+    def test_credit_for_idle_time_is_limited(self) -> None:
+        """Guards against a customer that starves others after it was idle.
+
+        Its credit must not grow with the time for which it was idle.
+        """
         queue = fair_queue.FairQueue()
         for _ in range(100):
             enqueue(queue, 'busy')
--- a/tests/request/test_keys.py
+++ b/tests/request/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of the issue, parsing and verification of idempotency keys."""
+"""Tests of issuing, parsing and verifying idempotency keys."""
 
 import hypothesis
 import testtools
