--- a/sardineproxy/bench/driver.py
+++ b/sardineproxy/bench/driver.py
@@ -1,4 +1,4 @@
-"""Open-loop load: submissions leave at their times, whatever comes back."""
+"""Open-loop load driver: the arrival times do not depend on the replies."""
 
 import asyncio
 import dataclasses
@@ -8,145 +8,154 @@
 from sardineproxy import clock as clocks
 from sardineproxy.bench import workload
 
-#: Pause before the first arrival, in seconds.
-LEAD_S = 0.2
+#: Delay from the start of the driver to the start of the phase.
+START_DELAY_S = 0.2
 
 UNANSWERED = 'unanswered'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Reply:
-    """What became of a submission."""
+class Outcome:
+    """Checked outcome of a submission."""
 
-    #: Tasks whose right answer was received.
-    useful: int
+    #: Number of tasks with a correct result.
+    correct_tasks: int
 
-    #: What was wrong, or None.
-    fault: str | None = None
+    #: First error that was found, or None.
+    error: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Sample:
-    """A submission, its response time and its reply.
+    """A submission with its response time and outcome.
 
-    The response counts from the moment at which the driver sent, which does
-    not depend on answers, ``late_s`` after the planned arrival. That of an
-    unanswered submission is the time after which the driver gave up.
+    The response time starts when the driver sends, which is ``lateness_s``
+    after the planned arrival and does not depend on earlier replies. For an
+    unanswered submission it ends when the driver stopped waiting.
     """
 
     submission: workload.Submission
     response_s: float
-    late_s: float
-    reply: Reply
+    lateness_s: float
+    outcome: Outcome
 
     @property
-    def counts(self) -> bool:
-        """Tell whether the response time is a figure: right, or too late."""
-        return self.reply.fault in {None, UNANSWERED}
+    def is_counted(self) -> bool:
+        """True if the response time enters the figures.
+
+        It does for correct replies and for submissions without a reply.
+        """
+        return self.outcome.error in {None, UNANSWERED}
 
 
 class Sender(Protocol):
-    """Sends submissions, and checks their answers after the phase."""
+    """Sends submissions during a phase and checks the replies after it."""
 
     async def send(self, submission: workload.Submission) -> Any:
-        """Return the answer, unchecked; raise nothing."""
+        """Return the reply, unchecked; never raises."""
 
-    def judge(self, submission: workload.Submission, answer: Any) -> Reply:
-        """Check what ``send`` returned."""
+    def check(self, submission: workload.Submission, reply: Any) -> Outcome:
+        """Check the reply that ``send`` returned."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Answered:
+class _RawSample:
     submission: workload.Submission
     response_s: float
-    late_s: float
+    lateness_s: float
 
-    #: None if the driver gave up.
-    answer: Any
+    #: None if the driver stopped waiting.
+    reply: Any
 
 
 class Driver:
-    """Drives one phase of load.
+    """Offers the load of one phase.
 
-    Answers are checked after the phase, and the collector of cyclic garbage
-    rests during it, because both delayed arrivals by tens of milliseconds.
+    Replies are checked after the phase and the cyclic garbage collector is
+    off during it, because each of them delayed arrivals by tens of
+    milliseconds.
     """
 
     def __init__(self, *, clock: clocks.Clock, sender: Sender) -> None:
-        """Send by ``sender``."""
+        """Create a driver that sends through ``sender``."""
         self._clock = clock
         self._sender = sender
-        self._answered: list[_Answered] = []
+        self._raw_samples: list[_RawSample] = []
 
-        #: Clock reading of the phase's start.
-        self.start = float(0)
+        #: Start of the phase, by ``clock``.
+        self.started_at = float(0)
 
-    async def drive(
+    async def run(
         self,
         submissions: Sequence[workload.Submission],
         *,
-        drain_limit_s: float,
+        drain_timeout_s: float,
     ) -> list[Sample]:
-        """Send all; wait at most ``drain_limit_s`` after the last arrival."""
+        """Send all submissions at their arrival times.
+
+        Waits at most ``drain_timeout_s`` after the last arrival.
+        """
         gc.collect()
         gc.disable()
         try:
-            await self._offer(submissions, drain_limit_s)
+            await self._send_all(submissions, drain_timeout_s)
         finally:
             gc.enable()
-        return [self._judge(answered) for answered in self._answered]
+        return [self._check(raw_sample) for raw_sample in self._raw_samples]
 
-    async def _offer(
+    async def _send_all(
         self,
         submissions: Sequence[workload.Submission],
-        drain_limit_s: float,
+        drain_timeout_s: float,
     ) -> None:
-        self.start = self._clock.now() + LEAD_S
+        self.started_at = self._clock.now() + START_DELAY_S
         pending: set[asyncio.Task[None]] = set()
         for submission in submissions:
-            await self._sleep_until(self.start + submission.arrival)  # noqa: WPS476
-            task = asyncio.create_task(self._send(submission))
+            await self._sleep_until(self.started_at + submission.arrival_s)  # noqa: WPS476
+            task = asyncio.create_task(self._send_one(submission))
             pending.add(task)
             task.add_done_callback(pending.discard)
-        await self._drain(pending.copy(), drain_limit_s)
+        await self._drain(pending.copy(), drain_timeout_s)
 
-    async def _sleep_until(self, when: float) -> None:
-        delay_s = when - self._clock.now()
+    async def _sleep_until(self, arrives_at: float) -> None:
+        delay_s = arrives_at - self._clock.now()
         if delay_s > 0:
             await asyncio.sleep(delay_s)
 
     async def _drain(
-        self, pending: set[asyncio.Task[None]], limit_s: float
+        self, pending: set[asyncio.Task[None]], timeout_s: float
     ) -> None:
         if not pending:
             return
-        _, late = await asyncio.wait(pending, timeout=limit_s)
-        for task in late:
+        _, unanswered = await asyncio.wait(pending, timeout=timeout_s)
+        for task in unanswered:
             task.cancel()
         await asyncio.gather(*pending, return_exceptions=True)
 
-    async def _send(self, submission: workload.Submission) -> None:
-        sent = self._clock.now()
-        answer = None
+    async def _send_one(self, submission: workload.Submission) -> None:
+        sent_at = self._clock.now()
+        reply = None
         try:
-            answer = await self._sender.send(submission)
+            reply = await self._sender.send(submission)
         finally:
-            self._answered.append(
-                _Answered(
+            self._raw_samples.append(
+                _RawSample(
                     submission=submission,
-                    response_s=self._clock.now() - sent,
-                    late_s=sent - self.start - submission.arrival,
-                    answer=answer,
+                    response_s=self._clock.now() - sent_at,
+                    lateness_s=sent_at - self.started_at - submission.arrival_s,
+                    reply=reply,
                 )
             )
 
-    def _judge(self, answered: _Answered) -> Sample:
-        reply = Reply(useful=0, fault=UNANSWERED)
-        if answered.answer is not None:
-            reply = self._sender.judge(answered.submission, answered.answer)
+    def _check(self, raw_sample: _RawSample) -> Sample:
+        outcome = Outcome(correct_tasks=0, error=UNANSWERED)
+        if raw_sample.reply is not None:
+            outcome = self._sender.check(
+                raw_sample.submission, raw_sample.reply
+            )
         return Sample(
-            submission=answered.submission,
-            response_s=answered.response_s,
-            late_s=answered.late_s,
-            reply=reply,
+            submission=raw_sample.submission,
+            response_s=raw_sample.response_s,
+            lateness_s=raw_sample.lateness_s,
+            outcome=outcome,
         )
--- a/sardineproxy/bench/fleet.py
+++ b/sardineproxy/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The measured deployment: three zones, 24 workers and 6 entry VMs."""
+"""The deployment under test: three zones, 24 workers and 6 entry VMs."""
 
 import asyncio
 import json
@@ -9,36 +9,38 @@
 
 ZONES = ('sondrio', 'tirano', 'morbegno')
 
-#: Speeds of each zone's eight workers; they differ by up to four times.
+#: Speeds of the eight workers of each zone; the fastest is four times as fast
+#: as the slowest.
 SPEEDS = (0.5, 0.7, 1, 1, 1.2, 1.4, 1.7, 2)
-SLOTS = 8
+SLOTS_PER_WORKER = 8
 
-#: Sizes of each zone's entry VMs.
+#: Sizes of the entry VMs of each zone.
 ENTRY_SIZES = (1, 3)
 
-#: Share of the tasks and weight of each customer of the main load.
+#: Customers of the main load, each with its share of the tasks, which is also
+#: its weight.
 CUSTOMERS = (('clerks', 0.5), ('archive', 0.3), ('prefecture', 0.2))
-POLITE = 'polite'
-RIVAL = 'rival'
+POLITE_CUSTOMER = 'polite'
+RIVAL_CUSTOMER = 'rival'
 
-#: Tasks of the rival that may wait at one entry VM; bounds the time that its
-#: backlog takes to end after a phase. Other customers' queues are not reached.
-RIVAL_QUEUE = 500
-OTHER_QUEUE = 100_000
+#: Queue limit of the rival at one entry VM; it bounds the time to drain the
+#: backlog after a phase. The limit of the other customers is never reached.
+RIVAL_QUEUE_LIMIT = 500
+QUEUE_LIMIT = 100_000
 MAX_JOB_TASKS = 500
-IDLE_LIMIT_S = 60
-IDLE_POLL_S = 0.1
+IDLE_TIMEOUT_S = 60
+IDLE_POLL_INTERVAL_S = 0.1
 
 
 class Fleet:
-    """A running deployment and the callers of all customers."""
+    """Starts the deployment under test and reads its counters."""
 
     def __init__(self, dep: deployment.Deployment) -> None:
-        """Use ``dep``, which the caller of this class ends."""
+        """Use ``dep``, which stays owned by the caller of this class."""
         self.dep = dep
 
     @property
-    def slots(self) -> list[float]:
+    def slot_speeds(self) -> list[float]:
         """Return the speed of each slot."""
         return [
             endpoint.speed
@@ -48,15 +50,15 @@
 
     @property
     def capacity(self) -> float:
-        """Return the run time at speed 1 that the slots do each second."""
-        return sum(self.slots)
+        """Return the task seconds at speed 1 that the slots run each second."""
+        return sum(self.slot_speeds)
 
     async def start_endpoints(self) -> None:
-        """Start one process of endpoints for each zone."""
+        """Start one process of stand-in endpoints for each zone."""
         await start_endpoints(self.dep)
 
     async def start_entries(self) -> None:
-        """Start the platform and the entry processes; apply contracts."""
+        """Start the platform and entry processes and apply the contracts."""
         await self.dep.start_platform()
         await self.dep.register()
         await asyncio.gather(
@@ -74,14 +76,14 @@
         contracts = await asyncio.gather(
             *(
                 self._compose_contract(name)
-                for name in (*dict(CUSTOMERS), POLITE, RIVAL)
+                for name in (*dict(CUSTOMERS), POLITE_CUSTOMER, RIVAL_CUSTOMER)
             )
         )
         await self.dep.apply(contracts)
         await self.dep.wait_ready()
 
-    def connect(self) -> dict[tuple[int, str], caller.Caller]:
-        """Return a caller for each entry's index and customer."""
+    def create_callers(self) -> dict[tuple[int, str], caller.Caller]:
+        """Return a caller for each pair of entry VM index and customer."""
         return {
             (index, name): caller.Caller(
                 session=self.dep.session,
@@ -89,57 +91,62 @@
                 credential=_credential(name),
             )
             for index, entry in enumerate(self.entries)
-            for name in (*dict(CUSTOMERS), POLITE, RIVAL)
+            for name in (*dict(CUSTOMERS), POLITE_CUSTOMER, RIVAL_CUSTOMER)
         }
 
     @property
     def entries(self) -> list[parts.Entry]:
-        """Return the entry VMs in an order that does not vary."""
+        """Return the entry VMs, sorted by name."""
         return [entry for _, entry in sorted(self.dep.entries.items())]
 
     async def read_counters(self) -> measures.Counters:
-        """Return the sums of all entry processes' message counters."""
-        texts = await asyncio.gather(
+        """Return the message counters, summed over all entry processes."""
+        exposition_texts = await asyncio.gather(
             *(
                 self.dep.request('GET', entry.admin_url('/metrics'))
                 for entry in self.entries
             )
         )
-        return measures.add([measures.parse_counters(text) for text in texts])
+        return measures.sum_counters(
+            [measures.parse_counters(text) for text in exposition_texts]
+        )
 
     async def read_cpu(self) -> float:
-        """Return the processor seconds of all entry processes."""
-        dumps = await asyncio.gather(
+        """Return the CPU time of all entry processes, in seconds."""
+        state_documents = await asyncio.gather(
             *(
                 self.dep.request('GET', entry.admin_url('/state'))
                 for entry in self.entries
             )
         )
-        return sum(float(json.loads(dump)['cpu_s']) for dump in dumps)
+        return sum(
+            float(json.loads(state_document)['cpu_s'])
+            for state_document in state_documents
+        )
 
     async def wait_idle(self) -> None:
         """Wait until no endpoint runs a task."""
         try:
-            async with asyncio.timeout(IDLE_LIMIT_S):
-                while await self._count_running():
-                    await asyncio.sleep(IDLE_POLL_S)
+            async with asyncio.timeout(IDLE_TIMEOUT_S):
+                while await self._count_running_tasks():
+                    await asyncio.sleep(IDLE_POLL_INTERVAL_S)
         except TimeoutError as exc:
             raise processes.DeploymentError(
-                f'endpoints still run tasks after {IDLE_LIMIT_S} s'
+                f'endpoints did not become idle within {IDLE_TIMEOUT_S} s'
             ) from exc
 
     async def read_starts(self) -> dict[str, list[dict[str, Any]]]:
-        """Return and clear the starts of each endpoint."""
+        """Return and clear the task starts recorded by each endpoint."""
         names = list(self.dep.endpoints)
-        records = await asyncio.gather(
+        starts_by_endpoint = await asyncio.gather(
             *(self.dep.read_record(name, clear=True) for name in names)
         )
         return {
             name: starts
-            for name, (_, starts) in zip(names, records, strict=True)
+            for name, (_, starts) in zip(names, starts_by_endpoint, strict=True)
         }
 
-    async def _count_running(self) -> int:
+    async def _count_running_tasks(self) -> int:
         modes = await asyncio.gather(
             *(
                 self.dep.request('GET', f'{endpoint.control}/mode')
@@ -157,25 +164,27 @@
             'submit_per_s': 1_000_000.0,
             'submit_burst': 1_000_000,
             'hold': 100_000,
-            'queue': RIVAL_QUEUE if name == RIVAL else OTHER_QUEUE,
+            'queue': RIVAL_QUEUE_LIMIT
+            if name == RIVAL_CUSTOMER
+            else QUEUE_LIMIT,
             'max_job_tasks': MAX_JOB_TASKS,
         }
 
 
 async def start_endpoints(dep: deployment.Deployment) -> None:
-    """Start the workers of all zones, one process for each zone."""
+    """Start the workers of all zones, in one process for each zone."""
     await asyncio.gather(
         *(
             dep.start_endpoints(
                 [
                     parts.EndpointSpec(
-                        name=f'{zone}-worker-{number + 1}',
+                        name=f'{zone}-worker-{index + 1}',
                         zone=zone,
                         speed=speed,
                     )
-                    for number, speed in enumerate(SPEEDS)
+                    for index, speed in enumerate(SPEEDS)
                 ],
-                slots=SLOTS,
+                slots=SLOTS_PER_WORKER,
             )
             for zone in ZONES
         )
--- a/sardineproxy/bench/floor.py
+++ b/sardineproxy/bench/floor.py
@@ -1,4 +1,4 @@
-"""Floors of the run: round trip and the libraries' processor time."""
+"""Lower bounds of this machine: round trip and CPU time of the libraries."""
 
 import asyncio
 import dataclasses
@@ -8,113 +8,123 @@
 from sardineproxy.bench import floor_server, measures
 from sardineproxy.demo import child, deployment, parts
 
-#: Run time of the tasks that measure the floors, in milliseconds.
-RUN_MS = 50
-ROUND_TRIPS = 40
-MODULE = 'sardineproxy.bench.floor_server'
+#: Run time at speed 1 of the tasks that measure the floors.
+TASK_RUN_MS = 50
+ROUND_TRIP_SAMPLES = 40
+SERVER_MODULE = 'sardineproxy.bench.floor_server'
 
-#: Size of a single request's document, in bytes.
-BODY = b'x' * 250
+#: As long as the document of a single request.
+REQUEST_BODY = b'x' * 250
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Floor:
-    """What no dispatcher on these libraries can go below."""
+class Floors:
+    """Costs below which no dispatcher on these libraries can go."""
 
-    #: Response of an idle endpoint less the task's run time, in seconds.
+    #: Response time of an idle endpoint, without the run time of the task.
     round_trip_s: float
 
-    #: Processor time of a bare client, in seconds for each job's task.
+    #: CPU time of a bare client for each task of a job.
     job_task_cpu_s: float
 
-    #: Processor time of a bare client and server for each single request.
+    #: CPU time of a bare client and server for each single request.
     single_cpu_s: float
 
 
-async def measure(
-    dep: deployment.Deployment, *, seconds: float, rate: float
-) -> Floor:
-    """Measure at ``rate`` requests a second for about ``seconds`` each.
+async def measure_floors(
+    dep: deployment.Deployment, *, duration_s: float, requests_per_s: float
+) -> Floors:
+    """Measure each floor for about ``duration_s``.
 
-    The rate is that of one entry process in the main phase, because the
-    processor time of a request depends on how many share a wake-up.
+    ``requests_per_s`` is the rate of one entry process in the main phase,
+    because the CPU time of a request depends on how many requests share a
+    wake-up of the event loop.
     """
-    endpoint = max(dep.endpoints.values(), key=lambda one: one.speed)
+    endpoint = max(
+        dep.endpoints.values(), key=lambda candidate: candidate.speed
+    )
     round_trip_s = await _measure_round_trip(dep, endpoint)
     servers = await asyncio.gather(
-        *(dep.start_program(name, module=MODULE) for name in ('job', 'single'))
+        *(
+            dep.start_program(name, module=SERVER_MODULE)
+            for name in ('job', 'single')
+        )
     )
-    count = max(20, round(seconds * rate))
+    request_count = max(20, round(duration_s * requests_per_s))
     cpu_s = await asyncio.gather(
-        _measure_client(dep, servers[0], endpoint, count, rate),
-        _measure_proxy(dep, servers[1], endpoint, count, rate),
+        _measure_client_cpu(
+            dep, servers[0], endpoint, request_count, requests_per_s
+        ),
+        _measure_proxy_cpu(
+            dep, servers[1], endpoint, request_count, requests_per_s
+        ),
     )
     await asyncio.gather(*(server.stop() for server in servers))
-    return Floor(
+    return Floors(
         round_trip_s=round_trip_s,
-        job_task_cpu_s=cpu_s[0] / count,
-        single_cpu_s=cpu_s[1] / count,
+        job_task_cpu_s=cpu_s[0] / request_count,
+        single_cpu_s=cpu_s[1] / request_count,
     )
 
 
 async def _measure_round_trip(
     dep: deployment.Deployment, endpoint: parts.Endpoint
 ) -> float:
-    """Return the median response of an idle endpoint less the run time."""
-    took_s = []
-    for _ in range(ROUND_TRIPS):
-        began = time.monotonic()
-        await _post(dep, endpoint.port, '/floor')  # noqa: WPS476
-        took_s.append(time.monotonic() - began)
-    run_s = RUN_MS / endpoint.speed / 1000
-    return measures.percentile(took_s, 50) - run_s
+    """Return the median response time of an idle endpoint less the run time."""
+    durations_s = []
+    for _ in range(ROUND_TRIP_SAMPLES):
+        started_at = time.monotonic()
+        await _post_task(dep, endpoint.port, '/floor')  # noqa: WPS476
+        durations_s.append(time.monotonic() - started_at)
+    run_s = TASK_RUN_MS / endpoint.speed / 1000
+    return measures.percentile(durations_s, 50) - run_s
 
 
-async def _measure_client(
+async def _measure_client_cpu(
     dep: deployment.Deployment,
     server: child.Child,
     endpoint: parts.Endpoint,
-    count: int,
-    rate: float,
+    request_count: int,
+    requests_per_s: float,
 ) -> float:
-    order = {
+    params = {
         'port': endpoint.port,
-        'run_ms': RUN_MS,
-        'count': count,
-        'rate': rate,
+        'run_ms': TASK_RUN_MS,
+        'count': request_count,
+        'rate': requests_per_s,
     }
     url = f'http://{parts.HOST}:{server.ports["http"]}/client'
-    return float(json.loads(await dep.request('POST', url, order))['cpu_s'])
+    return float(json.loads(await dep.request('POST', url, params))['cpu_s'])
 
 
-async def _measure_proxy(
+async def _measure_proxy_cpu(
     dep: deployment.Deployment,
     server: child.Child,
     endpoint: parts.Endpoint,
-    count: int,
-    rate: float,
+    request_count: int,
+    requests_per_s: float,
 ) -> float:
     port = server.ports['http']
     url = f'http://{parts.HOST}:{port}/cpu'
-    before = json.loads(await dep.request('GET', url))['cpu_s']
-    await floor_server.pace(
-        lambda: _post(dep, port, '/proxy', target=endpoint.port),
-        count=count,
-        rate=rate,
+    cpu_s_before = json.loads(await dep.request('GET', url))['cpu_s']
+    await floor_server.run_paced(
+        lambda: _post_task(dep, port, '/proxy', target_port=endpoint.port),
+        count=request_count,
+        operations_per_s=requests_per_s,
     )
-    after = json.loads(await dep.request('GET', url))['cpu_s']
-    return float(after - before)
+    cpu_s_after = json.loads(await dep.request('GET', url))['cpu_s']
+    return float(cpu_s_after - cpu_s_before)
 
 
-async def _post(
-    dep: deployment.Deployment, port: int, path: str, *, target: int = 0
+async def _post_task(
+    dep: deployment.Deployment, port: int, path: str, *, target_port: int = 0
 ) -> None:
     headers = {
-        'X-Target': str(target),
-        'X-Run-Ms': str(RUN_MS),
+        'X-Target': str(target_port),
+        'X-Run-Ms': str(TASK_RUN_MS),
         'X-Task': 'floor',
     }
     async with dep.session.post(
-        f'http://{parts.HOST}:{port}{path}', headers=headers, data=BODY
-    ) as reply:
-        await reply.read()
+        f'http://{parts.HOST}:{port}{path}', headers=headers, data=REQUEST_BODY
+    ) as response:
+        await response.read()
--- a/sardineproxy/bench/floor_server.py
+++ b/sardineproxy/bench/floor_server.py
@@ -1,9 +1,10 @@
-"""Bare aiohttp client and server, whose processor time is the floor.
+"""Bare aiohttp client and server, whose CPU time is the floor.
 
 Run as ``python -m sardineproxy.bench.floor_server NAME``. ``POST /proxy``
-sends the body to the endpoint at the port of header ``X-Target`` and answers
-with what came back. ``POST /client`` sends paced requests itself.
-``GET /cpu`` answers with the processor time of the process in seconds.
+forwards the body to the endpoint at the port in the header ``X-Target`` and
+returns its response. ``POST /client`` makes the process send requests at the
+given rate and returns their CPU time. ``GET /cpu`` returns the CPU time of
+the process in seconds.
 """
 
 import asyncio
@@ -21,17 +22,17 @@
 
 
 class FloorServer:
-    """Answers without any logic of a dispatcher."""
+    """Serves requests without any dispatch logic."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         """Use ``session`` for all requests to endpoints."""
         self._session = session
 
     async def handle(self, req: web.BaseRequest) -> web.Response:
-        """Answer one request."""
+        """Serve one request."""
         match req.path:
             case '/proxy':
-                body = await self._post(
+                body = await self._post_task(
                     req.headers['X-Target'],
                     req.headers['X-Run-Ms'],
                     await req.read(),
@@ -39,47 +40,57 @@
                 return web.Response(body=body, content_type='application/json')
             case '/client':
                 return web.json_response(
-                    await self._run_client(json.loads(await req.read()))
+                    await self._measure_client_cpu(json.loads(await req.read()))
                 )
         return web.json_response({'cpu_s': time.process_time()})
 
-    async def _post(self, port: str, run_ms: str, body: bytes) -> bytes:
+    async def _post_task(self, port: str, run_ms: str, body: bytes) -> bytes:
         async with self._session.post(
             f'http://{HOST}:{port}/floor',
             headers={'X-Task': 'floor', 'X-Run-Ms': run_ms},
             data=body,
-        ) as reply:
-            return await reply.read()
-
-    async def _run_client(self, order: dict[str, Any]) -> dict[str, float]:
-        """Return the processor time of paced requests without the pacing."""
-        requests_s = await pace(
-            lambda: self._post(
-                str(order['port']), str(order['run_ms']), b'floor'
+        ) as response:
+            return await response.read()
+
+    async def _measure_client_cpu(
+        self, params: dict[str, Any]
+    ) -> dict[str, float]:
+        """Return the CPU time of paced requests, less that of the pacing."""
+        requests_cpu_s = await run_paced(
+            lambda: self._post_task(
+                str(params['port']), str(params['run_ms']), b'floor'
             ),
-            count=order['count'],
-            rate=order['rate'],
+            count=params['count'],
+            operations_per_s=params['rate'],
         )
-        pacing_s = await pace(
-            lambda: asyncio.sleep(0), count=order['count'], rate=order['rate']
+        pacing_cpu_s = await run_paced(
+            lambda: asyncio.sleep(0),
+            count=params['count'],
+            operations_per_s=params['rate'],
         )
-        return {'cpu_s': requests_s - pacing_s}
+        return {'cpu_s': requests_cpu_s - pacing_cpu_s}
 
 
-async def pace(
-    act: Callable[[], Awaitable[Any]], *, count: int, rate: float
+async def run_paced(
+    operation: Callable[[], Awaitable[Any]],
+    *,
+    count: int,
+    operations_per_s: float,
 ) -> float:
-    """Act at random times, without waiting; return processor seconds."""
+    """Run operations that start at random times; return their CPU seconds.
+
+    No operation waits for the previous one to end.
+    """
     rng = random.Random(count)
-    began_s = time.process_time()
-    due = time.monotonic()
-    pending = []
+    cpu_s_at_start = time.process_time()
+    due_at = time.monotonic()
+    futures = []
     for _ in range(count):
-        due += rng.expovariate(rate)
-        await asyncio.sleep(max(0, due - time.monotonic()))  # noqa: WPS476
-        pending.append(asyncio.ensure_future(act()))
-    await asyncio.gather(*pending)
-    return time.process_time() - began_s
+        due_at += rng.expovariate(operations_per_s)
+        await asyncio.sleep(max(0, due_at - time.monotonic()))  # noqa: WPS476
+        futures.append(asyncio.ensure_future(operation()))
+    await asyncio.gather(*futures)
+    return time.process_time() - cpu_s_at_start
 
 
 async def _serve() -> None:
--- a/sardineproxy/bench/ideal.py
+++ b/sardineproxy/bench/ideal.py
@@ -1,13 +1,13 @@
 """Response times of an ideal dispatcher for the same work and slots.
 
-The bound is list scheduling, computed offline from the arrival times: one
-dispatcher without cost sees all slots of all zones and knows each task's true
-run time. Whenever a slot is free and work waits, the fastest free slot takes
-the next task: single requests first, in order of arrival; then the tasks of
-the oldest job, longest first. It never keeps a slot idle to wait for a faster
-one. It is a schedule that could be carried out, not a lower bound of every
-schedule, so a single request can beat its ideal. The measured round trip of
-a request to an idle endpoint is added by the caller of this module.
+The ideal is list scheduling, computed offline from the arrival times: one
+dispatcher without overhead sees all slots of all zones and knows the true run
+time of each task. Whenever a slot is free and tasks wait, the next task starts
+on the fastest free slot: single requests first, in order of arrival; then the
+tasks of the oldest job, longest first. No slot stays idle to wait for a faster
+one. The schedule is feasible but not optimal for each submission, so a single
+request can be faster than its ideal. The measured round trip of a request to
+an idle endpoint is added by the caller of this module.
 """
 
 import collections
@@ -16,59 +16,63 @@
 
 from sardineproxy.bench import workload
 
-_Piece = tuple[int, float]
+#: Index of the submission and run time at speed 1.
+_QueuedTask = tuple[int, float]
 
 
-class _Schedule:
+class _ListSchedule:
     """State of the list scheduling."""
 
     def __init__(
-        self, submissions: Sequence[workload.Submission], slots: list[float]
+        self,
+        submissions: Sequence[workload.Submission],
+        slot_speeds: list[float],
     ) -> None:
-        self.finish = [submission.arrival for submission in submissions]
-        self._free = [-speed for speed in slots]
-        heapq.heapify(self._free)
-        self._busy: list[tuple[float, float]] = []
-        self._singles: collections.deque[_Piece] = collections.deque()
-        self._jobs: collections.deque[_Piece] = collections.deque()
+        self.finished_at = [submission.arrival_s for submission in submissions]
+        #: Heap of the negative speeds, so that the fastest slot is first.
+        self._free_slots = [-speed for speed in slot_speeds]
+        heapq.heapify(self._free_slots)
+        #: Heap of the end of the running task and the negative speed.
+        self._busy_slots: list[tuple[float, float]] = []
+        self._single_tasks: collections.deque[_QueuedTask] = collections.deque()
+        self._job_tasks: collections.deque[_QueuedTask] = collections.deque()
 
-    def arrive(self, index: int, submission: workload.Submission) -> None:
-        self.run_until(submission.arrival)
-        queue = self._jobs if submission.is_job else self._singles
-        run_s = sorted(
+    def add(self, index: int, submission: workload.Submission) -> None:
+        self.run_until(submission.arrival_s)
+        queue = self._job_tasks if submission.is_job else self._single_tasks
+        run_times_s = sorted(
             (task.run_ms / 1000 for task in submission.tasks), reverse=True
         )
-        queue.extend((index, piece_s) for piece_s in run_s)
-        self._fill(submission.arrival)
+        queue.extend((index, task_run_s) for task_run_s in run_times_s)
+        self._start_tasks(submission.arrival_s)
 
-    def run_until(self, limit: float) -> None:
-        while self._busy and self._busy[0][0] <= limit:
-            now, free = heapq.heappop(self._busy)
-            heapq.heappush(self._free, free)
-            self._fill(now)
+    def run_until(self, until: float) -> None:
+        while self._busy_slots and self._busy_slots[0][0] <= until:
+            ended_at, negative_speed = heapq.heappop(self._busy_slots)
+            heapq.heappush(self._free_slots, negative_speed)
+            self._start_tasks(ended_at)
 
-    def _fill(self, now: float) -> None:
-        while self._free and (self._singles or self._jobs):
-            index, run_s = (self._singles or self._jobs).popleft()
-            free = heapq.heappop(self._free)
-            end = now - run_s / free
-            heapq.heappush(self._busy, (end, free))
-            self.finish[index] = max(self.finish[index], end)
+    def _start_tasks(self, now: float) -> None:
+        while self._free_slots and (self._single_tasks or self._job_tasks):
+            index, run_s = (self._single_tasks or self._job_tasks).popleft()
+            negative_speed = heapq.heappop(self._free_slots)
+            ends_at = now - run_s / negative_speed
+            heapq.heappush(self._busy_slots, (ends_at, negative_speed))
+            self.finished_at[index] = max(self.finished_at[index], ends_at)
 
 
-def respond(
-    submissions: Sequence[workload.Submission], slots: list[float]
+def compute_responses(
+    submissions: Sequence[workload.Submission], slot_speeds: list[float]
 ) -> list[float]:
-    """Return each submission's ideal response in seconds.
+    """Return the ideal response time of each submission, in seconds.
 
-    ``submissions`` are in order of arrival; ``slots`` has the speed of each
-    slot.
+    ``submissions`` must be in order of arrival.
     """
-    schedule = _Schedule(submissions, slots)
+    schedule = _ListSchedule(submissions, slot_speeds)
     for index, submission in enumerate(submissions):
-        schedule.arrive(index, submission)
+        schedule.add(index, submission)
     schedule.run_until(float('inf'))
     return [
-        finish - served.arrival
-        for finish, served in zip(schedule.finish, submissions)
+        finished_at - scheduled.arrival_s
+        for finished_at, scheduled in zip(schedule.finished_at, submissions)
     ]
--- a/sardineproxy/bench/phases.py
+++ b/sardineproxy/bench/phases.py
@@ -1,4 +1,4 @@
-"""Phases of the run: each offers work and prints its figures."""
+"""Phases of the benchmark: each offers work and prints its figures."""
 
 import asyncio
 import collections
@@ -19,276 +19,324 @@
     workload,
 )
 
-#: Offered load while endpoints and the platform show faults.
+#: Offered load while faults are injected, as a fraction of the capacity.
 FAULTS_LOAD = 0.5
 
-#: Part of the capacity that a polite customer offers; its share is a half.
+#: Load of the polite customer as a fraction of the capacity. Its fair share is
+#: a half.
 POLITE_LOAD = 0.45
 
-#: A rival's offer against its share of a half.
+#: Load of the rival as a fraction of the capacity. Its fair share is a half.
 RIVAL_LOAD = 5.0
 RIVAL_JOB_TASKS = (100, 101)
 
 SATURATED_LOAD = 1.3
 
-#: Part of the saturated phase whose arrivals all come at its start, so that
-#: a backlog exists for all of the rest.
-BURST = 0.1
+#: Fraction of the saturated phase whose submissions are all sent at its start,
+#: so that there is a backlog during the rest.
+BURST_FRACTION = 0.1
 
-#: Part of the saturated phase before its slots are watched.
-WARM_UP = 0.2
+#: Fraction of the saturated phase before slot utilisation is measured.
+WARM_UP_FRACTION = 0.2
 
-#: Endpoint modes of the faults phase, by index of the endpoint.
-FAULTS = ((0, 'fail'), (7, 'close_idle'), (9, 'refuse'), (18, 'cut'))
+#: Faulty endpoints of the faults phase: index and mode.
+ENDPOINT_FAULTS = ((0, 'fail'), (7, 'close_idle'), (9, 'refuse'), (18, 'cut'))
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Run:
-    """What all phases share."""
+class PhaseContext:
+    """Deployment, report and parameters that all phases share."""
 
     fleet: fleet.Fleet
     out: report.Report
     seed: int
 
-    #: Offered load of the main phase, as a part of the capacity.
+    #: Offered load of the main phase, as a fraction of the capacity.
     load: float
     main_s: float
     short_s: float
 
-    #: Longest wait for answers after the last arrival, in seconds.
+    #: Timeout for replies after the last arrival.
     drain_s: float
 
-    #: Run times of the few long tasks, in milliseconds.
+    #: Shortest and longest run time of the few long tasks, in milliseconds.
     long_ms: tuple[int, int]
 
-    def plan(self, name: str, *, load: float, **more: Any) -> workload.Plan:
-        """Return a plan that offers ``load`` of the capacity."""
+    def plan(
+        self, name: str, *, load: float, **overrides: Any
+    ) -> workload.Plan:
+        """Return a plan that offers ``load`` times the capacity."""
         return workload.Plan(
             name=name,
             seed=self.seed,
             offered=load * self.fleet.capacity,
-            entries=len(fleet.ZONES) * len(fleet.ENTRY_SIZES),
+            entry_vms=len(fleet.ZONES) * len(fleet.ENTRY_SIZES),
             **{
                 'duration_s': self.main_s,
                 'long_ms': self.long_ms,
                 'customers': dict(fleet.CUSTOMERS),
-                **more,
+                **overrides,
             },
         )
 
 
-async def _offer(
-    run: Run, submissions: Sequence[workload.Submission]
+async def _offer_to_entries(
+    ctx: PhaseContext, submissions: Sequence[workload.Submission]
 ) -> tuple[driver.Driver, list[driver.Sample]]:
-    """Offer work to the entry processes."""
-    sender = senders.EntrySender(run.fleet.connect())
+    """Send submissions to the entry processes and return the samples."""
+    sender = senders.EntrySender(ctx.fleet.create_callers())
     await sender.prepare(submissions)
-    await run.fleet.wait_idle()
-    load = driver.Driver(clock=clocks.SystemClock(), sender=sender)
-    return load, await load.drive(submissions, drain_limit_s=run.drain_s)
+    await ctx.fleet.wait_idle()
+    load_driver = driver.Driver(clock=clocks.SystemClock(), sender=sender)
+    return load_driver, await load_driver.run(
+        submissions, drain_timeout_s=ctx.drain_s
+    )
 
 
-async def measure_main(run: Run, bare: floor.Floor) -> None:
-    """Offer the main load and print ratios, messages and processor time."""
-    submissions = workload.generate(run.plan('main', load=run.load))
-    await run.fleet.read_starts()
+async def measure_main(ctx: PhaseContext, floors: floor.Floors) -> None:
+    """Offer the main load and print ratios, messages and CPU time."""
+    submissions = workload.generate(ctx.plan('main', load=ctx.load))
+    await ctx.fleet.read_starts()
     counters, cpu_s = await asyncio.gather(
-        run.fleet.read_counters(), run.fleet.read_cpu()
+        ctx.fleet.read_counters(), ctx.fleet.read_cpu()
+    )
+    _, samples = await _offer_to_entries(ctx, submissions)
+    cpu_s = await ctx.fleet.read_cpu() - cpu_s
+    counter_increase = measures.subtract_counters(
+        await ctx.fleet.read_counters(), counters
+    )
+    ideals = ratios.compute_ideals(
+        samples, ctx.fleet.slot_speeds, floors.round_trip_s
     )
-    _, samples = await _offer(run, submissions)
-    cpu_s = await run.fleet.read_cpu() - cpu_s
-    counted = measures.subtract(await run.fleet.read_counters(), counters)
-    ideals = ratios.compute_ideals(samples, run.fleet.slots, bare.round_trip_s)
-    ratios.add_ratios(run.out, samples, ideals)
-    late_ms = [1000 * one.late_s for one in samples]
-    run.out.add('driver_lateness_p50_ms', measures.percentile(late_ms, 50))
-    run.out.add('driver_lateness_p99_ms', measures.percentile(late_ms, 99))
-    await run.fleet.wait_idle()
-    _add_cpu(run.out, submissions, cpu_s, bare)
-    _add_starts(run.out, await run.fleet.read_starts(), submissions)
-    _add_waste(run.out, counted, samples, 'wasted_messages_per_task')
-
-
-async def measure_faults(run: Run) -> None:
-    """Offer load while endpoints and the platform show faults."""
+    ratios.add_ratios(ctx.out, samples, ideals)
+    lateness_ms = [1000 * sample.lateness_s for sample in samples]
+    ctx.out.add('driver_lateness_p50_ms', measures.percentile(lateness_ms, 50))
+    ctx.out.add('driver_lateness_p99_ms', measures.percentile(lateness_ms, 99))
+    await ctx.fleet.wait_idle()
+    _add_cpu_figures(ctx.out, submissions, cpu_s, floors)
+    _add_start_figures(ctx.out, await ctx.fleet.read_starts(), submissions)
+    _add_waste_figures(
+        ctx.out, counter_increase, samples, 'wasted_messages_per_task'
+    )
+
+
+async def measure_faults(ctx: PhaseContext) -> None:
+    """Offer load while the platform is down and some endpoints are faulty."""
     submissions = workload.generate(
-        run.plan('faults', load=FAULTS_LOAD, duration_s=run.short_s)
+        ctx.plan('faults', load=FAULTS_LOAD, duration_s=ctx.short_s)
     )
-    counters = await run.fleet.read_counters()
-    dep = run.fleet.dep
+    counters = await ctx.fleet.read_counters()
+    dep = ctx.fleet.dep
     names = list(dep.endpoints)
     await asyncio.gather(
         dep.set_faults(down=True),
-        *(dep.set_mode(names[index], mode) for index, mode in FAULTS),
+        *(dep.set_mode(names[index], mode) for index, mode in ENDPOINT_FAULTS),
     )
     try:
-        _, samples = await _offer(run, submissions)
+        _, samples = await _offer_to_entries(ctx, submissions)
     finally:
         await asyncio.gather(
             dep.set_faults(down=False),
-            *(dep.set_mode(names[index], 'normal') for index, _ in FAULTS),
+            *(
+                dep.set_mode(names[index], 'normal')
+                for index, _ in ENDPOINT_FAULTS
+            ),
         )
-    counted = measures.subtract(await run.fleet.read_counters(), counters)
-    faults = sum(one.reply.fault is not None for one in samples)
-    run.out.add('faults.submissions', len(samples))
-    run.out.add('faults.submissions_not_right', faults)
-    starts = await run.fleet.read_starts()
-    _add_starts(run.out, starts, submissions, 'faults.')
-    _add_waste(run.out, counted, samples, 'wasted_messages_per_task_faults')
-
-
-async def measure_victim(run: Run) -> None:
-    """Compare a polite customer's mean response without and with a rival."""
-    alone = await _measure_polite(run, 'alone', ())
-    rival = workload.generate(
-        run.plan(
+    counter_increase = measures.subtract_counters(
+        await ctx.fleet.read_counters(), counters
+    )
+    incorrect = sum(sample.outcome.error is not None for sample in samples)
+    ctx.out.add('faults.submissions', len(samples))
+    ctx.out.add('faults.submissions_not_right', incorrect)
+    starts = await ctx.fleet.read_starts()
+    _add_start_figures(ctx.out, starts, submissions, 'faults.')
+    _add_waste_figures(
+        ctx.out, counter_increase, samples, 'wasted_messages_per_task_faults'
+    )
+
+
+async def measure_victim(ctx: PhaseContext) -> None:
+    """Compare the mean response time of a customer alone and beside a rival."""
+    alone_s = await _measure_polite_response(ctx, 'alone', ())
+    rival_submissions = workload.generate(
+        ctx.plan(
             'rival',
             load=RIVAL_LOAD,
-            duration_s=run.short_s,
-            customers={fleet.RIVAL: 1},
+            duration_s=ctx.short_s,
+            customers={fleet.RIVAL_CUSTOMER: 1},
             job_fraction=1,
             job_tasks=RIVAL_JOB_TASKS,
         )
     )
-    beside = await _measure_polite(run, 'beside', rival)
-    run.out.add('victim_response_alone_ms', 1000 * alone)
-    run.out.add('victim_response_beside_rival_ms', 1000 * beside)
-    run.out.add('victim_slowdown', beside / alone)
+    beside_s = await _measure_polite_response(ctx, 'beside', rival_submissions)
+    ctx.out.add('victim_response_alone_ms', 1000 * alone_s)
+    ctx.out.add('victim_response_beside_rival_ms', 1000 * beside_s)
+    ctx.out.add('victim_slowdown', beside_s / alone_s)
 
 
-async def measure_saturation(run: Run) -> None:
-    """Offer more than the capacity and watch how busy the slots are."""
+async def measure_saturation(ctx: PhaseContext) -> None:
+    """Offer more than the capacity and measure slot utilisation."""
     submissions = workload.generate(
-        run.plan('saturated', load=SATURATED_LOAD, duration_s=run.short_s)
+        ctx.plan('saturated', load=SATURATED_LOAD, duration_s=ctx.short_s)
     )
     submissions = [
         dataclasses.replace(
-            one, arrival=max(0, one.arrival - BURST * run.short_s)
+            submission,
+            arrival_s=max(
+                0, submission.arrival_s - BURST_FRACTION * ctx.short_s
+            ),
         )
-        for one in submissions
+        for submission in submissions
     ]
-    await run.fleet.read_starts()
-    load, _ = await _offer(run, submissions)
-    await run.fleet.wait_idle()
-    window = (load.start + WARM_UP * run.short_s, load.start + run.short_s)
-    starts = await run.fleet.read_starts()
-    busy_s = _count_busy(_flatten(starts), window)
-    run.out.add(
+    await ctx.fleet.read_starts()
+    load_driver, _ = await _offer_to_entries(ctx, submissions)
+    await ctx.fleet.wait_idle()
+    window = (
+        load_driver.started_at + WARM_UP_FRACTION * ctx.short_s,
+        load_driver.started_at + ctx.short_s,
+    )
+    starts = await ctx.fleet.read_starts()
+    busy_s = _busy_slot_seconds(_flatten(starts), window)
+    ctx.out.add(
         'slot_utilisation_saturated',
-        busy_s / (window[1] - window[0]) / len(run.fleet.slots),
+        busy_s / (window[1] - window[0]) / len(ctx.fleet.slot_speeds),
     )
 
 
 async def measure_baseline(
-    run: Run, bare: floor.Floor, name: str, sender: Any
+    ctx: PhaseContext, floors: floor.Floors, name: str, sender: Any
 ) -> None:
-    """Offer the main load straight to the endpoints."""
-    submissions = workload.generate(run.plan(name, load=run.load))
-    await run.fleet.wait_idle()
-    load = driver.Driver(clock=clocks.SystemClock(), sender=sender)
-    samples = await load.drive(submissions, drain_limit_s=run.drain_s)
+    """Send the main load directly to the endpoints."""
+    submissions = workload.generate(ctx.plan(name, load=ctx.load))
+    await ctx.fleet.wait_idle()
+    load_driver = driver.Driver(clock=clocks.SystemClock(), sender=sender)
+    samples = await load_driver.run(submissions, drain_timeout_s=ctx.drain_s)
     await sender.close()
-    ideals = ratios.compute_ideals(samples, run.fleet.slots, bare.round_trip_s)
-    ratios.add_ratios(run.out, samples, ideals, prefix=f'{name}.')
+    ideals = ratios.compute_ideals(
+        samples, ctx.fleet.slot_speeds, floors.round_trip_s
+    )
+    ratios.add_ratios(ctx.out, samples, ideals, prefix=f'{name}.')
 
 
-async def _measure_polite(
-    run: Run, name: str, rival: Sequence[workload.Submission]
+async def _measure_polite_response(
+    ctx: PhaseContext,
+    name: str,
+    rival_submissions: Sequence[workload.Submission],
 ) -> float:
-    """Return the mean response of the polite customer in seconds."""
-    polite = workload.generate(
-        run.plan(
+    """Return the mean response time of the polite customer, in seconds."""
+    polite_submissions = workload.generate(
+        ctx.plan(
             name,
             load=POLITE_LOAD,
-            duration_s=run.short_s,
-            customers={fleet.POLITE: 1},
+            duration_s=ctx.short_s,
+            customers={fleet.POLITE_CUSTOMER: 1},
         )
     )
-    _, samples = await _offer(run, workload.merge(polite, rival))
-    await run.fleet.read_starts()
-    chosen = [one for one in samples if one.submission.customer == fleet.POLITE]
-    wrong = [one.reply.fault for one in chosen if one.reply.fault]
-    run.out.add(f'victim_{name}.not_right', len(wrong))
-    if rival:
-        refused = sum(one.reply.fault is not None for one in samples) - len(
-            wrong
-        )
-        run.out.add('rival.submissions', len(rival))
-        run.out.add('rival.not_right', refused)
-    return statistics.fmean([one.response_s for one in chosen if one.counts])
+    _, samples = await _offer_to_entries(
+        ctx, workload.merge(polite_submissions, rival_submissions)
+    )
+    await ctx.fleet.read_starts()
+    polite_samples = [
+        sample
+        for sample in samples
+        if sample.submission.customer == fleet.POLITE_CUSTOMER
+    ]
+    errors = [
+        sample.outcome.error
+        for sample in polite_samples
+        if sample.outcome.error
+    ]
+    ctx.out.add(f'victim_{name}.not_right', len(errors))
+    if rival_submissions:
+        rival_errors = sum(
+            sample.outcome.error is not None for sample in samples
+        ) - len(errors)
+        ctx.out.add('rival.submissions', len(rival_submissions))
+        ctx.out.add('rival.not_right', rival_errors)
+    return statistics.fmean(
+        [sample.response_s for sample in polite_samples if sample.is_counted]
+    )
 
 
-def _add_cpu(
+def _add_cpu_figures(
     out: report.Report,
     submissions: Sequence[workload.Submission],
     cpu_s: float,
-    bare: floor.Floor,
+    floors: floor.Floors,
 ) -> None:
-    count = sum(len(one.tasks) for one in submissions)
-    singles = sum(not one.is_job for one in submissions)
+    task_count = sum(len(submission.tasks) for submission in submissions)
+    single_count = sum(not submission.is_job for submission in submissions)
     floor_s = (
-        singles * bare.single_cpu_s + (count - singles) * bare.job_task_cpu_s
+        single_count * floors.single_cpu_s
+        + (task_count - single_count) * floors.job_task_cpu_s
     )
-    out.add('tasks', count)
-    out.add('dispatch_cpu_us_per_task', 1e6 * cpu_s / count)
-    out.add('floor_cpu_us_per_task', 1e6 * floor_s / count)
+    out.add('tasks', task_count)
+    out.add('dispatch_cpu_us_per_task', 1e6 * cpu_s / task_count)
+    out.add('floor_cpu_us_per_task', 1e6 * floor_s / task_count)
     out.add('dispatch_cpu_over_floor', cpu_s / floor_s)
 
 
-def _add_waste(
+def _add_waste_figures(
     out: report.Report,
-    counted: measures.Counters,
+    counter_increase: measures.Counters,
     samples: Sequence[driver.Sample],
     name: str,
 ) -> None:
-    useful = sum(one.reply.useful for one in samples)
-    if not useful:
-        raise ValueError('no task was answered')
-    waste = measures.waste_by_kind(counted, useful)
-    for kind, part in waste.items():
-        out.add(f'{name}.{kind}', part)
-    absent = measures.find_absent(counted)
-    if absent:
-        raise LookupError(f'no process reports {", ".join(absent)}')
-    out.add(name, sum(waste.values()))
-
-
-def _add_starts(
+    correct_tasks = sum(sample.outcome.correct_tasks for sample in samples)
+    if not correct_tasks:
+        raise ValueError('no task has a correct result')
+    wasted_per_task = measures.waste_by_kind(counter_increase, correct_tasks)
+    for kind, count_per_task in wasted_per_task.items():
+        out.add(f'{name}.{kind}', count_per_task)
+    missing_families = measures.find_missing_families(counter_increase)
+    if missing_families:
+        raise LookupError(f'no process exports {", ".join(missing_families)}')
+    out.add(name, sum(wasted_per_task.values()))
+
+
+def _add_start_figures(
     out: report.Report,
     starts: dict[str, list[dict[str, Any]]],
     submissions: Sequence[workload.Submission],
     prefix: str = '',
 ) -> None:
-    """Print how many tasks were started twice, and the busiest moment.
+    """Print the tasks that were started twice and the most that ran at once.
 
-    Idempotent single requests do not count: they may be tried again.
+    Idempotent single requests do not count, because they may be retried.
     """
-    once = {
-        task.label for one in submissions if one.needs_key for task in one.tasks
+    non_idempotent = {
+        task.label
+        for submission in submissions
+        if submission.needs_key
+        for task in submission.tasks
     }
-    counts = collections.Counter(
-        one['task'] for one in _flatten(starts) if one['task'] in once
+    start_counts = collections.Counter(
+        start['task']
+        for start in _flatten(starts)
+        if start['task'] in non_idempotent
+    )
+    most_running = max(
+        (start['running'] for start in _flatten(starts)), default=0
     )
-    busiest = max((one['running'] for one in _flatten(starts)), default=0)
     out.add(
         f'{prefix}tasks_started_twice_unduly',
-        sum(count > 1 for count in counts.values()),
+        sum(count > 1 for count in start_counts.values()),
     )
-    out.add(f'{prefix}most_tasks_at_one_endpoint', busiest)
+    out.add(f'{prefix}most_tasks_at_one_endpoint', most_running)
 
 
 def _flatten(starts: dict[str, list[dict[str, Any]]]) -> list[dict[str, Any]]:
     return [start for record in starts.values() for start in record]
 
 
-def _count_busy(
+def _busy_slot_seconds(
     starts: Iterable[dict[str, Any]], window: tuple[float, float]
 ) -> float:
-    """Return the slot seconds that were busy in the window."""
-    overlap = functools.partial(_overlap, window)
+    """Return the busy time of all slots within the window."""
+    overlap = functools.partial(_overlap_s, window)
     return sum(overlap(start) for start in starts if start['end'])
 
 
-def _overlap(window: tuple[float, float], start: dict[str, Any]) -> float:
-    began = max(start['start'], window[0])
-    return max(0, min(start['end'], window[1]) - began)
+def _overlap_s(window: tuple[float, float], start: dict[str, Any]) -> float:
+    started_at = max(start['start'], window[0])
+    return max(0, min(start['end'], window[1]) - started_at)
--- a/sardineproxy/bench/ratios.py
+++ b/sardineproxy/bench/ratios.py
@@ -1,4 +1,4 @@
-"""Response times over the ideal, for all and for each customer."""
+"""Ratios of response time to ideal response time, total and by customer."""
 
 import dataclasses
 import statistics
@@ -6,7 +6,7 @@
 
 from sardineproxy.bench import driver, ideal, measures, report, workload
 
-NAMES = (
+RATIO_NAMES = (
     'response_ratio_p50',
     'response_ratio_p99',
     'response_ratio_worst',
@@ -24,49 +24,59 @@
     *,
     prefix: str = '',
 ) -> None:
-    """Print the ratios of answered submissions and count the others.
+    """Print the ratios of counted samples and the number of the others.
 
-    ``ideals`` has the ideal response, with the round trip, by the label of
-    each submission's first task. Unanswered submissions count with the time
-    after which the driver gave up, so their ratio is at least that.
+    ``ideals`` has the ideal response times, with the round trip, by the label
+    of the first task of each submission. An unanswered submission counts with
+    the time for which the driver waited, so its true ratio is at least that.
     """
-    counted = [sample for sample in samples if sample.counts]
-    for customer in ('', *sorted({_customer(one) for one in counted})):
-        chosen = [one for one in counted if customer in {'', _customer(one)}]
+    counted_samples = [sample for sample in samples if sample.is_counted]
+    for customer in (
+        '',
+        *sorted({_customer_of(sample) for sample in counted_samples}),
+    ):
+        customer_samples = [
+            sample
+            for sample in counted_samples
+            if customer in {'', _customer_of(sample)}
+        ]
         suffix = f'.{customer}' if customer else ''
-        _add(out, chosen, ideals, prefix, suffix)
-    unanswered = sum(one.reply.fault == driver.UNANSWERED for one in samples)
+        _add_ratios_by_kind(out, customer_samples, ideals, prefix, suffix)
+    unanswered = sum(
+        sample.outcome.error == driver.UNANSWERED for sample in samples
+    )
     out.add(f'{prefix}submissions', len(samples))
     out.add(f'{prefix}unanswered', unanswered)
-    out.add(f'{prefix}refused_or_wrong', len(samples) - len(counted))
+    out.add(f'{prefix}refused_or_wrong', len(samples) - len(counted_samples))
 
 
 def compute_ideals(
     samples: Sequence[driver.Sample],
-    slots: list[float],
+    slot_speeds: list[float],
     round_trip_s: float,
 ) -> dict[str, float]:
-    """Return ideal responses by the label of the first task.
+    """Return the ideal response times, with the round trip.
 
-    The ideal dispatcher receives the work when the driver sent it.
+    They are keyed by the label of the first task of each submission. The
+    ideal dispatcher receives each submission when the driver sent it.
     """
     submissions = workload.merge(
         [
             dataclasses.replace(
                 sample.submission,
-                arrival=sample.submission.arrival + sample.late_s,
+                arrival_s=sample.submission.arrival_s + sample.lateness_s,
             )
             for sample in samples
         ]
     )
-    responses = ideal.respond(submissions, slots)
+    ideal_responses_s = ideal.compute_responses(submissions, slot_speeds)
     return {
-        submission.label: response + round_trip_s
-        for submission, response in zip(submissions, responses)
+        submission.label: response_s + round_trip_s
+        for submission, response_s in zip(submissions, ideal_responses_s)
     }
 
 
-def _add(
+def _add_ratios_by_kind(
     out: report.Report,
     samples: Sequence[driver.Sample],
     ideals: dict[str, float],
@@ -75,22 +85,22 @@
 ) -> None:
     for is_job in (False, True):
         ratios = [
-            one.response_s / ideals[one.submission.label]
-            for one in samples
-            if one.submission.is_job is is_job
+            sample.response_s / ideals[sample.submission.label]
+            for sample in samples
+            if sample.submission.is_job is is_job
         ]
-        start = 'job_response_ratio' if is_job else 'response_ratio'
-        wanted = [name for name in NAMES if name.startswith(start)]
-        for name in wanted:
+        name_prefix = 'job_response_ratio' if is_job else 'response_ratio'
+        names = [name for name in RATIO_NAMES if name.startswith(name_prefix)]
+        for name in names:
             if ratios:
-                out.add(f'{prefix}{name}{suffix}', _measure(name, ratios))
+                out.add(f'{prefix}{name}{suffix}', _aggregate(name, ratios))
 
 
-def _customer(sample: driver.Sample) -> str:
+def _customer_of(sample: driver.Sample) -> str:
     return sample.submission.customer
 
 
-def _measure(name: str, ratios: Sequence[float]) -> float:
+def _aggregate(name: str, ratios: Sequence[float]) -> float:
     match name.rsplit('_', 1)[-1]:
         case 'mean':
             return statistics.fmean(ratios)
--- a/sardineproxy/bench/report.py
+++ b/sardineproxy/bench/report.py
@@ -10,8 +10,8 @@
 from sardineproxy import clock as clocks
 from sardineproxy.demo import caller, processes
 
-#: Failures that leave figures unmeasured but do not end the run.
-FAILURES = (
+#: Errors that leave the figures of a phase unmeasured but do not end the run.
+PHASE_ERRORS = (
     processes.DeploymentError,
     caller.CallerError,
     aiohttp.ClientError,
@@ -22,46 +22,48 @@
 
 
 class Report:
-    """Prints figures and remembers which could not be measured."""
+    """Prints figures and records which could not be measured."""
 
     def __init__(self, *, clock: clocks.Clock) -> None:
-        """Start without figures and without a limit."""
+        """Create a report without figures and without a time limit."""
         self._clock = clock
-        self._limit: float | None = None
+        self._deadline: float | None = None
         self.figures: dict[str, float | None] = {}
 
-    def stop_after(self, seconds: float) -> None:
-        """End every phase that still runs ``seconds`` from now."""
-        self._limit = self._clock.now() + seconds
+    def set_time_limit(self, limit_s: float) -> None:
+        """End every phase that still runs ``limit_s`` from now."""
+        self._deadline = self._clock.now() + limit_s
 
     def add(self, name: str, figure: float) -> None:
         """Print a figure."""
         self.figures[name] = figure
         print(f'{name}: {figure:.6g}', flush=True)
 
-    def missing(self, name: str, reason: str) -> None:
-        """Print that a figure could not be measured, and why."""
+    def add_missing(self, name: str, reason: str) -> None:
+        """Print that a figure could not be measured, and the reason."""
         self.figures[name] = None
         print(f'{name}: not measured', flush=True)
         sys.stderr.write(f'{name}: {reason}\n')
 
     @contextlib.asynccontextmanager
-    async def measuring(self, phase: str, *names: str) -> AsyncIterator[None]:
-        """Print those of ``names`` as missing that the block did not add."""
-        began = self._clock.now()
-        reason = 'the phase gave no figure'
+    async def measure_phase(
+        self, phase: str, *names: str
+    ) -> AsyncIterator[None]:
+        """Print the figures in ``names`` that the block did not add as missing."""
+        started_at = self._clock.now()
+        reason = 'the phase ended without this figure'
         try:
-            async with asyncio.timeout(self._left_s()):
+            async with asyncio.timeout(self._remaining_s()):
                 yield
-        except FAILURES as exc:
+        except PHASE_ERRORS as exc:
             reason = f'{type(exc).__name__}: {exc}'
-        took_s = self._clock.now() - began
-        sys.stderr.write(f'phase {phase} took {took_s:.1f} s\n')
+        duration_s = self._clock.now() - started_at
+        sys.stderr.write(f'phase {phase} took {duration_s:.1f} s\n')
         for name in names:
             if name not in self.figures:
-                self.missing(name, reason)
+                self.add_missing(name, reason)
 
-    def _left_s(self) -> float | None:
-        if self._limit is None:
+    def _remaining_s(self) -> float | None:
+        if self._deadline is None:
             return None
-        return self._limit - self._clock.now()
+        return self._deadline - self._clock.now()
--- a/sardineproxy/bench/senders.py
+++ b/sardineproxy/bench/senders.py
@@ -1,4 +1,4 @@
-"""How submissions reach the endpoints: by entry processes, or directly."""
+"""Senders of submissions: through entry processes, or to the endpoints."""
 
 import abc
 import asyncio
@@ -14,45 +14,49 @@
 
 DEADLINE_MS = 60_000
 
-#: Keys that are minted by one request.
-KEYS_PER_REQUEST = 200
+#: Idempotency keys that one request creates.
+KEYS_PER_BATCH = 200
 
-#: Connections to one endpoint from all entry points together.
-CONNECTIONS = 64
+#: Limit of the connections of all entry VMs to one endpoint.
+CONNECTIONS_PER_ENDPOINT = 64
 
-_Place = tuple[int, str]
+#: Index of the entry VM and customer.
+_Route = tuple[int, str]
 
 
 class EntrySender:
-    """Submits to entry processes; all is rendered before the phase."""
+    """Submits to entry processes; renders all bodies before the phase."""
 
-    def __init__(self, callers: dict[_Place, caller.Caller]) -> None:
-        """Use the caller of each entry's index and customer."""
+    def __init__(self, callers: dict[_Route, caller.Caller]) -> None:
+        """Submit through ``callers``."""
         self._callers = callers
-        self._keys: dict[_Place, list[str]] = {}
+        self._keys: dict[_Route, list[str]] = {}
         self._bodies: dict[str, bytes] = {}
 
     async def prepare(self, submissions: Sequence[workload.Submission]) -> None:
-        """Render the submissions and mint their keys where they are sent."""
+        """Render the bodies and create the keys at the entry VMs that need them."""
         self._bodies = {
             submission.label: json.dumps(_render(submission)).encode()
             for submission in submissions
         }
-        counts = collections.Counter(
-            (submission.entry, submission.customer)
+        key_counts = collections.Counter(
+            (submission.entry_index, submission.customer)
             for submission in submissions
             if submission.needs_key
         )
         await asyncio.gather(
-            *(self._mint(place, count) for place, count in counts.items())
+            *(
+                self._create_keys(route, count)
+                for route, count in key_counts.items()
+            )
         )
 
     async def send(self, submission: workload.Submission) -> bytes | str:
-        """Submit and return the answer's body, or what went wrong."""
-        place = (submission.entry, submission.customer)
-        key = self._keys[place].pop() if submission.needs_key else ''
+        """Submit and return the body of the reply, or an error as text."""
+        route = (submission.entry_index, submission.customer)
+        key = self._keys[route].pop() if submission.needs_key else ''
         try:
-            _, body = await self._callers[place].post(
+            _, body = await self._callers[route].post(
                 caller.JOBS if submission.is_job else caller.SINGLES,
                 self._bodies[submission.label],
                 key=key,
@@ -61,55 +65,58 @@
             return repr(exc)
         return body
 
-    def judge(
-        self, submission: workload.Submission, answer: bytes | str
-    ) -> driver.Reply:
-        """Check an answer."""
-        if isinstance(answer, str):
-            return driver.Reply(useful=0, fault=answer)
-        return _judge(submission, caller.parse(answer))
+    def check(
+        self, submission: workload.Submission, reply: bytes | str
+    ) -> driver.Outcome:
+        """Check the results of all tasks."""
+        if isinstance(reply, str):
+            return driver.Outcome(correct_tasks=0, error=reply)
+        return _check_reply(submission, caller.parse(reply))
 
-    async def _mint(self, place: _Place, count: int) -> None:
+    async def _create_keys(self, route: _Route, count: int) -> None:
         batches = await asyncio.gather(
             *(
-                self._callers[place].mint(min(KEYS_PER_REQUEST, count - first))
-                for first in range(0, count, KEYS_PER_REQUEST)
+                self._callers[route].mint(min(KEYS_PER_BATCH, count - first))
+                for first in range(0, count, KEYS_PER_BATCH)
             )
         )
-        self._keys[place] = [key for batch in batches for key in batch]
+        self._keys[route] = [key for batch in batches for key in batch]
 
 
 class DirectSender(abc.ABC):
-    """Sends each task straight to an endpoint that a baseline chooses."""
+    """Sends each task directly to an endpoint that the subclass chooses."""
 
     def __init__(self, endpoints: Sequence[parts.Endpoint]) -> None:
-        """Choose among ``endpoints``."""
+        """Send to ``endpoints``."""
         self._endpoints = endpoints
 
     async def send(self, submission: workload.Submission) -> list[str]:
-        """Run all tasks and return the bodies, or what went wrong."""
+        """Run all tasks and return for each the response body or error text."""
         return await asyncio.gather(
-            *(self._run(submission.entry, task) for task in submission.tasks)
+            *(
+                self._run_task(submission.entry_index, task)
+                for task in submission.tasks
+            )
         )
 
-    def judge(
-        self, submission: workload.Submission, answer: list[str]
-    ) -> driver.Reply:
-        """Check the bodies."""
-        faults = [
-            task.find_body_fault(text)
-            for task, text in zip(submission.tasks, answer, strict=True)
+    def check(
+        self, submission: workload.Submission, reply: list[str]
+    ) -> driver.Outcome:
+        """Check the response bodies of all tasks."""
+        errors = [
+            task.find_body_fault(body)
+            for task, body in zip(submission.tasks, reply, strict=True)
         ]
-        return driver.Reply(
-            useful=faults.count(None),
-            fault=next((fault for fault in faults if fault), None),
+        return driver.Outcome(
+            correct_tasks=errors.count(None),
+            error=next((text for text in errors if text), None),
         )
 
     @abc.abstractmethod
-    async def _run(self, entry: int, task: tasks.Task) -> str:
-        """Run one task and return the answer's body, or what went wrong."""
+    async def _run_task(self, entry_index: int, task: tasks.Task) -> str:
+        """Run one task and return the response body or an error as text."""
 
-    async def _post(
+    async def _send_task(
         self,
         session: aiohttp.ClientSession,
         endpoint: parts.Endpoint,
@@ -119,73 +126,83 @@
         try:
             async with session.post(
                 url, headers=task.headers, data=task.body.encode()
-            ) as reply:
-                return await reply.text()
+            ) as response:
+                return await response.text()
         except (aiohttp.ClientError, TimeoutError) as exc:
             return repr(exc)
 
 
 class RandomSender(DirectSender):
-    """Each entry point chooses an endpoint at random and keeps no queue.
+    """Each entry VM chooses an endpoint at random and has no queue.
 
-    The endpoint's connections are divided among the entry points, so that
-    none is refused; beyond them a task waits for a connection.
+    The connections to an endpoint are divided among the entry VMs, so that
+    none is refused; a task waits while all of them are in use.
     """
 
     def __init__(
-        self, endpoints: Sequence[parts.Endpoint], *, entries: int, seed: int
+        self, endpoints: Sequence[parts.Endpoint], *, entry_vms: int, seed: int
     ) -> None:
-        """Open one session for each entry point."""
+        """Create one session for each entry VM."""
         super().__init__(endpoints)
-        self._rngs = [random.Random(seed + entry) for entry in range(entries)]
+        self._rngs = [
+            random.Random(seed + entry_index)
+            for entry_index in range(entry_vms)
+        ]
         self._sessions = [
-            _open_session(CONNECTIONS // entries) for _ in range(entries)
+            _create_session(CONNECTIONS_PER_ENDPOINT // entry_vms)
+            for _ in range(entry_vms)
         ]
 
     async def close(self) -> None:
         """Close all connections."""
         await asyncio.gather(*(session.close() for session in self._sessions))
 
-    async def _run(self, entry: int, task: tasks.Task) -> str:
-        endpoint = self._rngs[entry].choice(self._endpoints)
-        return await self._post(self._sessions[entry], endpoint, task)
+    async def _run_task(self, entry_index: int, task: tasks.Task) -> str:
+        endpoint = self._rngs[entry_index].choice(self._endpoints)
+        return await self._send_task(
+            self._sessions[entry_index], endpoint, task
+        )
 
 
 class RoundRobinSender(DirectSender):
-    """One shared first-come queue; free slots are taken in turn."""
+    """One shared FIFO queue; free slots are assigned round-robin."""
 
     def __init__(self, endpoints: Sequence[parts.Endpoint]) -> None:
-        """Open one session."""
+        """Create the session that all entry VMs share."""
         super().__init__(endpoints)
-        self._session = _open_session(CONNECTIONS)
-        self._free = [endpoint.slots for endpoint in endpoints]
-        self._turn = 0
-        self._slots = asyncio.Semaphore(sum(self._free))
+        self._session = _create_session(CONNECTIONS_PER_ENDPOINT)
+        self._free_slots = [endpoint.slots for endpoint in endpoints]
+        self._next_index = 0
+        self._slot_semaphore = asyncio.Semaphore(sum(self._free_slots))
 
     async def close(self) -> None:
         """Close all connections."""
         await self._session.close()
 
-    async def _run(self, entry: int, task: tasks.Task) -> str:
-        async with self._slots:
-            index = self._take()
+    async def _run_task(self, entry_index: int, task: tasks.Task) -> str:
+        async with self._slot_semaphore:
+            index = self._acquire_slot()
             try:
-                return await self._post(
+                return await self._send_task(
                     self._session, self._endpoints[index], task
                 )
             finally:
-                self._free[index] += 1
-
-    def _take(self) -> int:
-        count = len(self._free)
-        order = (self._turn + step for step in range(count))
-        index = next(turn % count for turn in order if self._free[turn % count])
-        self._free[index] -= 1
-        self._turn = index + 1
+                self._free_slots[index] += 1
+
+    def _acquire_slot(self) -> int:
+        count = len(self._free_slots)
+        candidates = (self._next_index + offset for offset in range(count))
+        index = next(
+            candidate % count
+            for candidate in candidates
+            if self._free_slots[candidate % count]
+        )
+        self._free_slots[index] -= 1
+        self._next_index = index + 1
         return index
 
 
-def _open_session(connections: int) -> aiohttp.ClientSession:
+def _create_session(connections: int) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, limit_per_host=connections),
         timeout=aiohttp.ClientTimeout(total=DEADLINE_MS / 1000),
@@ -198,15 +215,17 @@
     return tasks.render_single(submission.tasks[0], deadline_ms=DEADLINE_MS)
 
 
-def _judge(
+def _check_reply(
     submission: workload.Submission, document: tasks.Document
-) -> driver.Reply:
-    answers = document.get('tasks', ()) if submission.is_job else (document,)
-    faults = [
-        task.find_fault(answer)
-        for task, answer in zip(submission.tasks, answers)
+) -> driver.Outcome:
+    task_results = (
+        document.get('tasks', ()) if submission.is_job else (document,)
+    )
+    errors = [
+        task.find_fault(task_result)
+        for task, task_result in zip(submission.tasks, task_results)
     ]
-    fault = next((one for one in faults if one), None)
+    error = next((text for text in errors if text), None)
     if submission.is_job:
-        fault = tasks.find_job_fault(submission.tasks, document)
-    return driver.Reply(useful=faults.count(None), fault=fault)
+        error = tasks.find_job_fault(submission.tasks, document)
+    return driver.Outcome(correct_tasks=errors.count(None), error=error)
--- a/tests/bench/test_demo.py
+++ b/tests/bench/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo finds what is wrong, and only that."""
+"""The demo reports incorrect replies, and accepts correct ones."""
 
 import asyncio
 
@@ -7,32 +7,35 @@
 
 from sardineproxy.demo import core, tasks
 
-FAKES = 'tests.bench.fakes'
+FAKE_MODULE = 'tests.bench.fakes'
 TASK = tasks.Task(label='a', run_ms=1, body='x')
 
 
 class DemoTest(testtools.TestCase):
-    """Guards against a demo that succeeds or fails whatever happens."""
+    """Guards against a demo that passes or fails regardless of the replies."""
 
-    def test_right_answers_have_no_fault(self) -> None:
-        faults = asyncio.run(core.run(count=20, seed=1, module=FAKES))
-        self.assertThat(faults, matchers.Equals([]))
+    def test_accepts_correct_replies(self) -> None:
+        errors = asyncio.run(core.run(count=20, seed=1, module=FAKE_MODULE))
+        self.assertThat(errors, matchers.Equals([]))
 
-    def test_finds_wrong_answers(self) -> None:
-        other = '{"task": "b", "body_sha256": ""}'
-        for answer, expected in (
+    def test_reports_incorrect_task_results(self) -> None:
+        other_task_body = '{"task": "b", "body_sha256": ""}'
+        for task_result, expected in (
             ({'verdict': 'not_run', 'code': 'late'}, 'verdict not_run (late)'),
             ({'verdict': 'ran', 'status': 500}, 'status 500'),
             ({'verdict': 'ran', 'status': 200, 'body_text': '{"'}, 'not whole'),
-            ({'verdict': 'ran', 'status': 200, 'body_text': other}, 'another'),
+            (
+                {'verdict': 'ran', 'status': 200, 'body_text': other_task_body},
+                'another',
+            ),
         ):
-            fault = TASK.find_fault(answer)
-            self.assertThat(fault, matchers.Contains(expected))
-            job = {'state': 'complete', 'tasks': [answer]}
-            fault = tasks.find_job_fault((TASK,), job)
-            self.assertThat(fault, matchers.Contains(expected))
-
-    def test_finds_partial_jobs(self) -> None:
-        job = {'state': 'complete', 'tasks': []}
-        fault = tasks.find_job_fault((TASK,), job)
-        self.assertThat(fault, matchers.Equals('0 answers for 1 tasks'))
+            error = TASK.find_fault(task_result)
+            self.assertThat(error, matchers.Contains(expected))
+            job_reply = {'state': 'complete', 'tasks': [task_result]}
+            error = tasks.find_job_fault((TASK,), job_reply)
+            self.assertThat(error, matchers.Contains(expected))
+
+    def test_reports_job_with_missing_results(self) -> None:
+        job_reply = {'state': 'complete', 'tasks': []}
+        error = tasks.find_job_fault((TASK,), job_reply)
+        self.assertThat(error, matchers.Equals('0 answers for 1 tasks'))
--- a/tests/bench/test_deployment.py
+++ b/tests/bench/test_deployment.py
@@ -1,4 +1,4 @@
-"""The harness ends all that it starts."""
+"""The deployment stops every process that it started."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from sardineproxy.demo import deployment, parts, processes
 from sardineproxy.process import settings
 
-URN = parts.EndpointSpec(name='urn', zone='sondrio')
+ENDPOINT_SPEC = parts.EndpointSpec(name='urn', zone='sondrio')
 
 
 def _is_running(pid: int) -> bool:
@@ -22,50 +22,57 @@
     return True
 
 
-async def _fail_after_start(pids: list[int]) -> None:
+async def _fail_after_start(endpoint_pids: list[int]) -> None:
     async with deployment.Deployment() as dep:
-        process = await dep.start_endpoints([URN])
-        pids.append(process.pid)
+        endpoint_process = await dep.start_endpoints([ENDPOINT_SPEC])
+        endpoint_pids.append(endpoint_process.pid)
         await dep.start_program('standin-endpoint', '--no_such_flag')
 
 
-async def _terminate_after_start(pids: list[int]) -> None:
+async def _terminate_after_start(endpoint_pids: list[int]) -> None:
     async with deployment.Deployment() as dep:
-        process = await dep.start_endpoints([URN])
-        pids.append(process.pid)
+        endpoint_process = await dep.start_endpoints([ENDPOINT_SPEC])
+        endpoint_pids.append(endpoint_process.pid)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.Event().wait()
 
 
 class DeploymentTest(testtools.TestCase):
-    """Failures reach the caller after everything was stopped."""
+    """Errors propagate to the caller after all processes were stopped."""
 
-    def test_ends_all_processes_when_one_does_not_start(self) -> None:
-        """Guards against processes that outlive a failed set-up."""
-        pids: list[int] = []
+    def test_stops_all_processes_when_one_fails_to_start(self) -> None:
+        """Guards against processes that keep running after a failed set-up.
+
+        One program starts and the next exits because of an unknown flag.
+        """
+        endpoint_pids: list[int] = []
         error = self.assertRaises(
-            processes.DeploymentError, asyncio.run, _fail_after_start(pids)
+            processes.DeploymentError,
+            asyncio.run,
+            _fail_after_start(endpoint_pids),
         )
         self.assertThat(str(error), matchers.Contains('no_such_flag'))
         self.assertThat(
-            [_is_running(pid) for pid in pids], matchers.Equals([False])
+            [_is_running(pid) for pid in endpoint_pids],
+            matchers.Equals([False]),
         )
 
-    def test_ends_all_processes_on_sigterm(self) -> None:
-        """Guards against processes that outlive a terminated harness."""
-        pids: list[int] = []
+    def test_stops_all_processes_on_sigterm(self) -> None:
+        """Guards against processes that keep running after SIGTERM."""
+        endpoint_pids: list[int] = []
         error = self.assertRaises(
             processes.DeploymentError,
             processes.run,
-            _terminate_after_start(pids),
+            _terminate_after_start(endpoint_pids),
         )
         self.assertThat(str(error), matchers.Contains('signal'))
         self.assertThat(
-            [_is_running(pid) for pid in pids], matchers.Equals([False])
+            [_is_running(pid) for pid in endpoint_pids],
+            matchers.Equals([False]),
         )
 
-    def test_settings_are_what_the_entry_process_accepts(self) -> None:
-        """Guards against settings that drift from their schema."""
+    def test_rendered_settings_match_the_schema(self) -> None:
+        """Guards against rendered settings that the entry process rejects."""
         spec = parts.EntrySpec(name='sondrio-1', zone='sondrio', size=2)
         document = parts.render_settings(
             spec, region='alpha', platform_port=4711, seeds=()
