--- a/sardineproxy/bench/slopes.py
+++ b/sardineproxy/bench/slopes.py
@@ -1,9 +1,9 @@
-"""Measure what one more task, VM, peer, contract or change costs.
+"""Measure the marginal cost of a task, VM, peer, contract or change.
 
-Run as ``python -m sardineproxy.bench.slopes [NAME ...]``; without names all
-groups are measured. Each slope is printed as ``name: value unit (points
-count=cost ...; fixed cost; least to greatest in so many runs)``. Processor
-time is that of this process or of the thread that is measured.
+Run as ``python -m sardineproxy.bench.slopes [GROUP ...]``; without arguments
+all groups are measured. Each slope is printed as ``name: value unit (points
+count=cost ...; fixed COST; LOWEST to HIGHEST in COUNT runs)``. CPU time is
+that of this process or of the measured thread.
 """
 
 import importlib
@@ -15,8 +15,8 @@
 
 from sardineproxy import exit_status
 
-#: Function of each group. Its module is imported only when it is measured,
-#: so that the memory of the imports can be read first.
+#: Module and function of each group. The module is imported only when the
+#: group is measured, so that the memory of the imports can be measured first.
 GROUPS = types.MappingProxyType(
     {
         'task': ('slopes_task', 'measure'),
@@ -32,49 +32,61 @@
     }
 )
 
-#: Group that this module measures itself, before any other.
+#: Group that this module measures itself, before all others.
 IMPORTS = 'imports'
 
-#: Modules whose resident memory is read, in the order of import.
+#: Modules whose resident memory is measured, in the order of import.
 MODULES = ('asyncio', 'aiohttp.web', 'sardineproxy.process.entry')
 
 BYTES_PER_MB = 1_000_000
 
 
 def main(argv: Sequence[str]) -> exit_status.ExitStatus:
-    """Measure the named groups, or all."""
-    names = argv[1:] or [IMPORTS, *GROUPS]
-    unknown = [name for name in names if name not in {IMPORTS, *GROUPS}]
-    if unknown:
+    """Measure the given groups, or all."""
+    group_names = argv[1:] or [IMPORTS, *GROUPS]
+    unknown_groups = [
+        group_name
+        for group_name in group_names
+        if group_name not in {IMPORTS, *GROUPS}
+    ]
+    if unknown_groups:
         expected = ', '.join((IMPORTS, *GROUPS))
-        sys.stderr.write(f'no group {unknown[0]}; expected {expected}\n')
+        sys.stderr.write(
+            f'unknown group {unknown_groups[0]}; expected one of {expected}\n'
+        )
         return exit_status.ExitStatus.USAGE
-    if IMPORTS in names:
+    if IMPORTS in group_names:
         print_imports()
-    # This module imports asyncio, so it must not be loaded before.
-    fit = importlib.import_module('sardineproxy.bench.slopes_fit')
-    out = fit.Report()
-    for name in names:
-        if name != IMPORTS:
-            module, function = GROUPS[name]
-            loaded = importlib.import_module(f'sardineproxy.bench.{module}')
-            getattr(loaded, function)(out)
+    # slopes_fit imports asyncio, so it must be imported after print_imports.
+    slopes_fit = importlib.import_module('sardineproxy.bench.slopes_fit')
+    out = slopes_fit.Report()
+    for group_name in group_names:
+        if group_name != IMPORTS:
+            module_name, function_name = GROUPS[group_name]
+            group_module = importlib.import_module(
+                f'sardineproxy.bench.{module_name}'
+            )
+            getattr(group_module, function_name)(out)
     return exit_status.ExitStatus.SUCCESS
 
 
 def print_imports() -> None:
-    """Print the resident memory before the imports, and what each adds."""
-    before = _resident_bytes()
-    print(f'imports.interpreter: {before / BYTES_PER_MB:.4g} MB resident')
-    for module in MODULES:
-        if module in sys.modules:
-            print(f'imports.{module}: not measured (imported before)')
+    """Print the resident memory before the imports and the growth of each."""
+    resident_before = _resident_bytes()
+    print(
+        f'imports.interpreter: {resident_before / BYTES_PER_MB:.4g} MB resident'
+    )
+    for module_name in MODULES:
+        if module_name in sys.modules:
+            print(f'imports.{module_name}: not measured (imported before)')
             continue
-        importlib.import_module(module)
-        after = _resident_bytes()
-        added = (after - before) / BYTES_PER_MB
-        print(f'imports.{module}: {added:.4g} MB resident, in this order')
-        before = after
+        importlib.import_module(module_name)
+        resident_after = _resident_bytes()
+        added_mb = (resident_after - resident_before) / BYTES_PER_MB
+        print(
+            f'imports.{module_name}: {added_mb:.4g} MB resident, in this order'
+        )
+        resident_before = resident_after
 
 
 def _resident_bytes() -> int:
--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -1,4 +1,4 @@
-"""Slopes of a contract and of a change of the configuration."""
+"""Slopes of contracts and of changes of the configuration."""
 
 import functools
 import math
@@ -16,196 +16,219 @@
 )
 from sardineproxy.version import codec, versions
 
-CONTRACTS = (100, 370, 1000)
-CHANGES = (16, 64, 128)
-PEERS = (2, 8, 32)
-TARGET = 370
+CONTRACT_COUNTS = (100, 370, 1000)
+CHANGE_COUNTS = (16, 64, 128)
+PEER_COUNTS = (2, 8, 32)
+TARGET_CONTRACTS = 370
 
 
 def measure(out: slopes_fit.Report) -> None:
     """Print the slopes."""
     out.add(
-        slopes_fit.measure(
-            'contract.memory', 'B/contract', _weigh, CONTRACTS, repeats=2
+        slopes_fit.measure_slope(
+            'contract.memory',
+            'B/contract',
+            _measure_version_memory,
+            CONTRACT_COUNTS,
+            repeats=2,
         )
     )
     out.add(
-        slopes_fit.measure(
+        slopes_fit.measure_slope(
             'contract.snapshot',
             'B/contract',
-            lambda count: len(codec.encode_snapshot(_snapshot(count))),
-            CONTRACTS,
+            lambda count: len(codec.encode_snapshot(_make_snapshot(count))),
+            CONTRACT_COUNTS,
             repeats=1,
         )
     )
     out.add(
-        slopes_fit.measure(
-            'change.apply', 'us/contract', _time_change, CONTRACTS
+        slopes_fit.measure_slope(
+            'change.apply', 'us/contract', _time_apply, CONTRACT_COUNTS
         )
     )
     out.add(
-        slopes_fit.measure(
+        slopes_fit.measure_slope(
             'change.row',
             'B/changed contract',
-            _weigh_row,
+            _measure_row_bytes,
             (1, 4, 16),
             repeats=1,
         )
     )
     out.add(
-        slopes_fit.measure(
-            'change.kept', 'B/change', _weigh_kept, CHANGES, repeats=1
+        slopes_fit.measure_slope(
+            'change.kept',
+            'B/change',
+            _measure_change_memory,
+            CHANGE_COUNTS,
+            repeats=1,
         )
     )
-    _measure_passing(out)
+    _measure_propagation(out)
 
 
-def _measure_passing(out: slopes_fit.Report) -> None:
-    """Print what it takes to bring peers to the next version."""
-    built, payload = _build_ahead()
-    passing = config_exchange.ConfigExchange(
-        gossip=gossip.Gossip(versions=built.versions, vm_list=built.vm_list),
+def _measure_propagation(out: slopes_fit.Report) -> None:
+    """Print the cost of propagating one version to peers."""
+    entry_components, payload = _build_with_change()
+    exchange = config_exchange.ConfigExchange(
+        gossip=gossip.Gossip(
+            versions=entry_components.versions, vm_list=entry_components.vm_list
+        ),
         rng=random.Random(1),
     )
     fetch = frames.ConfigFetch(version=1, revision=0)
     announce = frames.ConfigAnnounce(version=2, revision=0)
     out.add(
-        slopes_fit.measure(
+        slopes_fit.measure_slope(
             'change.pass_on',
             'us/peer',
-            functools.partial(_time_passing, passing, announce, fetch),
-            PEERS,
+            functools.partial(_time_propagation, exchange, announce, fetch),
+            PEER_COUNTS,
         )
     )
-    sent: list[frames.Frame] = [announce, fetch, passing.answer(fetch)]
+    sent_frames: list[frames.Frame] = [announce, fetch, exchange.answer(fetch)]
     out.add_figure(
         'change.pass_on.bytes',
-        math.fsum(len(frames.encode(one).unwrap()) for one in sent),
+        math.fsum(len(frames.encode(frame).unwrap()) for frame in sent_frames),
         'B/peer',
         f'announce, fetch and changes; the change itself {len(payload)}',
     )
 
 
-def _time_passing(
-    passing: config_exchange.ConfigExchange,
+def _time_propagation(
+    exchange: config_exchange.ConfigExchange,
     announce: frames.ConfigAnnounce,
     fetch: frames.ConfigFetch,
-    peers: int,
+    peer_count: int,
 ) -> float:
-    def pass_on() -> None:  # noqa: WPS430
-        for _ in range(peers):
+    def announce_and_answer() -> None:  # noqa: WPS430
+        for _ in range(peer_count):
             frames.encode(announce).unwrap()
-            frames.encode(passing.answer(fetch)).unwrap()
+            frames.encode(exchange.answer(fetch)).unwrap()
 
-    return slopes_fit.cpu_us(pass_on, times=20)
+    return slopes_fit.measure_cpu_us(announce_and_answer, repetitions=20)
 
 
-def _snapshot(count: int) -> versions.Snapshot:
-    return slopes_samples.snapshot(slopes_samples.documents(count))
+def _make_snapshot(count: int) -> versions.Snapshot:
+    return slopes_samples.make_snapshot(slopes_samples.make_documents(count))
 
 
-def _weigh(count: int) -> float:
-    """Return the memory of a version in force in an entry process."""
+def _measure_version_memory(count: int) -> float:
+    """Return the memory of the version that an entry process applies."""
     payload = codec.encode_payload(
-        codec.Payload(snapshot=_snapshot(count), changes=())
+        codec.Payload(snapshot=_make_snapshot(count), changes=())
     )
-    built = _build_parts()
+    entry_components = _build_components()
 
-    def take() -> components.Components:  # noqa: WPS430
-        built.versions.offer(payload)
-        return built
+    def apply_payload() -> components.Components:  # noqa: WPS430
+        entry_components.versions.offer(payload)
+        return entry_components
 
-    return slopes_fit.heap_bytes(take)
+    return slopes_fit.measure_heap_bytes(apply_payload)
 
 
-def _time_change(count: int) -> float:
-    """Return the cost of one changed contract among ``count``.
+def _time_apply(count: int) -> float:
+    """Return the CPU time to apply a change of one of ``count`` contracts.
 
-    Covers the follower and all that follow it: limits, weights and shares,
-    and each customer's part of its holding limit, which is computed on use.
+    Covers the follower and its subscribers: limits, weights and shares. Also
+    covers the share of each customer's holding limit, which is computed on
+    use.
     """
-    built = _build_parts()
-    first = _snapshot(count)
-    built.versions.offer(
-        codec.encode_payload(codec.Payload(snapshot=first, changes=()))
+    entry_components = _build_components()
+    first_version = _make_snapshot(count)
+    entry_components.versions.offer(
+        codec.encode_payload(codec.Payload(snapshot=first_version, changes=()))
     )
-    payload = codec.encode_payload(_change(first, 1))
+    payload = codec.encode_payload(_make_payload(first_version, 1))
 
-    def take() -> None:  # noqa: WPS430
-        built.versions.offer(payload)
-        for customer in first.documents:
-            built.slots.limit_share(customer)
+    def apply_payload() -> None:  # noqa: WPS430
+        entry_components.versions.offer(payload)
+        for customer in first_version.documents:
+            entry_components.slots.limit_share(customer)
 
-    took_us = slopes_fit.cpu_us(take)
-    assert built.versions.number() == first.number + 1, 'the change is taken'
-    return took_us
+    cpu_us = slopes_fit.measure_cpu_us(apply_payload)
+    assert entry_components.versions.number() == first_version.number + 1, (
+        'the change was not applied'
+    )
+    return cpu_us
 
 
-def _change(old: versions.Snapshot, changed: int) -> codec.Payload:
-    """Return a change of the first ``changed`` contracts' weights."""
-    wanted = {
-        **old.documents,
-        **slopes_samples.documents(changed, weight=old.number + 1),
+def _make_payload(
+    old_snapshot: versions.Snapshot, changed_count: int
+) -> codec.Payload:
+    """Return a change of the weights of the first ``changed_count`` contracts."""
+    documents = {
+        **old_snapshot.documents,
+        **slopes_samples.make_documents(
+            changed_count, weight=old_snapshot.number + 1
+        ),
     }
-    return slopes_samples.change(old, wanted)
+    return slopes_samples.make_payload(old_snapshot, documents)
 
 
-def _weigh_row(changed: int) -> float:
-    return len(codec.encode_change(_change(_snapshot(20), changed).changes[0]))
+def _measure_row_bytes(changed_count: int) -> float:
+    return len(
+        codec.encode_change(
+            _make_payload(_make_snapshot(20), changed_count).changes[0]
+        )
+    )
 
 
-def _weigh_kept(changes: int) -> float:
-    """Return the memory of changes that are kept for peers."""
-    newest = _snapshot(TARGET)
+def _measure_change_memory(change_count: int) -> float:
+    """Return the memory of the changes that are retained for peers."""
+    newest_snapshot = _make_snapshot(TARGET_CONTRACTS)
     payloads = []
-    for _ in range(changes):
-        payload = _change(newest, 1)
-        newest = versions.apply(newest, payload.changes[0]).unwrap()
+    for _ in range(change_count):
+        payload = _make_payload(newest_snapshot, 1)
+        newest_snapshot = versions.apply(
+            newest_snapshot, payload.changes[0]
+        ).unwrap()
         payloads.append(codec.encode_payload(payload))
-    built = _build_parts()
-    built.versions.offer(
+    entry_components = _build_components()
+    entry_components.versions.offer(
         codec.encode_payload(
-            codec.Payload(snapshot=_snapshot(TARGET), changes=())
+            codec.Payload(snapshot=_make_snapshot(TARGET_CONTRACTS), changes=())
         )
     )
 
-    def take() -> components.Components:  # noqa: WPS430
+    def apply_payload() -> components.Components:  # noqa: WPS430
         for payload in payloads:
-            built.versions.offer(payload)
-        return built
+            entry_components.versions.offer(payload)
+        return entry_components
 
-    return slopes_fit.heap_bytes(take)
+    return slopes_fit.measure_heap_bytes(apply_payload)
 
 
-def _build_ahead() -> tuple[components.Components, bytes]:
-    """Return parts at version 2, and the change that leads there."""
-    built = _build_parts()
-    first = _snapshot(TARGET)
-    built.versions.offer(
-        codec.encode_payload(codec.Payload(snapshot=first, changes=()))
+def _build_with_change() -> tuple[components.Components, bytes]:
+    """Return components at version 2 and the change from version 1."""
+    entry_components = _build_components()
+    first_version = _make_snapshot(TARGET_CONTRACTS)
+    entry_components.versions.offer(
+        codec.encode_payload(codec.Payload(snapshot=first_version, changes=()))
     )
-    payload = codec.encode_payload(_change(first, 1))
-    built.versions.offer(payload)
-    return built, payload
+    payload = codec.encode_payload(_make_payload(first_version, 1))
+    entry_components.versions.offer(payload)
+    return entry_components, payload
 
 
-def _build_parts() -> components.Components:
-    """Return all parts of an entry process, with a zone's division."""
-    built = components.build(
-        cfg=slopes_samples.entry_settings(),
+def _build_components() -> components.Components:
+    """Return the components of an entry process with a limit division."""
+    entry_components = components.build(
+        cfg=slopes_samples.make_entry_settings(),
         dependencies=components.Dependencies(
-            clock=slopes_samples.system_clock(),
+            clock=slopes_samples.make_clock(),
             rng=random.Random(1),
-            platform=slopes_samples.MemoryPlatform(
-                vm_list=slopes_samples.listing(), contracts={}
+            platform=slopes_samples.InMemoryPlatform(
+                vm_list=slopes_samples.make_vm_list(), contracts={}
             ),
         ),
     )
-    built.slots.set_limit_divisions((_division(),))
-    return built
+    entry_components.slots.set_limit_divisions((_make_division(),))
+    return entry_components
 
 
-def _division() -> slots.LimitDivision:
+def _make_division() -> slots.LimitDivision:
     return views.LimitDivision(
         vm=ids.VmId('entry-00000'),
         zone=ids.ZoneId(slopes_samples.ZONE),
--- a/sardineproxy/bench/slopes_fit.py
+++ b/sardineproxy/bench/slopes_fit.py
@@ -1,4 +1,4 @@
-"""Slopes fitted to repeated readings, and the costs that are read."""
+"""Cost measurements and the slopes fitted to them."""
 
 import asyncio
 import dataclasses
@@ -10,33 +10,33 @@
 
 US_PER_S = 1_000_000
 
-#: Readings of each point.
+#: Measurements of each point.
 REPEATS = 5
 
-#: Cost of each number of things, such as microseconds by number of tasks.
-Reading = Mapping[int, float]
+#: Cost by number of items, such as microseconds by number of tasks.
+Measurement = Mapping[int, float]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Slope:
-    """Cost of one more thing."""
+    """Cost of one more item."""
 
     name: str
     unit: str
 
-    #: Median over the readings.
-    per_thing: float
+    #: Median slope of the measurements.
+    per_item: float
 
-    #: Least and greatest of the readings' slopes.
-    low: float
-    high: float
+    #: Range of the slopes.
+    lowest: float
+    highest: float
     repeats: int
 
-    #: Median cost that does not grow.
-    fixed: float
+    #: Median cost that does not depend on the number of items.
+    intercept: float
 
     #: Median cost of each point.
-    points: Reading
+    points: Measurement
 
     def render(self) -> str:
         """Return the line that is printed."""
@@ -44,8 +44,8 @@
             f'{count}={cost:.4g}' for count, cost in self.points.items()
         )
         return (
-            f'{self.name}: {self.per_thing:.4g} {self.unit} (points {points}; '
-            f'fixed {self.fixed:.4g}; {self.low:.4g} to {self.high:.4g} '
+            f'{self.name}: {self.per_item:.4g} {self.unit} (points {points}; '
+            f'fixed {self.intercept:.4g}; {self.lowest:.4g} to {self.highest:.4g} '
             f'in {self.repeats} runs)'
         )
 
@@ -54,7 +54,7 @@
     """Prints slopes and figures as soon as they are known."""
 
     def __init__(self) -> None:
-        """Start without lines."""
+        """Create a report without figures."""
         self.names: list[str] = []
 
     def add(self, slope: Slope) -> None:
@@ -64,7 +64,7 @@
     def add_figure(
         self, name: str, figure: float, unit: str, note: str
     ) -> None:
-        """Print a figure that does not come from points."""
+        """Print a figure that is not a slope."""
         self._print(name, f'{name}: {figure:.4g} {unit} ({note})')
 
     def _print(self, name: str, line: str) -> None:
@@ -72,100 +72,109 @@
         print(line, flush=True)
 
 
-def fit(reading: Reading) -> tuple[float, float]:
+def fit_line(measurement: Measurement) -> tuple[float, float]:
     """Return slope and intercept of the least-squares line."""
     line = statistics.linear_regression(
-        list(reading.keys()), list(reading.values())
+        list(measurement.keys()), list(measurement.values())
     )
     return line.slope, line.intercept
 
 
-def summarize(name: str, unit: str, readings: Sequence[Reading]) -> Slope:
-    """Return the median of the readings' slopes, and their spread."""
-    lines = [fit(reading) for reading in readings]
+def summarize(
+    name: str, unit: str, measurements: Sequence[Measurement]
+) -> Slope:
+    """Return the median and the range of the slopes of the measurements."""
+    lines = [fit_line(measurement) for measurement in measurements]
     slopes = [slope for slope, _ in lines]
     return Slope(
         name=name,
         unit=unit,
-        per_thing=statistics.median(slopes),
-        low=min(slopes),
-        high=max(slopes),
+        per_item=statistics.median(slopes),
+        lowest=min(slopes),
+        highest=max(slopes),
         repeats=len(slopes),
-        fixed=statistics.median(fixed for _, fixed in lines),
+        intercept=statistics.median(intercept for _, intercept in lines),
         points={
-            count: statistics.median(reading[count] for reading in readings)
-            for count in readings[0]
+            count: statistics.median(
+                measurement[count] for measurement in measurements
+            )
+            for count in measurements[0]
         },
     )
 
 
-def measure(
+def measure_slope(
     name: str,
     unit: str,
-    cost: Callable[[int], float],
+    measure_cost: Callable[[int], float],
     counts: Iterable[int],
     *,
     repeats: int = REPEATS,
 ) -> Slope:
-    """Read the cost of each count several times and fit a line."""
-    chosen = tuple(counts)
-    readings = [
-        {count: cost(count) for count in chosen} for _ in range(repeats)
+    """Measure the cost of each count several times and fit lines."""
+    item_counts = tuple(counts)
+    measurements = [
+        {count: measure_cost(count) for count in item_counts}
+        for _ in range(repeats)
     ]
-    return summarize(name, unit, readings)
+    return summarize(name, unit, measurements)
 
 
-def measure_async(
+def measure_slope_async(
     name: str,
     unit: str,
-    cost: Callable[[int], Awaitable[float]],
+    measure_cost: Callable[[int], Awaitable[float]],
     counts: Iterable[int],
     *,
     repeats: int = REPEATS,
 ) -> Slope:
-    """Do the same with an event loop for each reading."""
-    return measure(
+    """Like ``measure_slope``, with a new event loop for each cost."""
+    return measure_slope(
         name,
         unit,
-        lambda count: asyncio.run(_wait(cost, count)),
+        lambda count: asyncio.run(_await_cost(measure_cost, count)),
         counts,
         repeats=repeats,
     )
 
 
-async def _wait(cost: Callable[[int], Awaitable[float]], count: int) -> float:
-    return await cost(count)
+async def _await_cost(
+    measure_cost: Callable[[int], Awaitable[float]], count: int
+) -> float:
+    return await measure_cost(count)
 
 
-def cpu_us(act: Callable[[], object], *, times: int = 1) -> float:
-    """Return the processor time of one call, in microseconds."""
+def measure_cpu_us(
+    operation: Callable[[], object], *, repetitions: int = 1
+) -> float:
+    """Return the CPU time of one call, in microseconds."""
     gc.collect()
-    began_s = time.process_time()
-    for _ in range(times):
-        act()
-    return (time.process_time() - began_s) * US_PER_S / times
+    started_s = time.process_time()
+    for _ in range(repetitions):
+        operation()
+    return (time.process_time() - started_s) * US_PER_S / repetitions
 
 
-def heap_bytes(build: Callable[[], object]) -> float:
-    """Return the bytes that what ``build`` returns keeps allocated."""
+def measure_heap_bytes(build: Callable[[], object]) -> float:
+    """Return the heap bytes that the result of ``build`` occupies."""
     gc.collect()
     tracemalloc.start()
-    before, _ = tracemalloc.get_traced_memory()
-    kept = build()
+    bytes_before, _ = tracemalloc.get_traced_memory()
+    built = build()
     gc.collect()
-    after, _ = tracemalloc.get_traced_memory()
+    bytes_after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert kept is not None, 'what is measured must be kept'
-    return after - before
+    assert built is not None, 'build must return the object to measure'
+    return bytes_after - bytes_before
 
 
-def heap_peak_bytes(act: Callable[[], object]) -> float:
-    """Return the most bytes that were allocated at once during ``act``."""
+def measure_heap_peak_bytes(operation: Callable[[], object]) -> float:
+    """Return the peak heap growth during ``operation``."""
     gc.collect()
     tracemalloc.start()
-    before, _ = tracemalloc.get_traced_memory()
+    bytes_before, _ = tracemalloc.get_traced_memory()
     tracemalloc.reset_peak()
-    act()
+    operation()
     _, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return peak - before
+    return peak - bytes_before
--- a/sardineproxy/bench/slopes_http.py
+++ b/sardineproxy/bench/slopes_http.py
@@ -1,7 +1,7 @@
-"""Slopes of a request through real aiohttp, bare and in an entry process.
+"""Slopes of a request through bare aiohttp and through an entry process.
 
-The endpoint and the caller run in other threads, whose processor time does
-not count.
+The endpoint and the caller run in other threads, whose CPU time is not
+counted.
 """
 
 import asyncio
@@ -21,78 +21,83 @@
 from sardineproxy.bench import slopes_fit, slopes_net, slopes_samples
 from sardineproxy.process import entry, components
 
-#: Requests on their way at once.
-AT_ONCE = 8
-REQUESTS = (200, 800)
-JOB_TASKS = (100, 800)
+#: Concurrent requests.
+CONCURRENCY = 8
+REQUEST_COUNTS = (200, 800)
+JOB_TASK_COUNTS = (100, 800)
 JOBS = 3
-CONNECTIONS = (50, 200)
+CONNECTION_COUNTS = (50, 200)
 
-#: Longest answer to a single request, in bytes.
-MAX_ANSWER = 65_536
+MAX_RESPONSE_BYTES = 65_536
 ENDPOINTS = 48
-ANSWER = slopes_net.render(b'{"task": "task", "endpoint": "endpoint"}')
+ENDPOINT_RESPONSE = slopes_net.render_response(
+    b'{"task": "task", "endpoint": "endpoint"}'
+)
 BODY = b'x' * 100
 
 
 def measure(out: slopes_fit.Report) -> None:
     """Print the slopes."""
-    with slopes_net.FixedServer({b'/': ANSWER}) as endpoint:
+    with slopes_net.FixedServer({b'/': ENDPOINT_RESPONSE}) as endpoint:
         _measure_costs(out, endpoint.port)
         out.add(
-            slopes_fit.measure_async(
+            slopes_fit.measure_slope_async(
                 'http.caller_connection',
                 'B/connection',
-                lambda count: _weigh_connections(endpoint.port, count),
-                CONNECTIONS,
+                lambda count: _measure_connection_memory(endpoint.port, count),
+                CONNECTION_COUNTS,
                 repeats=2,
             )
         )
 
 
 def _measure_costs(out: slopes_fit.Report, port: int) -> None:
-    """Print the costs, and those of the entry process over the floors.
+    """Print the costs and their ratios to the floors.
 
-    A cost and its floor are read right after each other, because the speed
-    of a shared machine changes between readings.
+    A cost and its floor are measured right after each other, because the
+    speed of a shared machine changes between measurements.
     """
-    readings: dict[str, list[slopes_fit.Reading]] = {}
+    measurements: dict[str, list[slopes_fit.Measurement]] = {}
     for _ in range(slopes_fit.REPEATS):
-        for name, (cost, counts) in _COSTS.items():
-            reading = {
-                count: asyncio.run(cost(port, count)) for count in counts
+        for name, (measure_cost, counts) in _COSTS.items():
+            measurement = {
+                count: asyncio.run(measure_cost(port, count))
+                for count in counts
             }
-            readings.setdefault(name, []).append(reading)
-    for name, found in readings.items():
-        out.add(slopes_fit.summarize(name, 'us/request', found))
-    for name, floor in (
+            measurements.setdefault(name, []).append(measurement)
+    for name, measurements_of_cost in measurements.items():
+        out.add(slopes_fit.summarize(name, 'us/request', measurements_of_cost))
+    for name, floor_name in (
         ('http.job_task', 'http.floor_client'),
         ('http.single', 'http.floor_proxy'),
     ):
         ratios = [
-            slopes_fit.fit(ours)[0] / slopes_fit.fit(bare)[0]
-            for ours, bare in zip(readings[name], readings[floor])
+            slopes_fit.fit_line(entry_measurement)[0]
+            / slopes_fit.fit_line(floor_measurement)[0]
+            for entry_measurement, floor_measurement in zip(
+                measurements[name], measurements[floor_name]
+            )
         ]
         out.add_figure(
             f'{name}_over_floor',
             statistics.median(ratios),
-            f'times {floor}',
+            f'times {floor_name}',
             f'{min(ratios):.3g} to {max(ratios):.3g} in {len(ratios)} runs',
         )
 
 
-async def _call_bare(port: int, count: int) -> float:
-    """Return the cost of a bare client."""
+async def _time_bare_client(port: int, count: int) -> float:
+    """Return the CPU time of a bare client."""
     async with _open_session() as session:
         numbers = iter(range(count))
-        began_s = time.thread_time()
+        started_s = time.thread_time()
         await asyncio.gather(
-            *(_post_each(session, port, numbers) for _ in range(AT_ONCE))
+            *(_post_all(session, port, numbers) for _ in range(CONCURRENCY))
         )
-        return (time.thread_time() - began_s) * slopes_fit.US_PER_S
+        return (time.thread_time() - started_s) * slopes_fit.US_PER_S
 
 
-async def _post_each(
+async def _post_all(
     session: aiohttp.ClientSession, port: int, numbers: Iterator[int]
 ) -> None:
     for number in numbers:
@@ -104,16 +109,16 @@
         f'http://{slopes_net.HOST}:{port}/tasks',
         headers={'X-Task': task, 'X-Run-Ms': '0'},
         data=BODY,
-    ) as reply:
-        return await reply.read()
+    ) as response:
+        return await response.read()
 
 
 def _open_session() -> aiohttp.ClientSession:
     return aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
 
-async def _proxy_bare(port: int, count: int) -> float:
-    """Return the cost of a bare server that asks a bare client."""
+async def _time_bare_proxy(port: int, count: int) -> float:
+    """Return the CPU time of a bare server that forwards with a bare client."""
     async with _open_session() as session:
 
         async def handle(req: web.BaseRequest) -> web.Response:  # noqa: WPS430
@@ -124,134 +129,136 @@
         listener = await asyncio.get_running_loop().create_server(
             server, slopes_net.HOST, 0
         )
-        cost = await _time_calls(
+        cpu_us = await _time_serving(
             listener.sockets[0].getsockname()[1],
-            [slopes_net.request('/', BODY) for _ in range(count)],
-            AT_ONCE,
+            [slopes_net.render_request('/', BODY) for _ in range(count)],
+            CONCURRENCY,
         )
         listener.close()
         await server.shutdown()
-        return cost
+        return cpu_us
 
 
-async def _time_calls(port: int, requests: list[bytes], at_once: int) -> float:
-    """Return this thread's cost of serving what another one sends."""
-    with slopes_net.LoopThread() as caller:
-        began_s = time.thread_time()
-        await caller.begin(
-            slopes_net.call_many(port, requests, at_once=at_once)
+async def _time_serving(
+    port: int, requests: list[bytes], concurrency: int
+) -> float:
+    """Return the CPU time of this thread to serve requests of another one."""
+    with slopes_net.LoopThread() as caller_thread:
+        started_s = time.thread_time()
+        await caller_thread.submit(
+            slopes_net.send_requests(port, requests, concurrency=concurrency)
         )
-        return (time.thread_time() - began_s) * slopes_fit.US_PER_S
+        return (time.thread_time() - started_s) * slopes_fit.US_PER_S
 
 
-async def _submit_singles(port: int, count: int) -> float:
-    """Return an entry process's cost of single requests."""
-    process, callers = await _start_entry(port)
-    body = json.dumps(_task_document(0)).encode()
-    cost = await _time_calls(
-        callers,
-        [_authorized('/v1/requests', body) for _ in range(count)],
-        AT_ONCE,
+async def _time_singles(port: int, count: int) -> float:
+    """Return the CPU time of an entry process for single requests."""
+    entry_process, caller_port = await _start_entry(port)
+    body = json.dumps(_render_task(0)).encode()
+    cpu_us = await _time_serving(
+        caller_port,
+        [_render_authorized('/v1/requests', body) for _ in range(count)],
+        CONCURRENCY,
     )
-    await _stop_entry(process)
-    return cost
-
-
-async def _submit_jobs(port: int, count: int) -> float:
-    """Return an entry process's cost of a job of ``count`` tasks."""
-    process, callers = await _start_entry(port)
-    with slopes_net.LoopThread() as caller:
-        minted = await caller.begin(
-            slopes_net.call_many(
-                callers,
-                [_authorized('/v1/keys', b'{"count": %d}' % JOBS)],
-                at_once=1,
+    await _stop_entry(entry_process)
+    return cpu_us
+
+
+async def _time_jobs(port: int, count: int) -> float:
+    """Return the CPU time of an entry process for a job of ``count`` tasks."""
+    entry_process, caller_port = await _start_entry(port)
+    with slopes_net.LoopThread() as caller_thread:
+        key_replies = await caller_thread.submit(
+            slopes_net.send_requests(
+                caller_port,
+                [_render_authorized('/v1/keys', b'{"count": %d}' % JOBS)],
+                concurrency=1,
             )
         )
     body = json.dumps(
-        {'tasks': [_task_document(number) for number in range(count)]}
+        {'tasks': [_render_task(number) for number in range(count)]}
     ).encode()
-    cost = await _time_calls(
-        callers,
+    cpu_us = await _time_serving(
+        caller_port,
         [
-            _authorized('/v1/jobs', body, {'Idempotency-Key': key})
-            for key in json.loads(minted[0])['keys']
+            _render_authorized('/v1/jobs', body, {'Idempotency-Key': key})
+            for key in json.loads(key_replies[0])['keys']
         ],
         1,
     )
-    await _stop_entry(process)
-    return cost / JOBS
+    await _stop_entry(entry_process)
+    return cpu_us / JOBS
 
 
-async def _weigh_connections(port: int, count: int) -> float:
-    """Return an entry process's memory of idle connections of callers."""
-    process, callers = await _start_entry(port)
+async def _measure_connection_memory(port: int, count: int) -> float:
+    """Return the memory of an entry process for idle caller connections."""
+    entry_process, caller_port = await _start_entry(port)
     tracemalloc.start()
-    sockets = await asyncio.to_thread(_call_and_stay, callers, count)
+    connections = await asyncio.to_thread(_open_connections, caller_port, count)
     gc.collect()
-    size, _ = tracemalloc.get_traced_memory()
+    heap_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    for conn in sockets:
+    for conn in connections:
         conn.close()
-    await _stop_entry(process)
-    return size
+    await _stop_entry(entry_process)
+    return heap_bytes
 
 
-def _call_and_stay(port: int, count: int) -> list[socket.socket]:
-    """Send one request over each of so many connections."""
-    request = _authorized(
-        '/v1/requests', json.dumps(_task_document(0)).encode()
+def _open_connections(port: int, count: int) -> list[socket.socket]:
+    """Open ``count`` connections and send one request over each."""
+    request = _render_authorized(
+        '/v1/requests', json.dumps(_render_task(0)).encode()
     )
-    sockets = []
+    connections = []
     for _ in range(count):
         conn = socket.create_connection((slopes_net.HOST, port))
         conn.sendall(request)
-        conn.recv(MAX_ANSWER)
-        sockets.append(conn)
-    return sockets
+        conn.recv(MAX_RESPONSE_BYTES)
+        connections.append(conn)
+    return connections
 
 
 async def _start_entry(port: int) -> tuple[entry.EntryProcess, int]:
-    """Start an entry process that owns all slots, and return its port."""
+    """Start an entry process that owns all slots; return it and its port."""
     dependencies = components.Dependencies(
-        clock=slopes_samples.system_clock(),
+        clock=slopes_samples.make_clock(),
         rng=random.Random(1),
-        platform=slopes_samples.MemoryPlatform(
-            vm_list=slopes_samples.listing(
-                *slopes_samples.entry_vms(1),
-                *slopes_samples.endpoints(ENDPOINTS, port=port),
+        platform=slopes_samples.InMemoryPlatform(
+            vm_list=slopes_samples.make_vm_list(
+                *slopes_samples.make_entry_vms(1),
+                *slopes_samples.make_endpoints(ENDPOINTS, port=port),
             ),
-            contracts=slopes_samples.documents(1),
+            contracts=slopes_samples.make_documents(1),
         ),
     )
-    process = entry.EntryProcess(
-        cfg=slopes_samples.entry_settings(), dependencies=dependencies
+    entry_process = entry.EntryProcess(
+        cfg=slopes_samples.make_entry_settings(), dependencies=dependencies
     )
-    ports = (await process.start()).unwrap()
-    built = process._components  # noqa: SLF001
-    assert built is not None
-    while not (process.is_ready() and built.slots.owned):
+    ports = (await entry_process.start()).unwrap()
+    entry_components = entry_process._components  # noqa: SLF001
+    assert entry_components is not None
+    while not (entry_process.is_ready() and entry_components.slots.owned):
         await asyncio.sleep(0.01)
-    return process, ports['callers']
+    return entry_process, ports['callers']
 
 
-async def _stop_entry(process: entry.EntryProcess) -> None:
-    # A graceful shutdown first waits for the balancer.
-    built = process._components  # noqa: SLF001
-    assert built is not None
-    await process._close(built)  # noqa: SLF001
+async def _stop_entry(entry_process: entry.EntryProcess) -> None:
+    # A graceful shutdown would first wait for the load balancer.
+    entry_components = entry_process._components  # noqa: SLF001
+    assert entry_components is not None
+    await entry_process._close(entry_components)  # noqa: SLF001
 
 
-def _authorized(
+def _render_authorized(
     path: str, body: bytes, headers: dict[str, str] | None = None
 ) -> bytes:
     credential = f'Bearer {slopes_samples.CREDENTIAL}'
-    return slopes_net.request(
+    return slopes_net.render_request(
         path, body, headers={'Authorization': credential, **(headers or {})}
     )
 
 
-def _task_document(number: int) -> dict[str, object]:
+def _render_task(number: int) -> dict[str, object]:
     return {
         'method': 'POST',
         'path': '/tasks',
@@ -261,14 +268,16 @@
     }
 
 
-_Cost = Callable[[int, int], Coroutine[Any, Any, float]]
+_CostFunction = Callable[[int, int], Coroutine[Any, Any, float]]
 
-#: What is read, each next to its floor, and for which numbers of requests.
-_COSTS: Mapping[str, tuple[_Cost, tuple[int, int]]] = types.MappingProxyType(
-    {
-        'http.floor_client': (_call_bare, REQUESTS),
-        'http.job_task': (_submit_jobs, JOB_TASKS),
-        'http.floor_proxy': (_proxy_bare, REQUESTS),
-        'http.single': (_submit_singles, REQUESTS),
-    }
+#: Cost function and numbers of requests or tasks; each cost follows its floor.
+_COSTS: Mapping[str, tuple[_CostFunction, tuple[int, int]]] = (
+    types.MappingProxyType(
+        {
+            'http.floor_client': (_time_bare_client, REQUEST_COUNTS),
+            'http.job_task': (_time_jobs, JOB_TASK_COUNTS),
+            'http.floor_proxy': (_time_bare_proxy, REQUEST_COUNTS),
+            'http.single': (_time_singles, REQUEST_COUNTS),
+        }
+    )
 )
--- a/sardineproxy/bench/slopes_net.py
+++ b/sardineproxy/bench/slopes_net.py
@@ -1,7 +1,7 @@
-"""Servers and callers in threads of their own.
+"""HTTP servers and callers in separate threads.
 
-Only the processor time of the thread that is measured counts, so that the
-other end of a connection may live in the same process.
+Only the CPU time of the measured thread is counted, so the other end of a
+connection can run in the same process.
 """
 
 import asyncio
@@ -10,24 +10,24 @@
 from typing import Any, Callable, Mapping, Self
 
 HOST = '127.0.0.1'
-START_LIMIT_S = 60
+RESULT_TIMEOUT_S = 60
 
 _HEAD_END = b'\r\n\r\n'
-_LENGTH = re.compile(rb'content-length: *(\d+)', re.IGNORECASE)
-_MAX_ANSWER = 16_777_216
+_CONTENT_LENGTH = re.compile(rb'content-length: *(\d+)', re.IGNORECASE)
+_MAX_RESPONSE_BYTES = 16_777_216
 
 
-def render(body: bytes, *, status: str = '200 OK') -> bytes:
-    """Return a whole HTTP answer."""
+def render_response(body: bytes, *, status: str = '200 OK') -> bytes:
+    """Return a complete HTTP response."""
     head = f'HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
 class LoopThread:
-    """An event loop in a thread."""
+    """Event loop in a thread of its own."""
 
     def __init__(self) -> None:
-        """Prepare; the loop runs inside ``with``."""
+        """Create the loop; it runs inside ``with``."""
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(
             target=self._loop.run_forever, daemon=True
@@ -39,120 +39,123 @@
         return self
 
     def __exit__(self, *exc_info: object) -> None:
-        """End the thread."""
+        """Stop the loop and wait until the thread ends."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
-    def begin(self, work: Any) -> 'asyncio.Future[Any]':
-        """Run a coroutine there; the caller may await the result here."""
+    def submit(self, coroutine: Any) -> 'asyncio.Future[Any]':
+        """Run a coroutine in the thread; return a future of the calling loop."""
         return asyncio.wrap_future(
-            asyncio.run_coroutine_threadsafe(work, self._loop)
+            asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         )
 
-    def run(self, work: Any) -> Any:
-        """Run a coroutine there and wait for its result."""
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(
-            START_LIMIT_S
+    def run(self, coroutine: Any) -> Any:
+        """Run a coroutine in the thread and block until it returns."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(
+            RESULT_TIMEOUT_S
         )
 
 
 class FixedServer(LoopThread):
-    """Sends a fixed answer for each path, and counts bytes."""
+    """HTTP server with a fixed response for each path; counts bytes."""
 
-    def __init__(self, answers: dict[bytes, bytes]) -> None:
-        """Answer by the first path in ``answers`` that a path starts with."""
+    def __init__(self, responses: dict[bytes, bytes]) -> None:
+        """Use the first response whose key is a prefix of the path."""
         super().__init__()
-        self.answers = answers
-        self.received = 0
-        self.sent = 0
+        self.responses = responses
+        self.received_bytes = 0
+        self.sent_bytes = 0
         self.port = 0
 
     def __enter__(self) -> Self:
-        """Start to listen."""
+        """Start the thread and listen."""
         super().__enter__()
         self.port = self.run(self._listen())
         return self
 
     async def _listen(self) -> int:
         listener = await asyncio.get_running_loop().create_server(
-            lambda: _Exchange(self), HOST, 0
+            lambda: _FixedServerConnection(self), HOST, 0
         )
         return listener.sockets[0].getsockname()[1]
 
 
-class _Exchange(asyncio.Protocol):
+class _FixedServerConnection(asyncio.Protocol):
     """One connection to the fixed server."""
 
     def __init__(self, server: FixedServer) -> None:
-        """Answer as ``server`` says."""
+        """Send the responses of ``server``."""
         self._server = server
         self._buffer = b''
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer each whole request."""
+        """Send a response for each complete request."""
         self._buffer += data
-        self._server.received += len(data)
-        end = self._find_end()
-        while end is not None:
+        self._server.received_bytes += len(data)
+        request_end = self._find_end()
+        while request_end is not None:
             path = self._buffer.split(b' ', 2)[1]
-            self._buffer = self._buffer[end:]
-            answer = next(
-                text
-                for prefix, text in self._server.answers.items()
+            self._buffer = self._buffer[request_end:]
+            response = next(
+                candidate
+                for prefix, candidate in self._server.responses.items()
                 if path.startswith(prefix)
             )
-            self._server.sent += len(answer)
-            self._transport.write(answer)
-            end = self._find_end()
+            self._server.sent_bytes += len(response)
+            self._transport.write(response)
+            request_end = self._find_end()
 
     def _find_end(self) -> int | None:
-        head = self._buffer.find(_HEAD_END)
-        if head < 0:
+        head_end = self._buffer.find(_HEAD_END)
+        if head_end < 0:
             return None
-        found = _LENGTH.search(self._buffer, 0, head)
-        size = int(found[1]) if found else 0
-        end = head + len(_HEAD_END) + size
-        return end if len(self._buffer) >= end else None
+        match = _CONTENT_LENGTH.search(self._buffer, 0, head_end)
+        body_bytes = int(match[1]) if match else 0
+        request_end = head_end + len(_HEAD_END) + body_bytes
+        return request_end if len(self._buffer) >= request_end else None
 
 
-async def call_many(
-    port: int, requests: list[bytes], *, at_once: int
+async def send_requests(
+    port: int, requests: list[bytes], *, concurrency: int
 ) -> list[bytes]:
-    """Send requests over some connections and return the bodies."""
-    waiting = iter(requests)
+    """Send requests over concurrent connections and return the bodies."""
+    remaining_requests = iter(requests)
     bodies: list[bytes] = []
     await asyncio.gather(
-        *(_call_each(port, waiting, bodies.append) for _ in range(at_once))
+        *(
+            _send_over_connection(port, remaining_requests, bodies.append)
+            for _ in range(concurrency)
+        )
     )
     return bodies
 
 
-async def _call_each(
-    port: int, waiting: Any, keep: Callable[[bytes], object]
+async def _send_over_connection(
+    port: int, remaining_requests: Any, on_body: Callable[[bytes], object]
 ) -> None:
     reader, writer = await asyncio.open_connection(
-        HOST, port, limit=_MAX_ANSWER
+        HOST, port, limit=_MAX_RESPONSE_BYTES
     )
-    for request in waiting:
+    for request in remaining_requests:
         writer.write(request)
         head = await reader.readuntil(_HEAD_END)
-        found = _LENGTH.search(head)
-        assert found is not None, head
-        body = await reader.readexactly(int(found[1]))
+        match = _CONTENT_LENGTH.search(head)
+        assert match is not None, head
+        body = await reader.readexactly(int(match[1]))
         assert b' 200 ' in head[:20], head + body
-        keep(body)
+        on_body(body)
     writer.close()
 
 
-def request(
+def render_request(
     path: str, body: bytes, *, headers: Mapping[str, str] | None = None
 ) -> bytes:
-    """Return a POST request as a caller sends it."""
+    """Return a complete POST request."""
     fields = {
         'Host': HOST,
         'Content-Type': 'application/json',
--- a/sardineproxy/bench/slopes_samples.py
+++ b/sardineproxy/bench/slopes_samples.py
@@ -1,4 +1,4 @@
-"""VMs, contracts and tasks of the sizes that the slopes are measured with."""
+"""Sample VMs, contracts, tasks and a platform for measuring slopes."""
 
 import hashlib
 import itertools
@@ -19,13 +19,13 @@
 HOST = '127.0.0.1'
 CREDENTIAL = 'secret-0'
 
-#: Far enough away that nothing expires during a measurement, in seconds.
-LONG_S = 3600
+#: Long enough that nothing expires during a measurement.
+NO_EXPIRY_S = 3600
 
 _revisions = itertools.count(1)
 
 
-def endpoints(
+def make_endpoints(
     count: int,
     *,
     zones: int = 1,
@@ -33,7 +33,7 @@
     port: int = 9000,
     connections: int = CONNECTIONS,
 ) -> list[platform.Vm]:
-    """Return endpoints that are spread evenly over the zones."""
+    """Return endpoints that are distributed evenly over the zones."""
     return [
         platform.Vm(
             name=f'worker-{number:05d}',
@@ -50,10 +50,10 @@
     ]
 
 
-def entry_vms(
-    count: int, *, zone: str = ZONE, first: int = 0
+def make_entry_vms(
+    count: int, *, zone: str = ZONE, first_number: int = 0
 ) -> list[platform.Vm]:
-    """Return entry VMs of one zone; the port is the VM's number."""
+    """Return entry VMs of one zone; the port is the number of the VM."""
     return [
         platform.Vm(
             name=f'entry-{number:05d}',
@@ -65,17 +65,19 @@
             port=number,
             slots=1,
         )
-        for number in range(first, first + count)
+        for number in range(first_number, first_number + count)
     ]
 
 
-def listing(*vms: platform.Vm) -> platform.VmList:
-    """Return a list that is newer than those returned before."""
+def make_vm_list(*vms: platform.Vm) -> platform.VmList:
+    """Return a VM list with a higher revision than all previous ones."""
     return platform.VmList(revision=next(_revisions), vms=vms)
 
 
-def documents(count: int, *, weight: float = 1) -> dict[ids.CustomerId, str]:
-    """Return the canonical texts of contracts."""
+def make_documents(
+    count: int, *, weight: float = 1
+) -> dict[ids.CustomerId, str]:
+    """Return the canonical documents of contracts."""
     return versions.encode_contracts(
         contracts.Contract(
             customer=f'team-{number}',
@@ -90,12 +92,16 @@
     )
 
 
-def change(old: versions.Snapshot, wanted: versions.Documents) -> codec.Payload:
-    """Return the change that leads from one version to the next."""
-    changed, removed = versions.diff_documents(old.documents, wanted)
+def make_payload(
+    old_snapshot: versions.Snapshot, documents: versions.Documents
+) -> codec.Payload:
+    """Return the payload with the change to the next version."""
+    changed, removed = versions.diff_documents(
+        old_snapshot.documents, documents
+    )
     head = versions.Head(
-        number=ids.VersionNumber(old.number + 1),
-        digest=versions.compute_digest(wanted),
+        number=ids.VersionNumber(old_snapshot.number + 1),
+        digest=versions.compute_digest(documents),
         operator='operator',
         apply_id='0' * 32,
     )
@@ -107,18 +113,18 @@
     )
 
 
-def snapshot(wanted: versions.Documents) -> versions.Snapshot:
-    """Return version 1."""
+def make_snapshot(documents: versions.Documents) -> versions.Snapshot:
+    """Return the snapshot of version 1."""
     return versions.Snapshot(
         number=ids.VersionNumber(1),
-        digest=versions.compute_digest(wanted),
-        documents=wanted,
+        digest=versions.compute_digest(documents),
+        documents=documents,
     )
 
 
-def tasks(count: int, *, customers: int = 1) -> list[work.Task]:
-    """Return tasks with headers and a body of their own."""
-    deadline = time.monotonic() + LONG_S
+def make_tasks(count: int, *, customers: int = 1) -> list[work.Task]:
+    """Return tasks, each with its own headers and body."""
+    deadline = time.monotonic() + NO_EXPIRY_S
     return [
         work.Task(
             request_id=ids.RequestId(f'request-{number}'),
@@ -136,8 +142,8 @@
     ]
 
 
-def entry_settings(vm: str = 'entry-00000') -> settings.Settings:
-    """Return settings with ports that the kernel chooses."""
+def make_entry_settings(vm: str = 'entry-00000') -> settings.Settings:
+    """Return settings whose ports the kernel chooses."""
     any_port = settings.Address(host=HOST, port=0)
     return settings.Settings(
         vm=vm,
@@ -150,23 +156,25 @@
     )
 
 
-class MemoryPlatform:
-    """Platform in this process that counts what is asked of it."""
+class InMemoryPlatform:
+    """In-memory platform that counts calls and bytes."""
 
     def __init__(
         self, *, vm_list: platform.VmList, contracts: versions.Documents
     ) -> None:
-        """Have one list all the time, and ``contracts`` as version 1."""
+        """Create a platform with a fixed VM list and ``contracts`` as version 1."""
         self.reset_counts()
         self._vm_list = vm_list
         self._rows: dict[str, platform.Row] = {}
         self._objects: dict[str, bytes] = {}
-        found = change(versions.EMPTY, contracts).changes[0]
-        self._write(fetching.HEAD_KEY, codec.encode_head(found.head))
-        self._write(fetching.change_key(1), codec.encode_change(found))
+        first_change = make_payload(versions.EMPTY, contracts).changes[0]
+        self._write_row(fetching.HEAD_KEY, codec.encode_head(first_change.head))
+        self._write_row(
+            fetching.change_key(1), codec.encode_change(first_change)
+        )
 
     def reset_counts(self) -> None:
-        """Count from 0 again."""
+        """Reset all counts to 0."""
         self.reads = 0
         self.read_bytes = 0
         self.writes = 0
@@ -175,7 +183,7 @@
     async def read_rows(
         self, prefix: str, *, after: str = '', strict: bool = False
     ) -> result.Result[tuple[platform.Row, ...], store.StoreError]:
-        """Return rows by prefix, in one page."""
+        """Return all rows with the prefix in one page."""
         rows = tuple(
             row
             for key, row in sorted(self._rows.items())
@@ -190,16 +198,16 @@
         conditions: tuple[store.Condition, ...],
         writes: tuple[store.Write, ...],
     ) -> result.Result[None, store.StoreError]:
-        """Write all rows; the conditions hold, as there is one writer."""
+        """Write all rows; with a single writer the conditions always hold."""
         for write in writes:
-            self._write(write.key, write.body)
-        self._count_write(sum(len(each.body) for each in writes))
+            self._write_row(write.key, write.body)
+        self._count_write(sum(len(row_write.body) for row_write in writes))
         return result.Ok(None)
 
     async def get_object(
         self, name: str
     ) -> result.Result[bytes | None, store.StoreError]:
-        """Return the object, if there is one."""
+        """Return the object, or None."""
         body = self._objects.get(name)
         self._count_read(len(body or b''))
         return result.Ok(body)
@@ -215,28 +223,28 @@
     async def list_vms(
         self,
     ) -> result.Result[platform.VmList, store.StoreError]:
-        """Return the list."""
+        """Return the VM list."""
         self._count_read(0)
         return result.Ok(self._vm_list)
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing; there is no connection to close."""
 
-    def _write(self, key: str, body: bytes) -> None:
-        old = self._rows.get(key)
-        revision = 1 if old is None else old.revision + 1
+    def _write_row(self, key: str, body: bytes) -> None:
+        old_row = self._rows.get(key)
+        revision = 1 if old_row is None else old_row.revision + 1
         self._rows[key] = platform.Row(key=key, revision=revision, body=body)
 
-    def _count_read(self, size: int) -> None:
+    def _count_read(self, byte_count: int) -> None:
         self.reads += 1
-        self.read_bytes += size
+        self.read_bytes += byte_count
 
-    def _count_write(self, size: int) -> None:
+    def _count_write(self, byte_count: int) -> None:
         self.writes += 1
-        self.written_bytes += size
+        self.written_bytes += byte_count
 
 
-def system_clock() -> clocks.Clock:
+def make_clock() -> clocks.Clock:
     """Return the clock of the operating system."""
     return clocks.SystemClock()
 
--- a/sardineproxy/bench/slopes_view.py
+++ b/sardineproxy/bench/slopes_view.py
@@ -1,6 +1,7 @@
-"""Slopes of housekeeping between peers and of a change of the list.
+"""Slopes of peer housekeeping and of changes of the VM list.
 
-All streams of the measured process are real; the other ends only greet.
+The measured process uses real streams; their other ends send only a Hello
+frame.
 """
 
 import asyncio
@@ -23,102 +24,106 @@
 )
 from sardineproxy.version import follower
 
-#: Members of a zone; 16 are about those of one of 13 zones at the target.
-MEMBERS = (4, 16, 32)
-TARGET_MEMBERS = 16
+#: Members of a zone. The system is designed for about 16 in each of 13 zones.
+MEMBER_COUNTS = (4, 16, 32)
+TARGET_MEMBER_COUNT = 16
 
-#: Endpoints of the list, of which a thirteenth are in the own zone.
-ENDPOINTS = (1300, 4900, 9700)
-TARGET_ENDPOINTS = 9700
+#: Endpoints in the VM list, of which a thirteenth are in the own zone.
+ENDPOINT_COUNTS = (1300, 4900, 9700)
+TARGET_ENDPOINT_COUNT = 9700
 ZONES = 13
-ELSEWHERE = (50, 200, 800)
+OTHER_ZONE_ENTRY_VMS = (50, 200, 800)
 TICKS = 50
 
-#: Long enough that no tick comes but those that are measured, in seconds.
+#: Interval that is so long that only the measured ticks happen.
 NO_TICK_S = 3600
 
 
 def measure(out: slopes_fit.Report) -> None:
     """Print the slopes."""
     out.add(
-        slopes_fit.measure_async(
+        slopes_fit.measure_slope_async(
             'peers.tick_by_stream',
             'us/tick/stream',
-            lambda members: _time_tick(members, 0),
-            MEMBERS,
+            lambda member_count: _time_tick(member_count, 0),
+            MEMBER_COUNTS,
             repeats=3,
         )
     )
     out.add(
-        slopes_fit.measure_async(
+        slopes_fit.measure_slope_async(
             'peers.tick_by_listed',
             'us/tick/listed entry VM',
-            lambda elsewhere: _time_tick(TARGET_MEMBERS, elsewhere),
-            ELSEWHERE,
+            lambda other_zone_entry_vms: _time_tick(
+                TARGET_MEMBER_COUNT, other_zone_entry_vms
+            ),
+            OTHER_ZONE_ENTRY_VMS,
             repeats=3,
         )
     )
     out.add(
-        slopes_fit.measure_async(
+        slopes_fit.measure_slope_async(
             'view.by_endpoint',
             'us/listed endpoint',
-            lambda count: _time_listing(count, TARGET_MEMBERS),
-            ENDPOINTS,
+            lambda count: _time_list_change(count, TARGET_MEMBER_COUNT),
+            ENDPOINT_COUNTS,
             repeats=3,
         )
     )
     out.add(
-        slopes_fit.measure_async(
+        slopes_fit.measure_slope_async(
             'view.by_member',
             'us/member',
-            lambda members: _time_listing(TARGET_ENDPOINTS, members),
-            MEMBERS,
+            lambda member_count: _time_list_change(
+                TARGET_ENDPOINT_COUNT, member_count
+            ),
+            MEMBER_COUNTS,
             repeats=3,
         )
     )
 
 
-class _Writer:
-    """Discards what is sent."""
+class _DiscardingWriter:
+    """Stream writer that discards all data."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
-        """Be open; ``reader`` ends when this is closed."""
+        """Create an open writer; closing it ends ``reader``."""
         self._reader = reader
         self._closing = False
         self.transport = self
 
     def is_closing(self) -> bool:
-        """Tell whether the stream was closed."""
+        """True if the writer was closed."""
         return self._closing
 
     def get_write_buffer_size(self) -> int:
-        """Hold nothing back."""
+        """Return 0, because nothing is buffered."""
         return 0
 
     def write(self, data: bytes) -> None:
-        """Discard."""
+        """Discard ``data``."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         self.close()
 
     def close(self) -> None:
-        """Close, and end the reader."""
+        """Close and end the reader."""
         if not self._closing:
             self._closing = True
             self._reader.feed_eof()
 
 
-class _NoHandler:
-    """Is asked nothing."""
+class _UnusedHandler:
+    """Handler of forwarded requests that is never called."""
 
     async def handle(self, payload: bytes) -> bytes:
-        """Answer with nothing."""
+        """Return the payload unchanged."""
         return payload
 
 
 async def _connect(host: str, port: int) -> Any:
-    """Connect to the entry VM whose number is ``port``."""
+    """Return a stream to the entry VM whose number is ``port``."""
     reader = asyncio.StreamReader()
     hello = frames.Hello(
         vm=ids.VmId(f'entry-{port:05d}'),
@@ -128,19 +133,19 @@
         revision=0,
     )
     reader.feed_data(frames.encode(hello).unwrap())
-    return reader, _Writer(reader)
+    return reader, _DiscardingWriter(reader)
 
 
-class _Process:
-    """The peers of one entry process, in a zone with other members."""
+class _EntryPeers:
+    """Peers of one entry process in a zone with other members."""
 
     def __init__(self) -> None:
-        """Build all that peers need."""
+        """Create the peers with a manual clock and an empty VM directory."""
         self.clock = clocks.ManualClock()
         self.directory = directory.VmDirectory()
         registry = metrics.Metrics()
-        store = slopes_samples.MemoryPlatform(
-            vm_list=slopes_samples.listing(), contracts={}
+        store = slopes_samples.InMemoryPlatform(
+            vm_list=slopes_samples.make_vm_list(), contracts={}
         )
         rng = random.Random(1)
         self.peers = peers.Peers(
@@ -152,7 +157,7 @@
             size=1,
             directory=self.directory,
             slot_table=slots.SlotTable(),
-            handler=_NoHandler(),
+            handler=_UnusedHandler(),
             gossip=gossip.Gossip(
                 versions=follower.Follower(
                     platform=store,
@@ -161,7 +166,7 @@
                     metrics=registry,
                     cfg=follower.Config(),
                 ),
-                vm_list=_Revision(self.directory),  # type: ignore[arg-type]
+                vm_list=_VmListRevision(self.directory),  # type: ignore[arg-type]
             ),
             metrics=registry,
             cfg=peers.Config(
@@ -174,63 +179,67 @@
             connect=_connect,
         )
 
-    async def join(self, vm_list: platform.VmList, members: int) -> None:
-        """Open the streams of a list whose zone has so many members."""
+    async def join(self, vm_list: platform.VmList, member_count: int) -> None:
+        """Apply a VM list and open the streams to the members of the zone."""
         self.directory.offer(vm_list)
         await self.peers.start(host=slopes_samples.HOST, port=0)
-        while len(self.peers.state(now=0)['peers']) < members - 1:  # type: ignore[arg-type]
+        while len(self.peers.state(now=0)['peers']) < member_count - 1:  # type: ignore[arg-type]
             self.tick()
             await asyncio.sleep(0)
         self.tick()
 
     def tick(self) -> None:
-        """Do the housekeeping that is due."""
+        """Advance the clock and run one round of housekeeping."""
         self.clock.advance(0.05)
         self.peers.tick(self.clock.now())
 
 
-class _Revision:
-    """Tells the revision of the list, which no peer fetches here."""
+class _VmListRevision:
+    """Provides the revision of the VM list; no peer fetches the list here."""
 
-    def __init__(self, known: directory.VmDirectory) -> None:
-        """Follow the directory."""
-        self._known = known
+    def __init__(self, vm_directory: directory.VmDirectory) -> None:
+        """Use the revision of ``vm_directory``."""
+        self._vm_directory = vm_directory
 
     def revision(self) -> int:
-        """Return the revision in use."""
-        return self._known.newest.revision
-
-
-async def _time_tick(members: int, elsewhere: int) -> float:
-    """Return the cost of one round of housekeeping."""
-    process = _Process()
-    await process.join(
-        slopes_samples.listing(
-            *slopes_samples.entry_vms(members),
-            *slopes_samples.entry_vms(elsewhere, zone='zone-1', first=1000),
+        """Return the current revision."""
+        return self._vm_directory.newest.revision
+
+
+async def _time_tick(member_count: int, other_zone_entry_vms: int) -> float:
+    """Return the CPU time of one round of housekeeping."""
+    entry_peers = _EntryPeers()
+    await entry_peers.join(
+        slopes_samples.make_vm_list(
+            *slopes_samples.make_entry_vms(member_count),
+            *slopes_samples.make_entry_vms(
+                other_zone_entry_vms, zone='zone-1', first_number=1000
+            ),
         ),
-        members,
+        member_count,
     )
-    cost = slopes_fit.cpu_us(process.tick, times=TICKS)
-    await process.peers.close()
-    return cost
+    cpu_us = slopes_fit.measure_cpu_us(entry_peers.tick, repetitions=TICKS)
+    await entry_peers.peers.close()
+    return cpu_us
 
 
-async def _time_listing(endpoints: int, members: int) -> float:
-    """Return the cost of a list with one more endpoint in each zone."""
-    members_vms = slopes_samples.entry_vms(members)
+async def _time_list_change(endpoint_count: int, member_count: int) -> float:
+    """Return the CPU time to apply a list with one more endpoint per zone."""
+    member_vms = slopes_samples.make_entry_vms(member_count)
     vms = [
-        *members_vms,
-        *slopes_samples.endpoints(endpoints + ZONES, zones=ZONES),
+        *member_vms,
+        *slopes_samples.make_endpoints(endpoint_count + ZONES, zones=ZONES),
     ]
-    process = _Process()
-    await process.join(slopes_samples.listing(*members_vms), members)
-    process.directory.offer(slopes_samples.listing(*vms[:-ZONES]))
-    process.tick()
-    newer = slopes_samples.listing(*vms)
-    began_s = time.process_time()
-    process.directory.offer(newer)
-    process.tick()
-    took_us = (time.process_time() - began_s) * slopes_fit.US_PER_S
-    await process.peers.close()
-    return took_us
+    entry_peers = _EntryPeers()
+    await entry_peers.join(
+        slopes_samples.make_vm_list(*member_vms), member_count
+    )
+    entry_peers.directory.offer(slopes_samples.make_vm_list(*vms[:-ZONES]))
+    entry_peers.tick()
+    newer_vm_list = slopes_samples.make_vm_list(*vms)
+    started_s = time.process_time()
+    entry_peers.directory.offer(newer_vm_list)
+    entry_peers.tick()
+    cpu_us = (time.process_time() - started_s) * slopes_fit.US_PER_S
+    await entry_peers.peers.close()
+    return cpu_us
