--- a/sardineproxy/bench/measures.py
+++ b/sardineproxy/bench/measures.py
@@ -13,7 +13,7 @@
 PEER_FRAMES = 'peer_frames_total'
 ATTEMPTS = 'endpoint_attempts_total'
 PLATFORM_CALLS = 'platform_calls_total'
-FAMILIES = (PEER_FRAMES, ATTEMPTS, PLATFORM_CALLS)
+MESSAGE_FAMILIES = (PEER_FRAMES, ATTEMPTS, PLATFORM_CALLS)
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
@@ -27,7 +27,7 @@
     counters: Counters = {}
     for line in text.splitlines():
         match = _SERIES_PATTERN.fullmatch(line)
-        if match is None or match[1] not in FAMILIES:
+        if match is None or match[1] not in MESSAGE_FAMILIES:
             continue
         label_values = [
             label_value
@@ -55,7 +55,11 @@
 def find_missing_families(counters: Counters) -> list[str]:
     """Return the metric families that no process reported."""
     reported = {family for family, _ in counters}
-    return [f'sardineproxy_{name}' for name in FAMILIES if name not in reported]
+    return [
+        f'sardineproxy_{name}'
+        for name in MESSAGE_FAMILIES
+        if name not in reported
+    ]
 
 
 def waste_by_kind(
--- a/sardineproxy/bench/phases.py
+++ b/sardineproxy/bench/phases.py
@@ -62,14 +62,14 @@
     #: Shortest and longest run time of the few long tasks, in milliseconds.
     long_ms: tuple[int, int]
 
-    def plan(
+    def make_plan(
         self, name: str, *, load: float, **overrides: Any
     ) -> workload.Plan:
         """Return a plan that offers ``load`` times the capacity."""
         return workload.Plan(
             name=name,
             seed=self.seed,
-            offered=load * self.fleet.capacity,
+            offered_load=load * self.fleet.capacity,
             entry_vms=len(fleet.ZONES) * len(fleet.ENTRY_SIZES),
             **{
                 'duration_s': self.main_s,
@@ -95,7 +95,7 @@
 
 async def measure_main(ctx: PhaseContext, floors: floor.Floors) -> None:
     """Offer the main load and print ratios, messages and CPU time."""
-    submissions = workload.generate(ctx.plan('main', load=ctx.load))
+    submissions = workload.generate(ctx.make_plan('main', load=ctx.load))
     await ctx.fleet.read_starts()
     counters, cpu_s = await asyncio.gather(
         ctx.fleet.read_counters(), ctx.fleet.read_cpu()
@@ -123,14 +123,17 @@
 async def measure_faults(ctx: PhaseContext) -> None:
     """Offer load while the platform is down and some endpoints are faulty."""
     submissions = workload.generate(
-        ctx.plan('faults', load=FAULTS_LOAD, duration_s=ctx.short_s)
+        ctx.make_plan('faults', load=FAULTS_LOAD, duration_s=ctx.short_s)
     )
     counters = await ctx.fleet.read_counters()
     dep = ctx.fleet.dep
-    names = list(dep.endpoints)
+    endpoint_names = list(dep.endpoints)
     await asyncio.gather(
         dep.set_faults(down=True),
-        *(dep.set_mode(names[index], mode) for index, mode in ENDPOINT_FAULTS),
+        *(
+            dep.set_mode(endpoint_names[index], mode)
+            for index, mode in ENDPOINT_FAULTS
+        ),
     )
     try:
         _, samples = await _offer_to_entries(ctx, submissions)
@@ -138,16 +141,18 @@
         await asyncio.gather(
             dep.set_faults(down=False),
             *(
-                dep.set_mode(names[index], 'normal')
+                dep.set_mode(endpoint_names[index], 'normal')
                 for index, _ in ENDPOINT_FAULTS
             ),
         )
     counter_increase = measures.subtract_counters(
         await ctx.fleet.read_counters(), counters
     )
-    incorrect = sum(sample.outcome.error is not None for sample in samples)
+    incorrect_count = sum(
+        sample.outcome.error is not None for sample in samples
+    )
     ctx.out.add('faults.submissions', len(samples))
-    ctx.out.add('faults.submissions_not_right', incorrect)
+    ctx.out.add('faults.submissions_not_right', incorrect_count)
     starts = await ctx.fleet.read_starts()
     _add_start_figures(ctx.out, starts, submissions, 'faults.')
     _add_waste_figures(
@@ -159,7 +164,7 @@
     """Compare the mean response time of a customer alone and beside a rival."""
     alone_s = await _measure_polite_response(ctx, 'alone', ())
     rival_submissions = workload.generate(
-        ctx.plan(
+        ctx.make_plan(
             'rival',
             load=RIVAL_LOAD,
             duration_s=ctx.short_s,
@@ -177,7 +182,7 @@
 async def measure_saturation(ctx: PhaseContext) -> None:
     """Offer more than the capacity and measure slot utilisation."""
     submissions = workload.generate(
-        ctx.plan('saturated', load=SATURATED_LOAD, duration_s=ctx.short_s)
+        ctx.make_plan('saturated', load=SATURATED_LOAD, duration_s=ctx.short_s)
     )
     submissions = [
         dataclasses.replace(
@@ -204,10 +209,10 @@
 
 
 async def measure_baseline(
-    ctx: PhaseContext, floors: floor.Floors, name: str, sender: Any
+    ctx: PhaseContext, floors: floor.Floors, baseline: str, sender: Any
 ) -> None:
     """Send the main load directly to the endpoints."""
-    submissions = workload.generate(ctx.plan(name, load=ctx.load))
+    submissions = workload.generate(ctx.make_plan(baseline, load=ctx.load))
     await ctx.fleet.wait_idle()
     load_driver = driver.Driver(clock=clocks.SystemClock(), sender=sender)
     samples = await load_driver.run(submissions, drain_timeout_s=ctx.drain_s)
@@ -215,7 +220,7 @@
     ideals = ratios.compute_ideals(
         samples, ctx.fleet.slot_speeds, floors.round_trip_s
     )
-    ratios.add_ratios(ctx.out, samples, ideals, prefix=f'{name}.')
+    ratios.add_ratios(ctx.out, samples, ideals, prefix=f'{baseline}.')
 
 
 async def _measure_polite_response(
@@ -225,7 +230,7 @@
 ) -> float:
     """Return the mean response time of the polite customer, in seconds."""
     polite_submissions = workload.generate(
-        ctx.plan(
+        ctx.make_plan(
             name,
             load=POLITE_LOAD,
             duration_s=ctx.short_s,
@@ -241,18 +246,18 @@
         for sample in samples
         if sample.submission.customer == fleet.POLITE_CUSTOMER
     ]
-    errors = [
+    polite_errors = [
         sample.outcome.error
         for sample in polite_samples
         if sample.outcome.error
     ]
-    ctx.out.add(f'victim_{name}.not_right', len(errors))
+    ctx.out.add(f'victim_{name}.not_right', len(polite_errors))
     if rival_submissions:
-        rival_errors = sum(
+        rival_error_count = sum(
             sample.outcome.error is not None for sample in samples
-        ) - len(errors)
+        ) - len(polite_errors)
         ctx.out.add('rival.submissions', len(rival_submissions))
-        ctx.out.add('rival.not_right', rival_errors)
+        ctx.out.add('rival.not_right', rival_error_count)
     return statistics.fmean(
         [sample.response_s for sample in polite_samples if sample.is_counted]
     )
@@ -300,11 +305,11 @@
     submissions: Sequence[workload.Submission],
     prefix: str = '',
 ) -> None:
-    """Print the tasks that were started twice and the most that ran at once.
+    """Print how many tasks started twice and the most at one endpoint.
 
     Idempotent single requests do not count, because they may be retried.
     """
-    non_idempotent = {
+    keyed_labels = {
         task.label
         for submission in submissions
         if submission.needs_key
@@ -313,7 +318,7 @@
     start_counts = collections.Counter(
         start['task']
         for start in _flatten(starts)
-        if start['task'] in non_idempotent
+        if start['task'] in keyed_labels
     )
     most_running = max(
         (start['running'] for start in _flatten(starts)), default=0
--- a/sardineproxy/bench/slopes_http.py
+++ b/sardineproxy/bench/slopes_http.py
@@ -25,15 +25,15 @@
 CONCURRENCY = 8
 REQUEST_COUNTS = (200, 800)
 JOB_TASK_COUNTS = (100, 800)
-JOBS = 3
+JOB_COUNT = 3
 CONNECTION_COUNTS = (50, 200)
 
-MAX_RESPONSE_BYTES = 65_536
-ENDPOINTS = 48
+MAX_REPLY_BYTES = 65_536
+ENDPOINT_COUNT = 48
 ENDPOINT_RESPONSE = slopes_net.render_response(
     b'{"task": "task", "endpoint": "endpoint"}'
 )
-BODY = b'x' * 100
+REQUEST_BODY = b'x' * 100
 
 
 def measure(out: slopes_fit.Report) -> None:
@@ -108,7 +108,7 @@
     async with session.post(
         f'http://{slopes_net.HOST}:{port}/tasks',
         headers={'X-Task': task, 'X-Run-Ms': '0'},
-        data=BODY,
+        data=REQUEST_BODY,
     ) as response:
         return await response.read()
 
@@ -131,7 +131,10 @@
         )
         cpu_us = await _time_serving(
             listener.sockets[0].getsockname()[1],
-            [slopes_net.render_request('/', BODY) for _ in range(count)],
+            [
+                slopes_net.render_request('/', REQUEST_BODY)
+                for _ in range(count)
+            ],
             CONCURRENCY,
         )
         listener.close()
@@ -171,7 +174,7 @@
         key_replies = await caller_thread.submit(
             slopes_net.send_requests(
                 caller_port,
-                [_render_authorized('/v1/keys', b'{"count": %d}' % JOBS)],
+                [_render_authorized('/v1/keys', b'{"count": %d}' % JOB_COUNT)],
                 concurrency=1,
             )
         )
@@ -187,7 +190,7 @@
         1,
     )
     await _stop_entry(entry_process)
-    return cpu_us / JOBS
+    return cpu_us / JOB_COUNT
 
 
 async def _measure_connection_memory(port: int, count: int) -> float:
@@ -213,7 +216,7 @@
     for _ in range(count):
         conn = socket.create_connection((slopes_net.HOST, port))
         conn.sendall(request)
-        conn.recv(MAX_RESPONSE_BYTES)
+        conn.recv(MAX_REPLY_BYTES)
         connections.append(conn)
     return connections
 
@@ -226,7 +229,7 @@
         platform=slopes_samples.InMemoryPlatform(
             vm_list=slopes_samples.make_vm_list(
                 *slopes_samples.make_entry_vms(1),
-                *slopes_samples.make_endpoints(ENDPOINTS, port=port),
+                *slopes_samples.make_endpoints(ENDPOINT_COUNT, port=port),
             ),
             contracts=slopes_samples.make_documents(1),
         ),
@@ -264,7 +267,7 @@
         'path': '/tasks',
         'headers': {'X-Task': f'task-{number}', 'X-Run-Ms': '0'},
         'idempotent': True,
-        'body_text': BODY.decode(),
+        'body_text': REQUEST_BODY.decode(),
     }
 
 
--- a/sardineproxy/bench/slopes_listing.py
+++ b/sardineproxy/bench/slopes_listing.py
@@ -10,7 +10,7 @@
 
 #: The last count is the number of workers that the system is designed for.
 VM_COUNTS = (100, 1000, 9700)
-ZONES = 13
+ZONE_COUNT = 13
 
 
 def measure(out: slopes_fit.Report) -> None:
@@ -50,7 +50,7 @@
                 host=f'10.{rng.randrange(256)}.{rng.randrange(256)}.{number % 256}',
             )
             for number, vm in enumerate(
-                slopes_samples.make_endpoints(count, zones=ZONES)
+                slopes_samples.make_endpoints(count, zones=ZONE_COUNT)
             )
         )
     )
--- a/sardineproxy/bench/slopes_samples.py
+++ b/sardineproxy/bench/slopes_samples.py
@@ -14,8 +14,8 @@
 
 ZONE = 'zone-0'
 REGION = 'region-0'
-SLOTS = 8
-CONNECTIONS = 64
+SLOTS_PER_ENDPOINT = 8
+CONNECTIONS_PER_ENDPOINT = 64
 HOST = '127.0.0.1'
 CREDENTIAL = 'secret-0'
 
@@ -29,9 +29,9 @@
     count: int,
     *,
     zones: int = 1,
-    slots: int = SLOTS,
+    slots: int = SLOTS_PER_ENDPOINT,
     port: int = 9000,
-    connections: int = CONNECTIONS,
+    connections: int = CONNECTIONS_PER_ENDPOINT,
 ) -> list[platform.Vm]:
     """Return endpoints that are distributed evenly over the zones."""
     return [
--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -31,7 +31,9 @@
 RUNNING_TASKS = 200
 
 #: Concurrent tasks while half of them are queued: twice the slots.
-RUNNING_AND_QUEUED_TASKS = 2 * OWNED_ENDPOINTS * slopes_samples.SLOTS
+RUNNING_AND_QUEUED_TASKS = (
+    2 * OWNED_ENDPOINTS * slopes_samples.SLOTS_PER_ENDPOINT
+)
 
 #: Larger than the other counts, because not all of these tasks are in memory
 #: at once.
@@ -80,7 +82,7 @@
             lambda count: _time_dispatch(
                 count,
                 OWNED_ENDPOINTS,
-                slopes_samples.SLOTS,
+                slopes_samples.SLOTS_PER_ENDPOINT,
                 RUNNING_AND_QUEUED_TASKS,
             ),
             STEADY_TASK_COUNTS,
--- a/sardineproxy/bench/slopes_view.py
+++ b/sardineproxy/bench/slopes_view.py
@@ -31,9 +31,9 @@
 #: Endpoints in the VM list, of which a thirteenth are in the own zone.
 ENDPOINT_COUNTS = (1300, 4900, 9700)
 TARGET_ENDPOINT_COUNT = 9700
-ZONES = 13
+ZONE_COUNT = 13
 OTHER_ZONE_ENTRY_VMS = (50, 200, 800)
-TICKS = 50
+TICK_COUNT = 50
 
 #: Interval that is so long that only the measured ticks happen.
 NO_TICK_S = 3600
@@ -218,7 +218,7 @@
         ),
         member_count,
     )
-    cpu_us = slopes_fit.measure_cpu_us(entry_peers.tick, repetitions=TICKS)
+    cpu_us = slopes_fit.measure_cpu_us(entry_peers.tick, repetitions=TICK_COUNT)
     await entry_peers.peers.close()
     return cpu_us
 
@@ -228,13 +228,15 @@
     member_vms = slopes_samples.make_entry_vms(member_count)
     vms = [
         *member_vms,
-        *slopes_samples.make_endpoints(endpoint_count + ZONES, zones=ZONES),
+        *slopes_samples.make_endpoints(
+            endpoint_count + ZONE_COUNT, zones=ZONE_COUNT
+        ),
     ]
     entry_peers = _EntryPeers()
     await entry_peers.join(
         slopes_samples.make_vm_list(*member_vms), member_count
     )
-    entry_peers.directory.offer(slopes_samples.make_vm_list(*vms[:-ZONES]))
+    entry_peers.directory.offer(slopes_samples.make_vm_list(*vms[:-ZONE_COUNT]))
     entry_peers.tick()
     newer_vm_list = slopes_samples.make_vm_list(*vms)
     started_s = time.process_time()
--- a/sardineproxy/bench/workload.py
+++ b/sardineproxy/bench/workload.py
@@ -68,7 +68,7 @@
     duration_s: float
 
     #: Task seconds at speed 1 that are offered each second.
-    offered: float
+    offered_load: float
 
     #: Share of the tasks that each customer submits.
     customers: Mapping[str, float]
@@ -81,7 +81,7 @@
 def generate(plan: Plan) -> list[Submission]:
     """Return the submissions of the plan in order of arrival."""
     rng = random.Random(plan.seed)
-    target_s = plan.offered * plan.duration_s
+    target_s = plan.offered_load * plan.duration_s
     submissions: list[Submission] = []
     arrival_s = float(0)
     offered_s = float(0)
@@ -92,7 +92,7 @@
         )
         submissions.append(submission)
         offered_s += submission.run_s
-    scale = offered_s / plan.offered / max(arrival_s, 1e-9)
+    scale = offered_s / plan.offered_load / max(arrival_s, 1e-9)
     return [
         dataclasses.replace(submission, arrival_s=submission.arrival_s * scale)
         for submission in submissions
--- a/tests/bench/test_measures.py
+++ b/tests/bench/test_measures.py
@@ -16,7 +16,7 @@
     name='main',
     seed=7,
     duration_s=20,
-    offered=100,
+    offered_load=100,
     customers={'a': 0.75, 'b': 0.25},
     entry_vms=6,
 )
@@ -55,7 +55,7 @@
     @given(st.integers(0, 1000), st.floats(1, 200))
     def test_offered_load_is_exact(self, seed: int, offered: float) -> None:
         plan = dataclasses.replace(
-            PLAN, seed=seed, offered=offered, duration_s=2
+            PLAN, seed=seed, offered_load=offered, duration_s=2
         )
         submissions = workload.generate(plan)
         rate = (
