--- a/sardineproxy/process/borrowed_slots.py
+++ b/sardineproxy/process/borrowed_slots.py
@@ -118,8 +118,8 @@
 
         A lender's idle slots are due together once one of its loans was idle
         for ``idle_s``, or for ``RECALL_BATCH_S`` if it is recalled. Loans with
-        a slot that was released less than half of ``idle_s`` ago are not due,
-        unless they are recalled.
+        a slot that was granted or released less than half of ``idle_s`` ago
+        are not due, unless they are recalled.
         """
         # Indexed by ``Loan.recalled``.
         min_idle_by_recalled = (idle_s, min(idle_s, RECALL_BATCH_S))
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -55,13 +55,16 @@
     #: Shortest interval between two requests to the same lender.
     lender_interval_s: float = 1
 
-    #: Minimum number of slots per request, grant or return, unless fewer are
-    #: needed. For requests it is at most half of the own slots. Fewer and
-    #: larger loans serve a backlog with fewer messages.
+    #: Minimum number of free slots of a lender that gets a request, unless
+    #: fewer slots are missing or half of the own slots is less. Also the
+    #: minimum for the grant of a pending request, unless fewer are requested,
+    #: and for the return of idle slots to a lender that requests slots itself.
+    #: Fewer and larger loans serve a backlog with fewer messages.
     min_loan_slots: int = 16
 
-    #: Time for which a lender reserves released slots for a request that it
-    #: could not grant. It is short, because the slots are idle meanwhile.
+    #: Time for which a request that could not be granted stays pending, and
+    #: for which its lender reserves released slots. It is short, because
+    #: reserved slots are idle.
     max_pending_s: float = 0.1
 
     #: Shortest interval between requests to a lender without free slots.
--- a/sardineproxy/process/dispatch_timing.py
+++ b/sardineproxy/process/dispatch_timing.py
@@ -33,7 +33,7 @@
         )
 
     def close(self) -> None:
-        """Stop the timer."""
+        """Stop the timer; ``set`` has no effect afterwards."""
         if self._handle is not None:
             self._handle.cancel()
         self._handle = None
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -52,8 +52,8 @@
     #: Endpoints in a row that are unreachable for a task before it backs off.
     max_unreachable_in_row: int = 3
 
-    #: Mean length of this back-off, in seconds.
-    unreachable_back_off_s: float = 0.2
+    #: Mean length of this backoff, in seconds.
+    unreachable_backoff_s: float = 0.2
 
 
 class Dispatcher:
@@ -281,6 +281,7 @@
             self._queue.finish(entry, run_s=run_s)
         self._matcher.release(placement, now=now)
         if len(self._health.ranks) > in_service_before:
+            # All free slots of the readmitted endpoint may be used now.
             self.start_waiting_tasks()
         elif self._queue.waiting:
             self._report_backlog(now)
@@ -303,10 +304,10 @@
         # all others at once would cause a burst of connection attempts.
         entry.unreachable = NOTHING_EXCLUDED
         self._queue.pause(entry)
-        back_off_s = self._cfg.unreachable_back_off_s * self._rng.uniform(
+        backoff_s = self._cfg.unreachable_backoff_s * self._rng.uniform(
             0.5, 1.5
         )
-        asyncio.get_running_loop().call_later(back_off_s, self._resume, entry)
+        asyncio.get_running_loop().call_later(backoff_s, self._resume, entry)
 
     def _resume(self, entry: flows.QueueEntry) -> None:
         if entry.state is flows.EntryState.WAITING:
--- a/sardineproxy/process/forwards.py
+++ b/sardineproxy/process/forwards.py
@@ -82,9 +82,9 @@
                 self._send(stream, forward)
 
     def confirm_incarnation(self, stream: peer.Stream) -> None:
-        """Resolve forwards to an incarnation that the stream's has replaced.
+        """Resolve forwards to an earlier incarnation than the stream's.
 
-        A frame received after the request was sent proves that its sender is
+        A frame received after the call of ``send`` proves that its sender is
         the VM's current incarnation.
         """
         for forward in self._unconfirmed.pop(stream.hello.vm, ()):
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -94,7 +94,7 @@
             endpoint
             for endpoint in endpoints
             if endpoint in self._ejected
-            and self._ejected[endpoint].is_on_probation(now)
+            and self._ejected[endpoint].is_due_for_probe(now)
         ]
 
     def probes_for_any_task(
@@ -206,7 +206,7 @@
         request_id: ids.RequestId,
         now: float,
     ) -> None:
-        """Eject an endpoint that refused a connection or responded 503."""
+        """Eject an endpoint that was unreachable or responded 503."""
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
@@ -261,7 +261,8 @@
         """Decay estimates without recent observations towards the mean.
 
         Without decay, an endpoint that was slow once would never get the tasks
-        that could show its recovery. An estimate decays at most once a second.
+        that could show its recovery. An estimate decays at most once a second,
+        but not while the endpoint is ejected or has rank 0 (average).
         """
         half_life_s = self._cfg.half_life_s
         for endpoint, estimate in self._estimates.items():
@@ -357,7 +358,7 @@
         estimate.running_probes = 0
         self._ejected.pop(endpoint, None)
         _log.info(
-            'Endpoint returned to service after a successful probe.',
+            'Endpoint responded after its ejection; returned to service.',
             extra={'endpoint': endpoint},
         )
         self.ranks[endpoint] = estimate.rank(self._cfg)
--- a/sardineproxy/process/health_estimates.py
+++ b/sardineproxy/process/health_estimates.py
@@ -125,7 +125,7 @@
             self.relative_run_time, 1 - gain
         ) * math.pow(relative, gain)
 
-    def is_on_probation(self, now: float) -> bool:
+    def is_due_for_probe(self, now: float) -> bool:
         """Return whether the ejection has ended and no probe is running."""
         return not self.running_probes and now >= self.ejected_until
 
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -69,7 +69,7 @@
         connect: peer.Connect = asyncio.open_connection,
         listen: streams.Listen = asyncio.start_server,
     ) -> None:
-        """Create without streams; ``start`` opens the listener."""
+        """Create an instance without streams; ``start`` opens the listener."""
         self._clock = clock
         self._cfg = cfg
         self._size = size
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -96,7 +96,10 @@
             if not has_more:
                 return result.Ok(tuple(rows))
             if not page_rows or size > MAX_ROWS_BYTES:
-                return _invalid(f'rows under {prefix} exceed the size limit')
+                return _invalid(
+                    f'rows under {prefix} exceed the size limit or a page is '
+                    'empty'
+                )
             after = page_rows[-1].key
 
     async def transact(
@@ -292,7 +295,7 @@
     """Map the status of a write to its outcome.
 
     Only the statuses of rejected requests rule out that the write took effect;
-    with any other status its outcome is unknown.
+    with any other error or redirect its outcome is unknown.
     """
     if response.status in {200, 204}:
         return result.Ok(None)
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -66,7 +66,7 @@
     """Delay before the next attempt to open a stream to a VM."""
 
     waiting_since: float
-    back_off_s: float = 0
+    backoff_s: float = 0
     failures: int = 0
 
 
@@ -84,7 +84,7 @@
         listen: Listen,
         events: StreamEvents,
     ) -> None:
-        """Create without streams; ``start`` opens the listener."""
+        """Create an instance without streams; ``start`` opens the listener."""
         self._cfg = cfg
         self._ctx = ctx
         self._rng = rng
@@ -122,13 +122,13 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def set_neighbors(self, chosen: neighbors.Neighbors) -> None:
+    def set_neighbors(self, neighbors: neighbors.Neighbors) -> None:
         """Set the VMs to connect to."""
-        self.neighbors = chosen
+        self.neighbors = neighbors
         self._retries = {
             vm: retry
             for vm, retry in self._retries.items()
-            if vm in chosen.listed
+            if vm in neighbors.listed
         }
 
     def open_missing(self, requested: Iterable[ids.VmId], now: float) -> None:
@@ -140,7 +140,7 @@
             at_once = vm in urgent or self.neighbors.chosen[vm]
             wait_s = 0 if at_once else self._cfg.dial_wait_s
             retry = self._retries.setdefault(vm, _Retry(waiting_since=now))
-            if now >= retry.waiting_since + max(wait_s, retry.back_off_s):
+            if now >= retry.waiting_since + max(wait_s, retry.backoff_s):
                 self._dialing.add(vm)
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
@@ -218,7 +218,7 @@
         wait_s = max_wait_s * self._rng.uniform(0.5, 1)
         self._retries[vm] = _Retry(
             waiting_since=self._ctx.clock.now(),
-            back_off_s=wait_s,
+            backoff_s=wait_s,
             failures=failures + 1,
         )
 
@@ -284,7 +284,7 @@
     def _is_simultaneous_open(self, old: peer.Stream, new: peer.Stream) -> bool:
         """Return whether the VM with the smaller id has just opened ``old``.
 
-        Both ends decide the same, so that exactly one stream remains.
+        Both ends come to the same result, so that exactly one stream remains.
         """
         smaller_dials = self._vm < new.hello.vm
         return (
@@ -299,6 +299,7 @@
         if hello is None or self.by_vm.get(hello.vm) is not stream:
             return
         self.by_vm.pop(hello.vm)
+        # Only a stream that has lasted resets the number of failures.
         if self._ctx.clock.now() - stream.opened_at >= BACK_OFF_MAX_S:
             self._retries.pop(hello.vm, None)
         self._back_off(hello.vm)
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -111,7 +111,7 @@
             client=self.client,  # type: ignore[arg-type]
             health=self.health,
             metrics=metrics.Metrics(),
-            cfg=dispatcher.Config(unreachable_back_off_s=0.01),
+            cfg=dispatcher.Config(unreachable_backoff_s=0.01),
         )
 
     def list_vms(self, *vms: platform.Vm) -> None:
--- a/tests/process/test_health.py
+++ b/tests/process/test_health.py
@@ -138,7 +138,7 @@
     def test_any_task_may_probe_the_only_endpoint(self) -> None:
         """Guards against jobs that wait although an endpoint could be probed.
 
-        No endpoint is in service, so that no idempotent task comes first.
+        No endpoint is in service, and no idempotent task probes one first.
         """
         estimates = Estimates(2)
         estimates.record_refusal(FIRST, request_id=ids.RequestId('r'), now=0)
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -28,8 +28,8 @@
 TIMEOUT_S = 60
 CUSTOMER = 'x'
 
-#: Heartbeat and peer timeouts have their defaults, because a process may stall
-#: on a busy machine. Only tests of these timeouts shorten them.
+#: The heartbeat interval and the peer timeout have their defaults, because a
+#: process may stall on a busy machine. Only tests that need them shorten them.
 CFG = peers.Config(takeover_grace_s=0.2, tick_s=0.01)
 NEVER_S = 10_000
 REPLIED = forwarding.Replied(payload=b'reply to ask')
@@ -104,6 +104,7 @@
         self.version = int(payload)
 
     def free_endpoints_for_backlog(self) -> int:
+        """Report a backlog; return how many endpoints have a free slot."""
         backlog = demand.CustomerDemand(
             customer=CUSTOMER, weight=1, waiting=200, running=0
         )
@@ -306,9 +307,10 @@
 
     @test_peer.asynchronous
     async def test_opens_a_stream_for_a_forward(self) -> None:
-        """Guards against forwards that fail for VMs that are no neighbors.
+        """Guards against forwards that fail for VMs without a stream.
 
-        Processes of different zones have no stream to each other.
+        Processes of different zones have none, because ``cross_zone_peers``
+        is 0.
         """
         cfg = dataclasses.replace(CFG, cross_zone_peers=0)
         one, two = Process('a', 'z1', cfg=cfg), Process('b', 'z2', cfg=cfg)
@@ -367,10 +369,10 @@
             CFG, stream=peers.streams.Config(heartbeat_s=0.1, peer_silent_s=0.3)
         )
         one = Process('a', 'z1', cfg=cfg)
-        received: list[str] = []
+        accepted: list[str] = []
 
         async def accept(reader, writer) -> None:
-            received.append('stream')
+            accepted.append('stream')
             hello = dataclasses.replace(one.peers._make_hello(), vm='b')
             writer.write(frames.encode(hello).unwrap())
             with contextlib.suppress(OSError):
@@ -382,7 +384,7 @@
         async with running(one):
             entries = (('a', 'z1', 1), ('b', 'z1', port))
             one.directory.offer(test_views.listing(2, entries))
-            await eventually(lambda: len(received) > 2)
+            await eventually(lambda: len(accepted) > 2)
             counters = one.metrics.counters()
             self.assertIn('peer_frames_total{kind="Heartbeat"}', counters)
         server.close()
@@ -407,6 +409,7 @@
     """Guards against too many streams, or two between the same VMs."""
 
     def test_one_end_opens_each_stream(self) -> None:
+        """Uses the target size, 104 entry VMs in 13 zones."""
         entries = tuple(
             (f'vm-{index}', f'zone-{index % 13}', 1) for index in range(104)
         )
--- a/tests/process/test_platform_http.py
+++ b/tests/process/test_platform_http.py
@@ -152,7 +152,7 @@
 
 
 class RoundTripTest(testtools.TestCase):
-    """Guards against rows, objects and lists that change on the way.
+    """Guards against rows, objects and lists that are altered in transit.
 
     The client writes to the platform stand-in and reads back.
     """
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -7,7 +7,7 @@
 from sardineproxy.standin import run_checks, worker_model
 from tests.soak import fleet, trace
 
-#: Time until a new version is in force, time until a draining worker gets no
+#: Time until a new version is active, time until a draining worker gets no
 #: more runs, and time without faults that a check requires, in seconds.
 CONFIG_APPLY_S = 2.0
 DRAIN_S = 2.0
@@ -29,9 +29,9 @@
     return [
         *fleet.trace.unexpected_exits,
         *_check_workers(fleet),
-        *_check_answers(fleet),
+        *_check_replies(fleet),
         *_check_stored(fleet),
-        *_check_unanswered(fleet.trace),
+        *_check_missing_replies(fleet.trace),
         *_check_shutdowns(fleet.trace),
         *_check_versions(fleet),
         *_check_draining(fleet),
@@ -39,7 +39,7 @@
 
 
 def completed_share(trace: trace.Trace, jobs: set[str]) -> float:
-    """Return the share of the jobs whose answer reports completion."""
+    """Return the share of the jobs whose reply reports completion."""
     completed = sum(
         any(attempt.state == 'completed' for attempt in trace.attempts[job])
         for job in jobs
@@ -80,7 +80,7 @@
     return job is not None and job.is_stored
 
 
-def _check_answers(fleet: fleet.Fleet) -> Iterator[str]:
+def _check_replies(fleet: fleet.Fleet) -> Iterator[str]:
     """Check that refused jobs never start and completed jobs are complete."""
     started: dict[str, set[str]] = {}
     done: dict[str, set[str]] = {}
@@ -99,7 +99,7 @@
             yield f'{job} was reported as completed, done: {done.get(job)}'
         unexpected = statuses.difference({200, 503, 504, None})
         if unexpected:
-            yield f'{job} was answered with {unexpected}'
+            yield f'{job} got replies with the statuses {unexpected}'
 
 
 def _check_stored(fleet: fleet.Fleet) -> Iterator[str]:
@@ -128,20 +128,20 @@
             yield f'{name} was reported as completed, done: {done.get(name)}'
 
 
-def _check_unanswered(trace: trace.Trace) -> Iterator[str]:
-    """Check that an undisturbed VM answers each request in time."""
+def _check_missing_replies(trace: trace.Trace) -> Iterator[str]:
+    """Check that an undisturbed VM replies to each request in time."""
     for attempts in trace.attempts.values():
         for attempt in attempts:
-            if attempt.cause != 'no answer in time':
+            if attempt.cause != 'no reply in time':
                 continue
             if trace.is_undisturbed(
                 attempt.vm, attempt.sent_at - 1, attempt.ended_at
             ):
-                yield f'{attempt.job} got no answer from {attempt.vm}'
+                yield f'{attempt.job} got no reply from {attempt.vm}'
 
 
 def _check_shutdowns(trace: trace.Trace) -> Iterator[str]:
-    """Check that a terminated process answers the requests it accepted."""
+    """Check that a terminated process replies to all accepted requests."""
     for name, terminated_at in trace.terminations:
         other_disturbances = [
             disturbance
@@ -167,7 +167,7 @@
 
 
 def _check_versions(fleet: fleet.Fleet) -> Iterator[str]:
-    """Check that versions are in force in time and are never rolled back."""
+    """Check that versions are active in time and are never rolled back."""
     trace = fleet.trace
     newest: dict[tuple[str, int], int] = {}
     for observation in trace.version_observations:
@@ -177,10 +177,10 @@
         newest[process] = max(observation.version, newest.get(process, 0))
         since = observation.requested_at - UNDISTURBED_S - CONFIG_APPLY_S
         is_undisturbed = trace.is_undisturbed(
-            observation.vm, since, observation.answered_at
+            observation.vm, since, observation.replied_at
         )
         if not is_undisturbed or not trace.is_undisturbed(
-            'store', since, observation.answered_at
+            'store', since, observation.replied_at
         ):
             continue
         expected_version = max(
@@ -207,10 +207,10 @@
             if not DRAIN_S + SLACK_S < age_s < GRACE_S:
                 continue
             since = notice.announced_at - UNDISTURBED_S
-            names = ('store', notice.worker, *fleet.vms)
+            targets = ('store', notice.worker, *fleet.vms)
             if all(
-                trace.is_undisturbed(name, since, record.started_at)
-                for name in names
+                trace.is_undisturbed(target, since, record.started_at)
+                for target in targets
             ):
                 yield f'{record.task} started on draining {notice.worker}'
 
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -11,15 +11,15 @@
 #: Time from a failure until a job is submitted again, in seconds.
 RETRY_DELAY_S = 1.3
 
-#: Time that the proxy has for its answer, and the client's additional wait
-#: before it treats the answer as missing, in seconds.
-ANSWER_TIMEOUT_S = 2.5
+#: Deadline of a request, and the client's additional wait before it treats the
+#: reply as missing, in seconds.
+REPLY_TIMEOUT_S = 2.5
 TIMEOUT_MARGIN_S = 1.0
 
 #: Maximum number of requests for one job.
 MAX_ATTEMPTS = 3
 
-#: Share of the jobs whose client disconnects before it has an answer.
+#: Share of the jobs whose client disconnects before it has a reply.
 DISCONNECT_SHARE = 0.05
 
 HOST = 'jobs.example'
@@ -45,12 +45,12 @@
         self._jobs: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
-        """Wait for all answers."""
+        """Wait for all replies."""
         await asyncio.gather(*self._jobs)
         await self._session.close()
 
     def submit_job(self) -> None:
-        """Submit a new job without waiting for its answer."""
+        """Submit a new job without waiting for the reply."""
         job = f'{self._rng.getrandbits(64):016x}'
         tasks = self._rng.randint(1, 4)
         job_record = trace.SubmittedJob(
@@ -63,9 +63,9 @@
         task.add_done_callback(self._jobs.discard)
 
     async def run_job(self, job: str) -> None:
-        """Submit a job until it is answered, or disconnect."""
+        """Submit a job until there is a reply, or disconnect."""
         disconnects = self._rng.random() < DISCONNECT_SHARE
-        await self._submit_until_answered(job, disconnects=disconnects)
+        await self._submit_until_reply(job, disconnects=disconnects)
 
     def body(self, job_record: trace.SubmittedJob) -> dict[str, object]:
         """Return the request body for a job."""
@@ -77,9 +77,7 @@
         }
         return {'spec': job_record.payload, 'burstable': True, 'steps': [step]}
 
-    async def _submit_until_answered(
-        self, job: str, *, disconnects: bool
-    ) -> None:
+    async def _submit_until_reply(self, job: str, *, disconnects: bool) -> None:
         for _ in range(MAX_ATTEMPTS):
             attempt = await self._submit(job, disconnects=disconnects)
             if disconnects or attempt.status in {200, 503}:
@@ -96,19 +94,19 @@
             job=job,
             vm=vm.name,
             sent_at=self._fleet.clock.now(),
-            wait_s=0.05 if disconnects else ANSWER_TIMEOUT_S,
+            wait_s=0.05 if disconnects else REPLY_TIMEOUT_S,
         )
         self._trace.attempts[job].append(attempt)
         limit_s = (
             attempt.wait_s
             if disconnects
-            else ANSWER_TIMEOUT_S + TIMEOUT_MARGIN_S
+            else REPLY_TIMEOUT_S + TIMEOUT_MARGIN_S
         )
         try:
             async with asyncio.timeout(limit_s):
                 await self._post_job(attempt, job_record, vm.ports['front'])
         except TimeoutError:
-            attempt.cause = 'left' if disconnects else 'no answer in time'
+            attempt.cause = 'left' if disconnects else 'no reply in time'
         except aiohttp.ClientError as exc:
             attempt.cause = repr(exc)
         attempt.ended_at = self._fleet.clock.now()
@@ -122,7 +120,7 @@
             json=self.body(job_record),
             headers={
                 'Host': HOST,
-                'Deadline-Ms': str(int(ANSWER_TIMEOUT_S * 1000)),
+                'Deadline-Ms': str(int(REPLY_TIMEOUT_S * 1000)),
             },
         ) as reply:
             body = await reply.read()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,6 +1,7 @@
 """Faults of the soak test, and random plans of them from a seed.
 
-Each fault ends after its duration. Faults can overlap and recur.
+Each fault ends after its duration, except for removed workers and permanently
+stalled connections. Faults can overlap and recur.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 from tests.soak import fleet, vm, worker
 
 _Mode = relay_modes.Mode
-_Fault = store_server.Fault
+_StoreFault = store_server.Fault
 
 #: Grace period between SIGTERM and SIGKILL, in seconds.
 GRACE_S = 6.0
@@ -180,12 +181,12 @@
 
     async def _store_fails(self, duration_s: float) -> None:
         self._fleet.store.fault = self._rng.choice(
-            [fault for fault in _Fault if fault is not _Fault.NONE]
+            [fault for fault in _StoreFault if fault is not _StoreFault.NONE]
         )
         self._fleet.store.fault_probability = self._rng.choice((0.3, 1))
         kind = f'store {self._fleet.store.fault.value}'
         await self._record_for('store', kind, duration_s)
-        self._fleet.store.fault = _Fault.NONE
+        self._fleet.store.fault = _StoreFault.NONE
 
     async def _store_slow(self, duration_s: float) -> None:
         self._fleet.store.delay_s = self._rng.uniform(0.1, 0.5)
@@ -255,7 +256,7 @@
         kind: str,
         duration_s: float,
     ) -> None:
-        """Cut, stall or delay a relay, or stall its open connections."""
+        """Cut, stall or delay a relay, or stall open connections permanently."""
         mode = self._rng.choice((_Mode.CUT, _Mode.SILENT, _Mode.DELAY))
         is_permanent = mode is _Mode.SILENT and self._rng.choice((True, False))
         scope = (
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -15,8 +15,7 @@
 from tests.platform import samples, store_server
 from tests.soak import trace, vm, worker
 
-#: Intervals of the checks of readiness and of the version in force, in
-#: seconds.
+#: Intervals of the checks of readiness and of the active version, in seconds.
 CHECK_INTERVAL_S = 0.5
 VERSION_CHECK_INTERVAL_S = 0.25
 
@@ -125,7 +124,7 @@
         return rng.choice(not_excluded or candidates)
 
     def change_configuration(self) -> None:
-        """Write a new version to the store; only it has its probe route."""
+        """Write a new version, with a probe route of its own, to the store."""
         self.version += 1
         number = self.version
         body = samples.configuration(
@@ -261,7 +260,7 @@
                         vm=target.name,
                         start=start,
                         requested_at=requested_at,
-                        answered_at=self.clock.now(),
+                        replied_at=self.clock.now(),
                         version=version,
                     )
                 )
--- a/tests/soak/stored_client.py
+++ b/tests/soak/stored_client.py
@@ -43,7 +43,7 @@
 
     async def run_job(self, job: str) -> None:
         """Submit a job, and poll it until its final state."""
-        await self._submit_until_answered(job, disconnects=False)
+        await self._submit_until_reply(job, disconnects=False)
         statuses = {attempt.status for attempt in self._trace.attempts[job]}
         if 200 not in statuses:
             return
@@ -60,14 +60,14 @@
                 return
 
     async def _query_state(self, method: str, job: str) -> str:
-        """Return a job's state, empty if there was no answer."""
+        """Return a job's state, empty if there was no reply."""
         vm = self._fleet.pick_vm(self._zone, self._rng)
         port = vm.ports['front']
         url = f'http://127.0.0.1:{port}{client.PREFIX}{job}'
         headers = {'Host': client.HOST, 'Deadline-Ms': '2500'}
         try:
             async with asyncio.timeout(
-                client.ANSWER_TIMEOUT_S + client.TIMEOUT_MARGIN_S
+                client.REPLY_TIMEOUT_S + client.TIMEOUT_MARGIN_S
             ):
                 async with self._session.request(
                     method, url, headers=headers
--- a/tests/soak/trace.py
+++ b/tests/soak/trace.py
@@ -13,17 +13,17 @@
     vm: str
     sent_at: float
 
-    #: Time that the client waits for the answer.
+    #: Time limit of the reply, or time until the client disconnects.
     wait_s: float
     ended_at: float = math.inf
 
-    #: Status of the complete answer, None if there was none.
+    #: Status of the complete reply, None if there was none.
     status: int | None = None
 
-    #: State of the job according to the answer.
+    #: State of the job according to the reply.
     state: str = ''
 
-    #: Reason why there was no answer.
+    #: Reason why there was no reply.
     cause: str = ''
 
 
@@ -52,14 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class VersionObservation:
-    """Newest configuration version that a VM had in force."""
+    """Newest configuration version that was active at a VM."""
 
     vm: str
 
     #: Number of the VM's process, counted from 1.
     start: int
     requested_at: float
-    answered_at: float
+    replied_at: float
     version: int
 
 
--- a/tests/soak/vm.py
+++ b/tests/soak/vm.py
@@ -138,7 +138,7 @@
 
     @property
     def exit_status(self) -> int | None:
-        """Return the last process's exit status, a signal as a negative one."""
+        """Return the last exit status, negative if a signal ended the process."""
         return None if self._process is None else self._process.returncode
 
     def has_exited_unexpectedly(self) -> bool:
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -62,7 +62,7 @@
         self._entry_task = asyncio.create_task(self._write_entries())
 
     def crash(self) -> None:
-        """End all runs, and answer no more calls."""
+        """End all runs, and respond to no more calls."""
         self.model.crash(self._clock.now())
 
     def restart(self) -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -92,7 +92,7 @@
                 vm='vm0',
                 start=start,
                 requested_at=at,
-                answered_at=at,
+                replied_at=at,
                 version=version,
             )
         )
@@ -148,15 +148,15 @@
         fleet.worker.payloads[TASK] = 'other'
         self.assertThat(fleet.violations()[0], matchers.Contains('other'))
 
-    def test_missing_answer_of_an_undisturbed_vm_is_reported(self) -> None:
+    def test_missing_reply_of_an_undisturbed_vm_is_reported(self) -> None:
         fleet = _Fleet()
-        fleet.add_attempt(status=None, state='', cause='no answer in time')
-        self.assertThat(fleet.violations()[0], matchers.Contains('no answer'))
+        fleet.add_attempt(status=None, state='', cause='no reply in time')
+        self.assertThat(fleet.violations()[0], matchers.Contains('no reply'))
 
-    def test_missing_answer_of_a_frozen_vm_is_allowed(self) -> None:
+    def test_missing_reply_of_a_frozen_vm_is_allowed(self) -> None:
         fleet = _Fleet()
         fleet.trace.record_disturbance('vm0', 'freeze', 10.1)
-        fleet.add_attempt(status=None, state='', cause='no answer in time')
+        fleet.add_attempt(status=None, state='', cause='no reply in time')
         self.assertEqual([], fleet.violations())
 
     def test_request_cut_off_by_a_shutdown_is_reported(self) -> None:
