--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -145,7 +145,7 @@
                 self._spawn(self._dial(self.neighbors.listed[vm]))
 
     def check_liveness(self, now: float, heartbeat: frames.Heartbeat) -> None:
-        """Close unresponsive and unused streams; send heartbeats on others."""
+        """Close unresponsive and unused streams; send heartbeats on idle ones."""
         for vm, stream in list(self.by_vm.items()):
             if now - stream.last_received_at >= self._cfg.peer_silent_s:
                 stream.abort('no frames from the peer before the timeout')
--- a/tests/soak/stored_client.py
+++ b/tests/soak/stored_client.py
@@ -12,7 +12,7 @@
 POLL_INTERVAL_S = 0.3
 
 #: Longest time from the end of the faults to the completion of each accepted
-#: job, in seconds. The platform polls jobs for as long after its last request.
+#: job, in seconds. The platform polls jobs for as long after its traffic ends.
 COMPLETION_TIMEOUT_S = 14.0
 
 #: Share of the accepted jobs that are cancelled.
