--- a/sardineproxy/bench/fleet.py
+++ b/sardineproxy/bench/fleet.py
@@ -36,7 +36,7 @@
     """Starts the deployment under test and reads its counters."""
 
     def __init__(self, dep: deployment.Deployment) -> None:
-        """Use ``dep``, which stays owned by the caller of this class."""
+        """Use ``dep``; the code that started it must also stop it."""
         self.dep = dep
 
     @property
@@ -50,7 +50,7 @@
 
     @property
     def capacity(self) -> float:
-        """Return the task seconds at speed 1 that the slots run each second."""
+        """Return the sum of the slot speeds: run time at speed 1 per second."""
         return sum(self.slot_speeds)
 
     async def start_endpoints(self) -> None:
@@ -135,7 +135,7 @@
                 f'endpoints did not become idle within {IDLE_TIMEOUT_S} s'
             ) from exc
 
-    async def read_starts(self) -> dict[str, list[dict[str, Any]]]:
+    async def read_and_clear_starts(self) -> dict[str, list[dict[str, Any]]]:
         """Return and clear the task starts recorded by each endpoint."""
         names = list(self.dep.endpoints)
         starts_by_endpoint = await asyncio.gather(
--- a/sardineproxy/bench/floor.py
+++ b/sardineproxy/bench/floor.py
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Floors:
-    """Costs below which no dispatcher on these libraries can go."""
+    """Lower bounds of the costs of any dispatcher that uses these libraries."""
 
     #: Response time of an idle endpoint, without the run time of the task.
     round_trip_s: float
@@ -34,7 +34,7 @@
 async def measure_floors(
     dep: deployment.Deployment, *, duration_s: float, requests_per_s: float
 ) -> Floors:
-    """Measure each floor for about ``duration_s``.
+    """Measure the round trip, then the CPU time for about ``duration_s``.
 
     ``requests_per_s`` is the rate of one entry process in the main phase,
     because the CPU time of a request depends on how many requests share a
--- a/sardineproxy/bench/ideal.py
+++ b/sardineproxy/bench/ideal.py
@@ -6,8 +6,8 @@
 on the fastest free slot: single requests first, in order of arrival; then the
 tasks of the oldest job, longest first. No slot stays idle to wait for a faster
 one. The schedule is feasible but not optimal for each submission, so a single
-request can be faster than its ideal. The measured round trip of a request to
-an idle endpoint is added by the caller of this module.
+request can be faster than its ideal. The round trip of a request to an idle
+endpoint is not included; ``ratios.compute_ideals`` adds the measured one.
 """
 
 import collections
@@ -16,7 +16,7 @@
 
 from sardineproxy.bench import workload
 
-#: Index of the submission and run time at speed 1.
+#: Index of the submission and run time at speed 1, in seconds.
 _QueuedTask = tuple[int, float]
 
 
@@ -32,7 +32,7 @@
         #: Heap of the negative speeds, so that the fastest slot is first.
         self._free_slots = [-speed for speed in slot_speeds]
         heapq.heapify(self._free_slots)
-        #: Heap of the end of the running task and the negative speed.
+        #: Heap of pairs: end of the running task, negative speed of the slot.
         self._busy_slots: list[tuple[float, float]] = []
         self._single_tasks: collections.deque[_QueuedTask] = collections.deque()
         self._job_tasks: collections.deque[_QueuedTask] = collections.deque()
--- a/sardineproxy/bench/measures.py
+++ b/sardineproxy/bench/measures.py
@@ -67,9 +67,9 @@
 ) -> Mapping[str, float]:
     """Return the wasted messages per correct task, by kind.
 
-    Every frame between entry processes and every call to the platform is
-    wasted, as is every endpoint attempt beyond one per correct task. Requests
-    of callers, such as those for keys, do not count.
+    Every frame between entry processes and every call to the platform counts
+    as wasted, and so does every endpoint attempt beyond one per correct task.
+    Requests of callers, such as those for keys, do not count.
     """
     wasted_per_task = {
         f'{family.removesuffix("_total")}.{kind}'.rstrip('.'): count
--- a/sardineproxy/bench/phases.py
+++ b/sardineproxy/bench/phases.py
@@ -26,7 +26,7 @@
 #: a half.
 POLITE_LOAD = 0.45
 
-#: Load of the rival as a fraction of the capacity. Its fair share is a half.
+#: Load of the rival as a multiple of the capacity. Its fair share is a half.
 RIVAL_LOAD = 5.0
 RIVAL_JOB_TASKS = (100, 101)
 
@@ -96,14 +96,14 @@
 async def measure_main(ctx: PhaseContext, floors: floor.Floors) -> None:
     """Offer the main load and print ratios, messages and CPU time."""
     submissions = workload.generate(ctx.make_plan('main', load=ctx.load))
-    await ctx.fleet.read_starts()
-    counters, cpu_s = await asyncio.gather(
+    await ctx.fleet.read_and_clear_starts()
+    counters_before, cpu_s_before = await asyncio.gather(
         ctx.fleet.read_counters(), ctx.fleet.read_cpu()
     )
     _, samples = await _offer_to_entries(ctx, submissions)
-    cpu_s = await ctx.fleet.read_cpu() - cpu_s
+    cpu_s = await ctx.fleet.read_cpu() - cpu_s_before
     counter_increase = measures.subtract_counters(
-        await ctx.fleet.read_counters(), counters
+        await ctx.fleet.read_counters(), counters_before
     )
     ideals = ratios.compute_ideals(
         samples, ctx.fleet.slot_speeds, floors.round_trip_s
@@ -114,7 +114,9 @@
     ctx.out.add('driver_lateness_p99_ms', measures.percentile(lateness_ms, 99))
     await ctx.fleet.wait_idle()
     _add_cpu_figures(ctx.out, submissions, cpu_s, floors)
-    _add_start_figures(ctx.out, await ctx.fleet.read_starts(), submissions)
+    _add_start_figures(
+        ctx.out, await ctx.fleet.read_and_clear_starts(), submissions
+    )
     _add_waste_figures(
         ctx.out, counter_increase, samples, 'wasted_messages_per_task'
     )
@@ -125,7 +127,7 @@
     submissions = workload.generate(
         ctx.make_plan('faults', load=FAULTS_LOAD, duration_s=ctx.short_s)
     )
-    counters = await ctx.fleet.read_counters()
+    counters_before = await ctx.fleet.read_counters()
     dep = ctx.fleet.dep
     endpoint_names = list(dep.endpoints)
     await asyncio.gather(
@@ -146,14 +148,14 @@
             ),
         )
     counter_increase = measures.subtract_counters(
-        await ctx.fleet.read_counters(), counters
+        await ctx.fleet.read_counters(), counters_before
     )
     incorrect_count = sum(
         sample.outcome.error is not None for sample in samples
     )
     ctx.out.add('faults.submissions', len(samples))
     ctx.out.add('faults.submissions_not_right', incorrect_count)
-    starts = await ctx.fleet.read_starts()
+    starts = await ctx.fleet.read_and_clear_starts()
     _add_start_figures(ctx.out, starts, submissions, 'faults.')
     _add_waste_figures(
         ctx.out, counter_increase, samples, 'wasted_messages_per_task_faults'
@@ -161,7 +163,11 @@
 
 
 async def measure_victim(ctx: PhaseContext) -> None:
-    """Compare the mean response time of a customer alone and beside a rival."""
+    """Compare the mean response time of a customer alone and beside a rival.
+
+    The victim is the polite customer, which stays below its fair share; the
+    rival exceeds its own.
+    """
     alone_s = await _measure_polite_response(ctx, 'alone', ())
     rival_submissions = workload.generate(
         ctx.make_plan(
@@ -193,14 +199,14 @@
         )
         for submission in submissions
     ]
-    await ctx.fleet.read_starts()
+    await ctx.fleet.read_and_clear_starts()
     load_driver, _ = await _offer_to_entries(ctx, submissions)
     await ctx.fleet.wait_idle()
     window = (
         load_driver.started_at + WARM_UP_FRACTION * ctx.short_s,
         load_driver.started_at + ctx.short_s,
     )
-    starts = await ctx.fleet.read_starts()
+    starts = await ctx.fleet.read_and_clear_starts()
     busy_s = _busy_slot_seconds(_flatten(starts), window)
     ctx.out.add(
         'slot_utilisation_saturated',
@@ -240,7 +246,7 @@
     _, samples = await _offer_to_entries(
         ctx, workload.merge(polite_submissions, rival_submissions)
     )
-    await ctx.fleet.read_starts()
+    await ctx.fleet.read_and_clear_starts()
     polite_samples = [
         sample
         for sample in samples
@@ -305,9 +311,11 @@
     submissions: Sequence[workload.Submission],
     prefix: str = '',
 ) -> None:
-    """Print how many tasks started twice and the most at one endpoint.
+    """Print how many tasks started more than once and the peak per endpoint.
 
-    Idempotent single requests do not count, because they may be retried.
+    The first figure excludes idempotent single requests, because they may be
+    retried. The second is the highest number of tasks that ran at one endpoint
+    at the same time.
     """
     keyed_labels = {
         task.label
--- a/sardineproxy/bench/report.py
+++ b/sardineproxy/bench/report.py
@@ -49,7 +49,11 @@
     async def measure_phase(
         self, phase: str, *names: str
     ) -> AsyncIterator[None]:
-        """Print the figures in ``names`` that the block did not add as missing."""
+        """Time the block and cancel it when the time limit expires.
+
+        Figures in ``names`` that the block did not add are printed as not
+        measured.
+        """
         started_at = self._clock.now()
         reason = 'the phase ended without this figure'
         try:
--- a/sardineproxy/bench/slopes.py
+++ b/sardineproxy/bench/slopes.py
@@ -1,7 +1,8 @@
 """Measure the marginal cost of a task, VM, peer, contract or change.
 
 Run as ``python -m sardineproxy.bench.slopes [GROUP ...]``; without arguments
-all groups are measured. Each slope is printed as ``name: value unit (points
+all groups are measured. Each marginal cost is the slope of a line fitted to the
+costs of several counts. It is printed as ``name: value unit (points
 count=cost ...; fixed COST; LOWEST to HIGHEST in COUNT runs)``. CPU time is
 that of this process or of the measured thread.
 """
--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -19,6 +19,8 @@
 CONTRACT_COUNTS = (100, 370, 1000)
 CHANGE_COUNTS = (16, 64, 128)
 PEER_COUNTS = (2, 8, 32)
+
+#: Number of contracts that the system is designed for.
 TARGET_CONTRACTS = 370
 
 
@@ -107,12 +109,12 @@
     fetch: frames.ConfigFetch,
     peer_count: int,
 ) -> float:
-    def announce_and_answer() -> None:  # noqa: WPS430
+    def announce_and_reply() -> None:  # noqa: WPS430
         for _ in range(peer_count):
             frames.encode(announce).unwrap()
             frames.encode(exchange.handle_fetch(fetch)).unwrap()
 
-    return slopes_fit.measure_cpu_us(announce_and_answer, repetitions=20)
+    return slopes_fit.measure_cpu_us(announce_and_reply, repetitions=20)
 
 
 def _make_snapshot(count: int) -> versions.Snapshot:
@@ -218,7 +220,11 @@
 
 
 def _build_components() -> components.Components:
-    """Return the components of an entry process with a limit division."""
+    """Return the components of an entry process in a full-size deployment.
+
+    Customers' concurrency limits are divided among all zones and the entry VMs
+    of the own zone.
+    """
     entry_components = components.build(
         cfg=slopes_samples.make_entry_settings(),
         dependencies=components.Dependencies(
--- a/sardineproxy/bench/slopes_http.py
+++ b/sardineproxy/bench/slopes_http.py
@@ -145,7 +145,7 @@
 async def _time_serving(
     port: int, requests: list[bytes], concurrency: int
 ) -> float:
-    """Return the CPU time of this thread to serve requests of another one."""
+    """Return this thread's CPU time to serve requests from another thread."""
     with slopes_net.LoopThread() as caller_thread:
         started_s = time.thread_time()
         await caller_thread.submit(
--- a/sardineproxy/bench/slopes_listing.py
+++ b/sardineproxy/bench/slopes_listing.py
@@ -124,7 +124,7 @@
 
 
 def _build_components() -> components.Components:
-    """Return the components of an entry process that does not run."""
+    """Return the components of an entry process that is not started."""
     return components.build(
         cfg=slopes_samples.make_entry_settings(),
         dependencies=components.Dependencies(
--- a/sardineproxy/bench/slopes_loan.py
+++ b/sardineproxy/bench/slopes_loan.py
@@ -52,7 +52,7 @@
         self._borrower = loans.Loans(cfg=self._cfg, table=_make_table({}))
 
     def run_loan(self) -> int:
-        """Lend all slots and return them; return the size of all messages."""
+        """Run one loan of all slots; return the size of its messages in bytes."""
         self.now += 2 * self._cfg.probe_interval_s
         self._borrower.report(_make_demand(self._requested_slots), self.now)
         requests = self._borrower.request_slots(self._list_lenders, self.now)
@@ -75,6 +75,7 @@
     ) -> borrowing.OutgoingFrames:
         replies: borrowing.OutgoingFrames = []
         for _, frame in sent_frames:
+            # The length prefix has 4 bytes.
             body = frames.encode(frame).unwrap()[4:]
             received = frames.decode(body).unwrap().frame
             replies.extend(receiver.handle_frame(sender, received, self.now))
--- a/sardineproxy/bench/slopes_peer.py
+++ b/sardineproxy/bench/slopes_peer.py
@@ -91,7 +91,7 @@
             self.dialed.append(self._start_stream(reader, writer, dialed=True))
         while len(self._accepted) < count:
             await asyncio.sleep(0)
-        # Wait until the Hello frames were received.
+        # Allow time for the Hello frames to be received.
         await asyncio.sleep(0.05)
 
     async def close(self) -> None:
@@ -192,4 +192,5 @@
 
 
 def _encode_and_decode(frame: frames.Frame) -> None:
+    # The length prefix has 4 bytes.
     frames.decode(frames.encode(frame).unwrap()[4:]).unwrap()
--- a/sardineproxy/bench/slopes_view.py
+++ b/sardineproxy/bench/slopes_view.py
@@ -28,7 +28,8 @@
 MEMBER_COUNTS = (4, 16, 32)
 TARGET_MEMBER_COUNT = 16
 
-#: Endpoints in the VM list, of which a thirteenth are in the own zone.
+#: Endpoints in the VM list, of which a thirteenth are in the zone of the
+#: measured process.
 ENDPOINT_COUNTS = (1300, 4900, 9700)
 TARGET_ENDPOINT_COUNT = 9700
 ZONE_COUNT = 13
@@ -123,7 +124,7 @@
 
 
 async def _connect(host: str, port: int) -> Any:
-    """Return a stream to the entry VM whose number is ``port``."""
+    """Return reader and writer of a stream to the entry VM number ``port``."""
     reader = asyncio.StreamReader()
     hello = frames.Hello(
         vm=ids.VmId(f'entry-{port:05d}'),
--- a/sardineproxy/bench/workload.py
+++ b/sardineproxy/bench/workload.py
@@ -1,8 +1,8 @@
 """Random workload: submissions with arrival times and true run times.
 
 The same plan gives the same submissions. Arrivals are a Poisson process whose
-time axis is scaled so that the offered run time is exactly the requested
-fraction of the capacity of all slots.
+time axis is scaled so that the run time that arrives per second is exactly the
+offered load of the plan.
 """
 
 import dataclasses
@@ -67,7 +67,7 @@
     seed: int
     duration_s: float
 
-    #: Task seconds at speed 1 that are offered each second.
+    #: Seconds of run time at speed 1 that arrive each second.
     offered_load: float
 
     #: Share of the tasks that each customer submits.
@@ -139,7 +139,8 @@
 def _job_probability(plan: Plan) -> float:
     """Return the fraction of submissions that are jobs.
 
-    It makes ``plan.job_fraction`` of all tasks belong to jobs.
+    It makes ``plan.job_fraction`` of all tasks belong to jobs. The number of
+    tasks of a job has a log-uniform distribution.
     """
     low, high = plan.job_tasks
     mean_tasks = (high - low) / math.log(high / low) if high > low else low
--- a/sardineproxy/operator/applying.py
+++ b/sardineproxy/operator/applying.py
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """Another change was made first; this command wrote nothing."""
+    """Another change was made first; this command made no version."""
 
     #: The change that was made from the base, None if it is missing.
     first_change: versions.Head | None
@@ -115,6 +115,7 @@
     if isinstance(newest, result.Err):
         return newest
     if newest.ok_value.snapshot.number == request.base:
+        # No version followed the base, so the cause of the conflict is unknown.
         return written
     return await _classify_mismatch(client, request, newest.ok_value)
 
--- a/sardineproxy/operator/core.py
+++ b/sardineproxy/operator/core.py
@@ -57,7 +57,8 @@
         return asyncio.run(_run(_COMMANDS[name], env, parsed.unwrap()))
     except KeyboardInterrupt:
         env.print_error(
-            'Interrupted; an apply command may have taken effect, run it again.'
+            'Interrupted. An apply command may have taken effect; run the same '
+            'command again to find out.'
         )
         return exit_status.ExitStatus.UNKNOWN
 
--- a/sardineproxy/operator/fleet.py
+++ b/sardineproxy/operator/fleet.py
@@ -46,7 +46,7 @@
         env.print_result(_format_active_version(version.ok_value))
     if len(active) < len(opts.admin):
         return _Status.UNAVAILABLE
-    return _compare(env, active)
+    return _compare_versions(env, active)
 
 
 async def state(env: environment.Environment, opts: options.Options) -> _Status:
@@ -114,7 +114,7 @@
     return f'{version.vm}  {version.number}  {version.digest}'
 
 
-def _compare(
+def _compare_versions(
     env: environment.Environment, active: list[_ActiveVersion]
 ) -> _Status:
     numbers = sorted({version.number for version in active})
--- a/sardineproxy/operator/options.py
+++ b/sardineproxy/operator/options.py
@@ -134,7 +134,7 @@
 def parse(
     name: str, arguments: Sequence[str], values: flags.FlagValues
 ) -> result.Result[Options, str]:
-    """Validate the command's arguments and flags; the error is a clause."""
+    """Validate the command's arguments and flags; the error has no full stop."""
     expected = 1 if name in _NEEDS_DIRECTORY else 0
     if len(arguments) != expected:
         return result.Err(
--- a/tests/bench/test_measures.py
+++ b/tests/bench/test_measures.py
@@ -53,16 +53,18 @@
         )
 
     @given(st.integers(0, 1000), st.floats(1, 200))
-    def test_offered_load_is_exact(self, seed: int, offered: float) -> None:
+    def test_offered_load_is_exact(
+        self, seed: int, offered_load: float
+    ) -> None:
         plan = dataclasses.replace(
-            PLAN, seed=seed, offered_load=offered, duration_s=2
+            PLAN, seed=seed, offered_load=offered_load, duration_s=2
         )
         submissions = workload.generate(plan)
         rate = (
             sum(submission.run_s for submission in submissions)
             / submissions[-1].arrival_s
         )
-        self.assertAlmostEqual(rate / offered, 1)
+        self.assertAlmostEqual(rate / offered_load, 1)
         labels = [
             task.label
             for submission in submissions
--- a/tests/operator/test_core.py
+++ b/tests/operator/test_core.py
@@ -17,7 +17,7 @@
 from sardineproxy.standin import platform_thread
 from tests.version import samples
 
-_REFUSED = '127.0.0.1:1'
+_REFUSING_ADDRESS = '127.0.0.1:1'
 
 
 class StateHandler(server.BaseHTTPRequestHandler):
@@ -57,11 +57,11 @@
         self.root = pathlib.Path(contract_dir.name)
 
     def test_apply_diff_and_history_agree(self):
-        directory = self.contracts('one', acme=1, beta=1)
+        directory = self.write_contracts('one', acme=1, beta=1)
         status, output, _ = self.apply(directory, 0, 'ann')
         self.assertThat(status, matchers.Equals(ExitStatus.SUCCESS))
-        directory = self.contracts('two', acme=2, gamma=1)
-        _, output, _ = run('diff', directory, *self.address())
+        directory = self.write_contracts('two', acme=2, gamma=1)
+        _, output, _ = run('diff', directory, *self.platform_flags())
         self.assertThat(
             output.splitlines(),
             matchers.Equals(
@@ -74,7 +74,7 @@
             ),
         )
         self.apply(directory, 1, 'bob')
-        _, output, _ = run('history', '--limit', '1', *self.address())
+        _, output, _ = run('history', '--limit', '1', *self.platform_flags())
         self.assertThat(
             output,
             matchers.MatchesRegex(
@@ -92,17 +92,17 @@
         """
         names = [f'operator-{number}' for number in range(6)]
         directories = [
-            self.contracts(name, acme=number + 1, **{f'only-{number}': 1})
+            self.write_contracts(name, acme=number + 1, **{f'only-{number}': 1})
             for number, name in enumerate(names)
         ]
         barrier = threading.Barrier(len(names))
 
-        def race(directory, name):
+        def apply_at_barrier(directory, name):
             barrier.wait(60)
             return self.apply(directory, 0, name)
 
         with futures.ThreadPoolExecutor(len(names)) as pool:
-            outcomes = list(pool.map(race, directories, names))
+            outcomes = list(pool.map(apply_at_barrier, directories, names))
         statuses = [status for status, _, _ in outcomes]
         winner = statuses.index(ExitStatus.SUCCESS)
         self.assertThat(statuses.count(ExitStatus.CONFLICT), matchers.Equals(5))
@@ -110,13 +110,18 @@
             expected = f'came first: {names[winner]} made version 1.'
             if status is ExitStatus.CONFLICT:
                 self.assertThat(error_output, matchers.Contains(expected))
-        _, output, _ = run('diff', directories[winner], *self.address())
+        _, output, _ = run('diff', directories[winner], *self.platform_flags())
         self.assertThat(
             output, matchers.Equals('0 differences from version 1.\n')
         )
 
     def test_rerun_after_a_lost_response_makes_no_second_version(self):
-        directory = self.contracts('one', acme=1)
+        """Guards against making two versions of one change.
+
+        The platform commits the write and closes the connection without a
+        response, so the operator runs the command again.
+        """
+        directory = self.write_contracts('one', acme=1)
         self.platform.control('lose-answers', {'writes': 1})
         status, _, error_output = self.apply(directory, 0, 'ann')
         self.assertThat(status, matchers.Equals(ExitStatus.UNKNOWN))
@@ -125,53 +130,62 @@
             status, output, _ = self.apply(directory, 0, 'ann')
             self.assertThat(status, matchers.Equals(ExitStatus.SUCCESS))
             self.assertThat(output, matchers.Contains('already'))
-        _, output, _ = run('history', *self.address())
+        _, output, _ = run('history', *self.platform_flags())
         self.assertThat(output.splitlines(), matchers.HasLength(1))
 
     def test_rerun_after_a_lost_response_reports_a_later_change(self):
-        directory = self.contracts('one', acme=1)
+        """Guards against reporting success for contracts that were replaced since.
+
+        The response to the write is lost, and another operator makes the next
+        version before the command is run again.
+        """
+        directory = self.write_contracts('one', acme=1)
         self.platform.control('lose-answers', {'writes': 1})
         self.apply(directory, 0, 'ann')
-        self.apply(self.contracts('two', acme=2), 1, 'bob')
+        self.apply(self.write_contracts('two', acme=2), 1, 'bob')
         status, _, error_output = self.apply(directory, 0, 'ann')
         self.assertThat(status, matchers.Equals(ExitStatus.CONFLICT))
         expected = 'had exactly these contracts, but bob made version 2'
         self.assertThat(error_output, matchers.Contains(expected))
 
     def test_outages_and_invalid_input_change_nothing(self):
-        valid = self.contracts('good', acme=1)
-        invalid = self.contracts('bad', acme=0)
-        address = self.address()
+        valid = self.write_contracts('good', acme=1)
+        invalid = self.write_contracts('bad', acme=0)
+        platform_flags = self.platform_flags()
         apply_to_base = ('apply', valid, '--operator', 'ann', '--base')
         for argv, status, expected in (
             (('check', invalid), ExitStatus.INVALID_INPUT, 'weight: found 0'),
             (
-                ('diff', invalid, *address),
+                ('diff', invalid, *platform_flags),
                 ExitStatus.INVALID_INPUT,
                 'acme.jsonc',
             ),
             (
-                (*apply_to_base, '3', *address),
+                (*apply_to_base, '3', *platform_flags),
                 ExitStatus.INVALID_INPUT,
                 'is 0.',
             ),
             (
-                (*apply_to_base, '0', '--platform', _REFUSED),
+                (*apply_to_base, '0', '--platform', _REFUSING_ADDRESS),
                 ExitStatus.UNAVAILABLE,
                 'Nothing was changed',
             ),
-            (('apply', valid, *address), ExitStatus.USAGE, '--base N'),
+            (('apply', valid, *platform_flags), ExitStatus.USAGE, '--base N'),
             (('history', '--platform', 'db:1'), ExitStatus.USAGE, 'IP-ADDRESS'),
             (('history', '--platfrom', 'x'), ExitStatus.USAGE, '--help'),
             (('aply',), ExitStatus.USAGE, 'check, diff, apply'),
-            ((*apply_to_base, '0', 'x', *address), ExitStatus.USAGE, 'found 2'),
+            (
+                (*apply_to_base, '0', 'x', *platform_flags),
+                ExitStatus.USAGE,
+                'found 2',
+            ),
         ):
             actual, _, error_output = run(*argv)
             self.assertThat(actual, matchers.Equals(status))
             self.assertThat(error_output, matchers.Contains(expected))
         self.assertThat(self.platform.state()['rows'], matchers.Equals(0))
 
-    def contracts(self, directory, **weights):
+    def write_contracts(self, directory, **weights):
         """Write contracts with these weights and return their directory."""
         path = self.root / directory
         path.mkdir()
@@ -180,13 +194,13 @@
             path.joinpath(f'{name}.jsonc').write_text(json.dumps(fields))
         return str(path)
 
-    def address(self):
+    def platform_flags(self):
         """Return the flags with the platform's address."""
         return '--platform', f'{self.platform.host}:{self.platform.port}'
 
     def apply(self, directory, base, operator):
         flags = ['--base', str(base), '--operator', operator]
-        return run('apply', directory, *flags, *self.address())
+        return run('apply', directory, *flags, *self.platform_flags())
 
 
 class CredentialTest(testtools.TestCase):
@@ -213,10 +227,10 @@
     """Versions are shown for each VM, and unreachable VMs are named."""
 
     def test_compares_versions(self):
-        first = self.admin('vm-1', 3, 'aa')
-        later = self.admin('vm-2', 4, 'bb')
-        other = self.admin('vm-3', 4, 'cc')
-        none_yet = self.admin('vm-4', 0, None)
+        first = self.serve_state('vm-1', 3, 'aa')
+        later = self.serve_state('vm-2', 4, 'bb')
+        other = self.serve_state('vm-3', 4, 'cc')
+        none_yet = self.serve_state('vm-4', 0, None)
         for addresses, status, expected in (
             ((first,), ExitStatus.SUCCESS, 'vm-1  3  aa\n'),
             ((first, later), ExitStatus.SUCCESS, 'Active versions: 3, 4.'),
@@ -226,25 +240,33 @@
                 'different contracts under the same version number',
             ),
             ((none_yet,), ExitStatus.SUCCESS, 'vm-4  no version yet'),
-            ((first, _REFUSED), ExitStatus.UNAVAILABLE, f'{_REFUSED}: no'),
+            (
+                (first, _REFUSING_ADDRESS),
+                ExitStatus.UNAVAILABLE,
+                f'{_REFUSING_ADDRESS}: no',
+            ),
         ):
             actual, *texts = run('versions', '--admin', ','.join(addresses))
             self.assertThat(actual, matchers.Equals(status))
             self.assertThat(''.join(texts), matchers.Contains(expected))
 
     def test_shows_a_state_dump(self):
-        _, output, _ = run('state', '--admin', self.admin('vm-1', 3, 'aa'))
+        _, output, _ = run(
+            'state', '--admin', self.serve_state('vm-1', 3, 'aa')
+        )
         self.assertThat(json.loads(output)['vm'], matchers.Equals('vm-1'))
 
-    def admin(self, vm, number, digest):
-        """Serve a state dump and return its address."""
+    def serve_state(self, vm, number, digest):
+        """Serve a state dump and return the address of the server."""
         dump = {'vm': vm, 'config': {'number': number, 'digest': digest}}
 
-        admin = server.HTTPServer(('127.0.0.1', 0), StateHandler)
-        admin.body = json.dumps(dump).encode()
-        thread = threading.Thread(target=admin.serve_forever, args=(0.01,))
+        admin_server = server.HTTPServer(('127.0.0.1', 0), StateHandler)
+        admin_server.body = json.dumps(dump).encode()
+        thread = threading.Thread(
+            target=admin_server.serve_forever, args=(0.01,)
+        )
         thread.start()
-        self.addCleanup(admin.server_close)
+        self.addCleanup(admin_server.server_close)
         self.addCleanup(thread.join)
-        self.addCleanup(admin.shutdown)
-        return f'127.0.0.1:{admin.server_port}'
+        self.addCleanup(admin_server.shutdown)
+        return f'127.0.0.1:{admin_server.server_port}'
