--- a/sardineproxy/bench/phases.py
+++ b/sardineproxy/bench/phases.py
@@ -118,15 +118,18 @@
     dep = run.fleet.dep
     names = list(dep.endpoints)
     await asyncio.gather(
-        dep.set_faults(down=True),
-        *(dep.set_mode(names[index], mode) for index, mode in FAULTS),
+        dep.set_platform_faults(down=True),
+        *(dep.set_endpoint_mode(names[index], mode) for index, mode in FAULTS),
     )
     try:
         _, samples = await _offer(run, submissions)
     finally:
         await asyncio.gather(
-            dep.set_faults(down=False),
-            *(dep.set_mode(names[index], 'normal') for index, _ in FAULTS),
+            dep.set_platform_faults(down=False),
+            *(
+                dep.set_endpoint_mode(names[index], 'normal')
+                for index, _ in FAULTS
+            ),
         )
     counted = measures.subtract(await run.fleet.read_counters(), counters)
     faults = sum(one.reply.fault is not None for one in samples)
--- a/sardineproxy/bench/senders.py
+++ b/sardineproxy/bench/senders.py
@@ -14,7 +14,7 @@
 
 DEADLINE_MS = 60_000
 
-#: Keys that are minted by one request.
+#: Keys that are created by one request.
 KEYS_PER_REQUEST = 200
 
 #: Connections to one endpoint from all entry points together.
@@ -33,7 +33,7 @@
         self._bodies: dict[str, bytes] = {}
 
     async def prepare(self, submissions: Sequence[workload.Submission]) -> None:
-        """Render the submissions and mint their keys where they are sent."""
+        """Render the submissions and create their keys where they are sent."""
         self._bodies = {
             submission.label: json.dumps(_render(submission)).encode()
             for submission in submissions
@@ -53,7 +53,7 @@
         key = self._keys[place].pop() if submission.needs_key else ''
         try:
             _, body = await self._callers[place].post(
-                caller.JOBS if submission.is_job else caller.SINGLES,
+                caller.JOBS_PATH if submission.is_job else caller.REQUESTS_PATH,
                 self._bodies[submission.label],
                 key=key,
             )
@@ -72,7 +72,9 @@
     async def _mint(self, place: _Place, count: int) -> None:
         batches = await asyncio.gather(
             *(
-                self._callers[place].mint(min(KEYS_PER_REQUEST, count - first))
+                self._callers[place].create_keys(
+                    min(KEYS_PER_REQUEST, count - first)
+                )
                 for first in range(0, count, KEYS_PER_REQUEST)
             )
         )
--- a/sardineproxy/demo/caller.py
+++ b/sardineproxy/demo/caller.py
@@ -6,12 +6,12 @@
 
 import aiohttp
 
-SINGLES = '/v1/requests'
-JOBS = '/v1/jobs'
+REQUESTS_PATH = '/v1/requests'
+JOBS_PATH = '/v1/jobs'
 
 #: Longest wait for an answer; entry processes end requests before that.
-ANSWER_LIMIT_S = 150
-_TIMEOUT = aiohttp.ClientTimeout(total=ANSWER_LIMIT_S)
+REPLY_TIMEOUT_S = 150
+_TIMEOUT = aiohttp.ClientTimeout(total=REPLY_TIMEOUT_S)
 
 
 class CallerError(Exception):
@@ -40,7 +40,7 @@
             'Content-Type': 'application/json',
         }
 
-    async def mint(self, count: int) -> list[str]:
+    async def create_keys(self, count: int) -> list[str]:
         """Return ``count`` new idempotency keys."""
         reply = await self.submit('/v1/keys', {'count': count})
         keys = reply.document.get('keys', [])
--- a/sardineproxy/demo/child.py
+++ b/sardineproxy/demo/child.py
@@ -13,17 +13,17 @@
 import sardineproxy
 
 #: Longest wait for the ready line, in seconds; generous for busy machines.
-READY_LIMIT_S = 60
+READY_TIMEOUT_S = 60
 
 #: Longest wait for an orderly end before the process is killed, in seconds.
-STOP_LIMIT_S = 20
+STOP_TIMEOUT_S = 20
 
 #: Longest line that is read from a child, in bytes.
 MAX_LINE_BYTES = 1_048_576
 
 #: Bytes of the standard error that an error message quotes.
 QUOTED_BYTES = 2000
-SET_PARENT_DEATH_SIGNAL = 1
+PR_SET_PDEATHSIG = 1
 
 _libc = ctypes.CDLL(None)
 
@@ -66,22 +66,24 @@
         """Start the process and read its ready line."""
         await self._spawn()
         try:
-            async with asyncio.timeout(READY_LIMIT_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 self.ports = await self._read_ready()
         except (TimeoutError, ValueError, ChildError) as exc:
             await self.stop()
             raise ChildError(f'{self.describe_end()} ({exc!r})') from exc
         self._drain = asyncio.create_task(self._discard_output())
 
-    async def run(self, text: str, *, limit_s: float) -> str:
+    async def run(self, text: str, *, timeout_s: float) -> str:
         """Run to the end with ``text`` as input and return the output."""
         process = await self._spawn()
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 output, _ = await process.communicate(text.encode())
         except TimeoutError as exc:
             await self.stop()
-            raise ChildError(f'{self.name}: no end after {limit_s} s') from exc
+            raise ChildError(
+                f'{self.name}: no end after {timeout_s} s'
+            ) from exc
         if process.returncode:
             raise ChildError(self.describe_end())
         return output.decode()
@@ -99,7 +101,7 @@
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(self._process.wait(), STOP_LIMIT_S)
+            await asyncio.wait_for(self._process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             await self.kill()
         finally:
@@ -134,7 +136,7 @@
                 stderr=stderr,
                 limit=MAX_LINE_BYTES,
                 env={**os.environ, 'PYTHONPATH': str(root)},
-                preexec_fn=end_with_parent,
+                preexec_fn=set_parent_death_signal,
             )
         return self._process
 
@@ -158,6 +160,6 @@
             await stdout.read(MAX_LINE_BYTES)
 
 
-def end_with_parent() -> None:
+def set_parent_death_signal() -> None:
     """Let the kernel end this process when its parent is killed."""
-    _libc.prctl(SET_PARENT_DEATH_SIGNAL, signal.SIGKILL)
+    _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/sardineproxy/demo/core.py
+++ b/sardineproxy/demo/core.py
@@ -139,7 +139,8 @@
 async def _look_up(clerk: caller.Caller) -> str | None:
     began = time.monotonic()
     reply = await clerk.submit(
-        caller.SINGLES, tasks.render_single(LOOKUP, deadline_ms=DEADLINE_MS)
+        caller.REQUESTS_PATH,
+        tasks.render_single(LOOKUP, deadline_ms=DEADLINE_MS),
     )
     _print_answer('Certificate lookup', began, reply)
     return LOOKUP.find_fault(reply.document)
@@ -147,13 +148,13 @@
 
 async def _stamp(clerk: caller.Caller, other: caller.Caller) -> str | None:
     """Stamp once, although the clerk submits the same key twice."""
-    key = (await clerk.mint(1))[0]
+    key = (await clerk.create_keys(1))[0]
     document = tasks.render_single(STAMP, deadline_ms=DEADLINE_MS)
     began = time.monotonic()
-    reply = await clerk.submit(caller.SINGLES, document, key=key)
+    reply = await clerk.submit(caller.REQUESTS_PATH, document, key=key)
     _print_answer('Stamp', began, reply)
     began = time.monotonic()
-    repeat = await other.submit(caller.SINGLES, document, key=key)
+    repeat = await other.submit(caller.REQUESTS_PATH, document, key=key)
     _print_answer('Stamp, same key at another entry VM', began, repeat)
     return STAMP.find_fault(reply.document) or STAMP.find_fault(repeat.document)
 
@@ -161,10 +162,12 @@
 async def _submit_job(
     clerk: caller.Caller, job: tuple[tasks.Task, ...]
 ) -> str | None:
-    key = (await clerk.mint(1))[0]
+    key = (await clerk.create_keys(1))[0]
     began = time.monotonic()
     reply = await clerk.submit(
-        caller.JOBS, tasks.render_job(job, deadline_ms=DEADLINE_MS), key=key
+        caller.JOBS_PATH,
+        tasks.render_job(job, deadline_ms=DEADLINE_MS),
+        key=key,
     )
     _print_answer(f'Job of {len(job)} tasks', began, reply)
     return tasks.find_job_fault(job, reply.document)
--- a/sardineproxy/demo/deployment.py
+++ b/sardineproxy/demo/deployment.py
@@ -11,7 +11,7 @@
 OPERATOR = 'deployment'
 
 #: Longest wait for an entry process to be ready, in seconds.
-READY_LIMIT_S = 60
+READY_TIMEOUT_S = 60
 
 POLL_S = 0.05
 
@@ -38,7 +38,7 @@
         self._region = region
 
         #: Whether settings name the entry VMs that already run as seeds.
-        self.seeded = True
+        self.use_seeds = True
         self.platform: child.Child | None = None
         self._states: dict[str, str] = {}
         self.endpoints: dict[str, parts.Endpoint] = {}
@@ -94,7 +94,7 @@
             spec,
             region=self._region,
             platform_port=self._platform_port(),
-            seeds=self.entries.values() if self.seeded else (),
+            seeds=self.entries.values() if self.use_seeds else (),
         )
         path.write_text(json.dumps({**settings, **more}), encoding='utf-8')
         process = await self.start_program('entry', '--settings', str(path))
@@ -114,18 +114,20 @@
             'POST', self._platform_url('vms'), {'vms': self._list_vms()}
         )
 
-    async def set_state(self, name: str, state: str) -> None:
+    async def set_vm_state(self, name: str, state: str) -> None:
         """List an entry VM or endpoint as ``live`` or ``leaving``."""
         self._states[name] = state
         await self.register()
 
-    async def set_faults(self, **faults: Any) -> None:
+    async def set_platform_faults(self, **faults: Any) -> None:
         """Tell the platform to be down, slow, stale or lagging."""
         for name, setting in faults.items():
             path, key = PLATFORM_FAULTS[name]
             await self.request('POST', self._platform_url(path), {key: setting})
 
-    async def set_mode(self, endpoint: str, mode: str, **more: Any) -> None:
+    async def set_endpoint_mode(
+        self, endpoint: str, mode: str, **more: Any
+    ) -> None:
         """Make an endpoint show a fault; ``normal`` ends it."""
         await self.request(
             'POST',
@@ -146,7 +148,7 @@
 
     async def hash_credential(self, credential: str) -> str:
         """Return the hash of a credential that a contract holds."""
-        return (await self.ctl('hash-credential', text=credential)).strip()
+        return (await self.run_ctl('hash-credential', text=credential)).strip()
 
     async def apply(
         self, contracts: Sequence[Mapping[str, Any]], *, base: int = 0
@@ -157,7 +159,7 @@
         for contract in contracts:
             path = directory / f'{contract["customer"]}.jsonc'
             path.write_text(json.dumps(contract), encoding='utf-8')
-        await self.ctl(
+        await self.run_ctl(
             'apply',
             str(directory),
             '--base',
@@ -171,7 +173,7 @@
     async def wait_ready(self) -> None:
         """Wait until every entry process answers that it is ready."""
         try:
-            async with asyncio.timeout(READY_LIMIT_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 await asyncio.gather(
                     *(
                         self._wait_ready(entry)
@@ -180,7 +182,7 @@
                 )
         except TimeoutError as exc:
             raise processes.DeploymentError(
-                f'entry processes are not ready after {READY_LIMIT_S} s'
+                f'entry processes are not ready after {READY_TIMEOUT_S} s'
             ) from exc
 
     async def _wait_ready(self, entry: parts.Entry) -> None:
--- a/sardineproxy/demo/processes.py
+++ b/sardineproxy/demo/processes.py
@@ -13,10 +13,10 @@
 from sardineproxy.demo import child, controls
 
 #: Longest wait for one run of the operator's program, in seconds.
-COMMAND_LIMIT_S = 60
+COMMAND_TIMEOUT_S = 60
 
 #: Longest wait for a control request to a stand-in, in seconds.
-CONTROL_LIMIT_S = 30
+CONTROL_TIMEOUT_S = 30
 
 
 Outcome = TypeVar('Outcome')
@@ -48,7 +48,7 @@
         self.session = await self._stack.enter_async_context(
             aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0),
-                timeout=aiohttp.ClientTimeout(total=CONTROL_LIMIT_S),
+                timeout=aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S),
             )
         )
         return self
@@ -76,12 +76,12 @@
             raise DeploymentError(str(exc)) from exc
         return process
 
-    async def ctl(self, *args: str, text: str = '') -> str:
+    async def run_ctl(self, *args: str, text: str = '') -> str:
         """Run the operator's program and return what it prints."""
         command = child.Child('ctl', args, self.directory, module=self._module)
         self._children.append(command)
         try:
-            return await command.run(text, limit_s=COMMAND_LIMIT_S)
+            return await command.run(text, timeout_s=COMMAND_TIMEOUT_S)
         except child.ChildError as exc:
             raise DeploymentError(str(exc)) from exc
 
--- a/sardineproxy/standin/row_store.py
+++ b/sardineproxy/standin/row_store.py
@@ -125,7 +125,7 @@
             has_more=is_cut,
         )
 
-    def forget_history(self) -> None:
+    def truncate_history(self) -> None:
         """Drop all history up to now."""
         self._forgotten = self.revision
         self._log.clear()
--- a/sardineproxy/standin/run_checks.py
+++ b/sardineproxy/standin/run_checks.py
@@ -8,10 +8,10 @@
 _NEVER = float('inf')
 
 
-def find_doubles(records: list[worker_model.Record]) -> list[str]:
+def find_overlapping_runs(records: list[worker_model.RunRecord]) -> list[str]:
     """Return a sentence for each two runs of a task at the same time."""
     found = []
-    by_task: dict[workers.TaskName, list[worker_model.Record]] = {}
+    by_task: dict[workers.TaskName, list[worker_model.RunRecord]] = {}
     for record in records:
         by_task.setdefault(record.task, []).append(record)
     for task, of_task in by_task.items():
@@ -25,7 +25,7 @@
     return found
 
 
-def find_repeats(records: list[worker_model.Record]) -> list[str]:
+def find_runs_after_success(records: list[worker_model.RunRecord]) -> list[str]:
     """Return a sentence for each start of a task that had ended well.
 
     An end counts if it was acknowledged at any time, unless the worker's lease
@@ -43,7 +43,9 @@
     ]
 
 
-def find_excess(records: list[worker_model.Record], most: int) -> list[str]:
+def find_runs_after_max_failures(
+    records: list[worker_model.RunRecord], most: int
+) -> list[str]:
     """Return a sentence for each start after ``most`` failures of a task."""
     failures: dict[workers.TaskName, list[float]] = {}
     for each in _counted(records, workers.RunResult.FAILED):
@@ -56,24 +58,24 @@
 
 
 def _counted(
-    records: list[worker_model.Record], how: workers.RunResult
-) -> list[worker_model.Record]:
+    records: list[worker_model.RunRecord], result: workers.RunResult
+) -> list[worker_model.RunRecord]:
     """Return the runs that ended so and whose end stands for good."""
     return [
         record
         for record in records
-        if record.how is how
+        if record.result is result
         and record.acked_at is not None
-        and not record.has_lapsed
+        and not record.is_lease_expired
     ]
 
 
 def _count_before(
-    ends: dict[workers.TaskName, list[float]], record: worker_model.Record
+    ends: dict[workers.TaskName, list[float]], record: worker_model.RunRecord
 ) -> int:
     of_task = ends.get(record.task, [])
     return sum(ended_at < record.started_at for ended_at in of_task)
 
 
-def _end_of(record: worker_model.Record) -> float:
+def _end_of(record: worker_model.RunRecord) -> float:
     return _NEVER if record.ended_at is None else record.ended_at
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Record:
+class RunRecord:
     """One run that a worker started, as an observer notes it."""
 
     task: workers.TaskName
@@ -26,10 +26,10 @@
     started_at: float
     resources: jobs.Resources
     ended_at: float | None = None
-    how: workers.RunResult | None = None
+    result: workers.RunResult | None = None
 
     #: True if the lease expired before the end was acknowledged.
-    has_lapsed: bool = False
+    is_lease_expired: bool = False
 
     #: Time at which the end was acknowledged.
     acked_at: float | None = None
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Running:
-    record: Record
+    record: RunRecord
 
     #: Time at which its work is done, None if it never is.
     done_at: float | None
-    how: workers.RunResult
+    result: workers.RunResult
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -52,7 +52,7 @@
     work_s: float
 
     #: How its run ends if nothing stops it; None if it never ends.
-    how: workers.RunResult | None = workers.RunResult.DONE
+    result: workers.RunResult | None = workers.RunResult.DONE
 
 
 #: Returns what one run of a task needs.
@@ -71,21 +71,21 @@
         speed: float = 1.0,
         clock_rate: float = 1.0,
         clock_start_ms: int = 1_000_000,
-        born_at: float = 0,
+        started_at: float = 0,
     ) -> None:
         """Start the first life at ``born_at``."""
         self.worker = worker
-        self.records: list[Record] = []
+        self.records: list[RunRecord] = []
 
         #: Sentences about starts that the worker should never have seen.
-        self.complaints: list[str] = []
+        self.violations: list[str] = []
         self.is_up = True
         self._work_of = work_of
         self._lease_ms = int(lease_s * _MS_PER_S)
         self._speed = speed
         self._clock_rate = clock_rate
         self._clock_start_ms = clock_start_ms
-        self._born_at = born_at
+        self._born_at = started_at
         self._fence = 0
         self._lease_end_ms = 0
         self._running: dict[workers.TaskName, _Running] = {}
@@ -94,7 +94,7 @@
         self._end_count = 0
 
         #: Runs that have ended and are not acknowledged, by number.
-        self._unacked: dict[int, Record] = {}
+        self._unacked: dict[int, RunRecord] = {}
 
     def clock_ms(self, now: float) -> int:
         """Return what the worker's clock shows."""
@@ -110,7 +110,7 @@
             ),
         )
 
-    def slow_down(self, clock_rate: float) -> None:
+    def set_clock_rate(self, clock_rate: float) -> None:
         """Let the worker's clock run at another rate from its birth on."""
         self._clock_rate = clock_rate
 
@@ -145,7 +145,7 @@
         for running in in_order:
             done_at = running.done_at
             if done_at is not None and done_at <= min(now, lapse_at):
-                self._end(running, running.how, done_at)
+                self._end(running, running.result, done_at)
         if lapse_at <= now:
             for running in list(self._running.values()):
                 self._end(running, workers.RunResult.LEASE_EXPIRED, lapse_at)
@@ -211,7 +211,7 @@
             is_complete=len(self._ends) < MAX_ENDS,
         )
 
-    def has_ends(self, acked: int) -> bool:
+    def has_unacked_results(self, acked: int) -> bool:
         """Tell whether there are ends that were not acknowledged."""
         return any(end.position > acked for end in self._ends)
 
@@ -227,7 +227,7 @@
     def _note_lapsed(self, now: float) -> None:
         if self.clock_ms(now) > self._lease_end_ms:
             for record in self._unacked.values():
-                record.has_lapsed = True
+                record.is_lease_expired = True
 
     def _note_acked(self, acked: int, now: float) -> None:
         numbers = [each for each in self._unacked if each <= acked]
@@ -257,11 +257,11 @@
             for running in self._running.values()
         )
         if taken + work.resources.millicores > self.worker.capacity.millicores:
-            self.complaints.append(
+            self.violations.append(
                 f'{order.task} run {order.run} at {now:.3f} goes over the '
                 f'capacity of {self.worker.worker}'
             )
-        record = Record(
+        record = RunRecord(
             task=order.task,
             run=order.run,
             worker=self.worker.worker,
@@ -272,17 +272,17 @@
         self._running[order.task] = _Running(
             record=record,
             done_at=None
-            if work.how is None
+            if work.result is None
             else now + work.work_s * self._speed,
-            how=work.how or workers.RunResult.DONE,
+            result=work.result or workers.RunResult.DONE,
         )
 
     def _end(
-        self, running: _Running, how: workers.RunResult, now: float
+        self, running: _Running, result: workers.RunResult, now: float
     ) -> None:
         record = running.record
         record.ended_at = now
-        record.how = how
+        record.result = result
         self._running.pop(record.task)
         self._barred[record.task] = max(
             record.run, self._barred.get(record.task, 0)
@@ -294,7 +294,7 @@
                 position=self._end_count,
                 task=record.task,
                 run=record.run,
-                result=how,
+                result=result,
             )
         )
 
--- a/tests/platform/test_store_http.py
+++ b/tests/platform/test_store_http.py
@@ -104,7 +104,7 @@
 
         async def scenario(rig: Rig) -> None:
             rig.rows.put('t/a', b'1')
-            rig.rows.forget_history()
+            rig.rows.truncate_history()
             answer = await rig.client.changes('t', after=0, wait_s=0)
             self.assertEqual(_Kind.HISTORY_LOST, kind_of(answer))
 
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -26,7 +26,7 @@
         self.model = worker_model.WorkerModel(
             worker=samples.make_worker(),
             work_of=lambda task, run: samples.typical_work(task, run, 30),
-            born_at=self.clock.now(),
+            started_at=self.clock.now(),
         )
         self.server = worker_server.WorkerServer(
             model=self.model, clock=self.clock
--- a/tests/platform/worker_server.py
+++ b/tests/platform/worker_server.py
@@ -126,7 +126,7 @@
         deadline = self.clock.now() + wait_s
         while isinstance(first, workers.Report) and self.clock.now() < deadline:
             self.model.advance(self.clock.now())
-            if self.model.has_ends(document['acked_through']):
+            if self.model.has_unacked_results(document['acked_through']):
                 return
             await asyncio.sleep(_RESULT_CHECK_INTERVAL_S)
 
--- a/tests/process/membership/test_table_follower.py
+++ b/tests/process/membership/test_table_follower.py
@@ -67,7 +67,7 @@
             rig.store.rows.put('t/a', b'1')
             await asyncio.sleep(1)
             rig.store.rows.put('t/a', None)
-            rig.store.rows.forget_history()
+            rig.store.rows.truncate_history()
             rig.store.rows.put('t/b', b'2')
             await asyncio.sleep(2)
             self.assertEqual(['t/b'], rig.keys())
--- a/tests/process/shards/faults.py
+++ b/tests/process/shards/faults.py
@@ -140,7 +140,7 @@
         until = self.clock.now() + wait_s
         while self.clock.now() < until and model.is_up:
             model.advance(self.clock.now())
-            if model.has_ends(acked):
+            if model.has_unacked_results(acked):
                 break
             await asyncio.sleep(_LOOK_STEP_S)
         return act(model, self.clock.now())
--- a/tests/process/shards/samples.py
+++ b/tests/process/shards/samples.py
@@ -229,7 +229,7 @@
         await asyncio.sleep(0.01)
         return leader
 
-    def records(self) -> list[worker_model.Record]:
+    def records(self) -> list[worker_model.RunRecord]:
         for model in self.models.values():
             model.advance(self.clock.now())
         return [
@@ -238,11 +238,11 @@
 
     def complaints(self) -> list[str]:
         found = [
-            complaint
+            violation
             for model in self.models.values()
-            for complaint in model.complaints
+            for violation in model.violations
         ]
-        return found + run_checks.find_doubles(self.records())
+        return found + run_checks.find_overlapping_runs(self.records())
 
     async def _tick(self, leader: shards.ShardLeader) -> None:
         while leader not in self.superseded_shards:
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -23,7 +23,7 @@
 
 def _never_ends(task: workers.TaskName, run: int) -> worker_model.Work:
     usual = samples.typical_work(task, run)
-    return worker_model.Work(resources=usual.resources, work_s=0.2, how=None)
+    return worker_model.Work(resources=usual.resources, work_s=0.2, result=None)
 
 
 class TestAgent(testtools.TestCase):
@@ -177,7 +177,7 @@
 
         async def scenario(rig: samples.Rig) -> None:
             leader = await rig.ready()
-            rig.models['w0'].slow_down(0.98)
+            rig.models['w0'].set_clock_rate(0.98)
             await asyncio.sleep(200)
             rig.api.late_s = 1.1
             rig.api.fault_of = lambda kind: (
@@ -205,8 +205,8 @@
             await asyncio.sleep(0.01)
             first = samples.only(rig.records())
             await asyncio.sleep(2)
-            how = {record.how for record in rig.records()}
-            self.assertIn(workers.RunResult.STOPPED, how)
+            results = {record.result for record in rig.records()}
+            self.assertIn(workers.RunResult.STOPPED, results)
             self.assertNotEqual(first.worker, rig.records()[-1].worker)
 
         samples.with_rig(scenario, count=2, work_of=_never_ends)
@@ -220,7 +220,7 @@
                 samples.FakeLink(), samples.make_submit(), rig.clock.now()
             )
             await asyncio.sleep(2)
-            self.assertFalse(rig.models['w0'].has_ends(0))
+            self.assertFalse(rig.models['w0'].has_unacked_results(0))
 
         samples.with_rig(scenario)
 
@@ -255,7 +255,7 @@
             return worker_model.Work(
                 resources=jobs.Resources(millicores=1000, memory_mb=1, gpus=0),
                 work_s=0.05,
-                how=workers.RunResult.FAILED,
+                result=workers.RunResult.FAILED,
             )
 
         async def scenario(rig: samples.Rig) -> None:
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -143,11 +143,13 @@
 
     def work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
         draw = random.Random(f'{task}.{run}').randrange(100)
-        how = workers.RunResult.FAILED if draw < 3 else workers.RunResult.DONE
+        result = (
+            workers.RunResult.FAILED if draw < 3 else workers.RunResult.DONE
+        )
         return worker_model.Work(
             resources=samples.typical_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
-            how=how,
+            result=result,
         )
 
     def fault_of(self, kind: str) -> faults.CallFault:
--- a/tests/process/shards/test_scheduler.py
+++ b/tests/process/shards/test_scheduler.py
@@ -29,7 +29,7 @@
             rig.is_confirmed = False
             await asyncio.sleep(3)
             record = samples.only(rig.records())
-            self.assertIs(workers.RunResult.LEASE_EXPIRED, record.how)
+            self.assertIs(workers.RunResult.LEASE_EXPIRED, record.result)
             rig.is_confirmed = True
             await asyncio.sleep(1)
             self.assertEqual(2, len(rig.records()))
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -169,7 +169,7 @@
             work_of=lambda task, run: worker_model.Work(
                 resources=samples.typical_work(task, run).resources,
                 work_s=0.1,
-                how=workers.RunResult.FAILED,
+                result=workers.RunResult.FAILED,
             ),
         )
 
@@ -304,7 +304,7 @@
             leader.link_lost(link, rig.clock.now())
             await asyncio.sleep(0.6)
             record = samples.only(rig.records())
-            self.assertEqual(workers.RunResult.STOPPED, record.how)
+            self.assertEqual(workers.RunResult.STOPPED, record.result)
 
         samples.with_rig(scenario, work_of=_long)
 
@@ -429,7 +429,7 @@
             await asyncio.sleep(0.8)
             self.assertEqual(
                 {workers.RunResult.STOPPED},
-                {record.how for record in rig.records()},
+                {record.result for record in rig.records()},
             )
 
         samples.with_rig(
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -270,7 +270,7 @@
         return worker_model.Work(
             resources=samples.typical_work(task, run).resources,
             work_s=random.Random(task).choice((0.06, 0.2, 0.9)),
-            how=workers.RunResult.FAILED
+            result=workers.RunResult.FAILED
             if is_failing
             else workers.RunResult.DONE,
         )
@@ -310,8 +310,8 @@
         run_records = self.rig.records()
         return [
             *self.rig.complaints(),
-            *run_checks.find_repeats(run_records),
-            *run_checks.find_excess(run_records, MAX_ATTEMPTS),
+            *run_checks.find_runs_after_success(run_records),
+            *run_checks.find_runs_after_max_failures(run_records, MAX_ATTEMPTS),
         ]
 
 
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -108,7 +108,7 @@
 
 @when(parsers.parse('the endpoint {endpoint} shows the fault {mode}'))
 def set_mode(world: worlds.World, endpoint: str, mode: str) -> None:
-    world.run(world.deployment.set_mode(endpoint, mode))
+    world.run(world.deployment.set_endpoint_mode(endpoint, mode))
 
 
 @when(parsers.parse('every endpoint shows the fault {mode}'))
--- a/tests/scenarios/test_back_ends.py
+++ b/tests/scenarios/test_back_ends.py
@@ -48,7 +48,7 @@
 
 @when('the platform of the deployment is down')
 def stop_platform(world: worlds.World) -> None:
-    world.run(world.deployment.set_faults(down=True))
+    world.run(world.deployment.set_platform_faults(down=True))
 
 
 @when(
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -53,7 +53,7 @@
         world.deployment.directory,
     )
     try:
-        await command.run('', limit_s=worlds.WAIT_LIMIT_S)
+        await command.run('', timeout_s=worlds.WAIT_LIMIT_S)
     except child.ChildError:
         assert command.returncode is not None
         return command.returncode
@@ -62,12 +62,12 @@
 
 @when('the platform loses the answer of the next write')
 def lose_answer(world: worlds.World) -> None:
-    world.run(world.deployment.set_faults(lose_answers=1))
+    world.run(world.deployment.set_platform_faults(lose_answers=1))
 
 
 @when(parsers.parse('the platform shows the fault {fault}'))
 def set_fault(world: worlds.World, fault: str) -> None:
-    world.run(world.deployment.set_faults(**{fault: True}))
+    world.run(world.deployment.set_platform_faults(**{fault: True}))
 
 
 @when(parsers.parse('{count:d} polls of the platform have passed'))
--- a/tests/scenarios/test_leaving.py
+++ b/tests/scenarios/test_leaving.py
@@ -45,7 +45,7 @@
 
 @when(parsers.parse('the endpoint {endpoint} is listed as leaving'))
 def list_leaving(world: worlds.World, endpoint: str) -> None:
-    world.run(world.deployment.set_state(endpoint, 'leaving'))
+    world.run(world.deployment.set_vm_state(endpoint, 'leaving'))
 
 
 @when(parsers.parse('{seconds:d} seconds have passed for the list to be read'))
@@ -55,12 +55,12 @@
 
 @when(parsers.parse("the platform's list lags by {seconds:d} seconds"))
 def lag_list(world: worlds.World, seconds: int) -> None:
-    world.run(world.deployment.set_faults(list_lag_s=seconds))
+    world.run(world.deployment.set_platform_faults(list_lag_s=seconds))
 
 
 @when('the platform is down')
 def stop_platform(world: worlds.World) -> None:
-    world.run(world.deployment.set_faults(down=True))
+    world.run(world.deployment.set_platform_faults(down=True))
 
 
 @then(parsers.parse('{entry} ends with the status {name}'))
--- a/tests/scenarios/test_partition.py
+++ b/tests/scenarios/test_partition.py
@@ -56,7 +56,7 @@
 
 @when('the platform is set down')
 def stop_platform(world: worlds.World) -> None:
-    world.run(world.deployment.set_faults(down=True))
+    world.run(world.deployment.set_platform_faults(down=True))
 
 
 @when(parsers.parse('{entry} can reach its peers again'))
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -79,7 +79,7 @@
         With ``relays``, peers reach each entry VM through a relay of its own.
         """
         # Seeds name the entry VMs' own ports, which would bypass the relays.
-        self.deployment.seeded = not relays
+        self.deployment.use_seeds = not relays
         await self.deployment.__aenter__()
         await self.deployment.start_platform()
         for zone, (entries, endpoints) in zones.items():
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -46,7 +46,7 @@
     return completed / max(1, len(jobs))
 
 
-def _records(around: fleet.Fleet) -> list[worker_model.Record]:
+def _records(around: fleet.Fleet) -> list[worker_model.RunRecord]:
     return [
         record for each in around.all_workers() for record in each.model.records
     ]
@@ -55,20 +55,20 @@
 def _check_workers(around: fleet.Fleet) -> Iterator[str]:
     """No start over capacity, none twice at a time, none with other text."""
     for each in around.all_workers():
-        yield from each.model.complaints
+        yield from each.model.violations
         for task, payload in each.server.payloads.items():
             job = task.partition('.')[0]
             sent = around.trace.jobs.get(job)
             if sent is None or sent.payload != payload:
                 yield f'{task} was ordered with {payload!r}'
     records = _records(around)
-    yield from run_checks.find_doubles(records)
-    yield from run_checks.find_repeats(
+    yield from run_checks.find_overlapping_runs(records)
+    yield from run_checks.find_runs_after_success(
         [each for each in records if _is_stored(around, each)]
     )
 
 
-def _is_stored(around: fleet.Fleet, record: worker_model.Record) -> bool:
+def _is_stored(around: fleet.Fleet, record: worker_model.RunRecord) -> bool:
     job = around.trace.jobs.get(record.task.partition('.')[0])
     return job is not None and job.is_stored
 
@@ -80,7 +80,7 @@
     for record in _records(around):
         job = record.task.partition('.')[0]
         started.setdefault(job, set()).add(record.task)
-        if record.how is workers.RunResult.DONE:
+        if record.result is workers.RunResult.DONE:
             done.setdefault(job, set()).add(record.task)
     for job, attempts in around.trace.attempts.items():
         statuses = {attempt.status for attempt in attempts}
@@ -99,7 +99,7 @@
     """Accepted jobs are known, and end as their tasks did."""
     done: dict[str, set[str]] = {}
     for record in _records(around):
-        if record.how is workers.RunResult.DONE:
+        if record.result is workers.RunResult.DONE:
             job = record.task.partition('.')[0]
             done.setdefault(job, set()).add(record.task)
     for name, sent in around.trace.jobs.items():
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -182,7 +182,7 @@
         self._fleet.store.delay_s = 0
 
     async def _store_forgets(self, for_s: float) -> None:
-        self._fleet.rows.forget_history()
+        self._fleet.rows.truncate_history()
 
     # Connections.
 
--- a/tests/soak/vm.py
+++ b/tests/soak/vm.py
@@ -165,7 +165,7 @@
                     'PYTHONPATH': str(root),
                     'SARDINEPROXY_CONFIG': str(self._settings_path),
                 },
-                preexec_fn=child.end_with_parent,
+                preexec_fn=child.set_parent_death_signal,
             )
 
     @property
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -48,7 +48,7 @@
             work_of=self._work_of,
             speed=rng.choice((0.6, 1.0, 1.4)),
             clock_rate=rng.uniform(0.98, 1),
-            born_at=clock.now(),
+            started_at=clock.now(),
         )
         self.server = worker_server.WorkerServer(model=self.model, clock=clock)
         self.relay: relay_server.Relay
@@ -91,15 +91,15 @@
             await asyncio.sleep(BEAT_S)
 
     def _work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
-        how: workers.RunResult | None = workers.RunResult.DONE
+        result: workers.RunResult | None = workers.RunResult.DONE
         if self.hangs:
-            how = None
+            result = None
         elif self.fails:
-            how = workers.RunResult.FAILED
+            result = workers.RunResult.FAILED
         return worker_model.Work(
             resources=jobs.Resources(
                 millicores=samples.TASK_MILLICORES, memory_mb=64, gpus=0
             ),
             work_s=0.01 if self.fails else random.Random(task).choice(WORK_S),
-            how=how,
+            result=result,
         )
--- a/tests/standin/test_endpoint.py
+++ b/tests/standin/test_endpoint.py
@@ -87,7 +87,7 @@
     async with deployment.Deployment() as dep:
         await dep.start_endpoints([URN])
         for mode, _, _ in FAULTS:
-            await dep.set_mode('urn', mode)
+            await dep.set_endpoint_mode('urn', mode)
             status, _ = await _post(dep, 'x')
             summary, _ = await dep.read_record('urn', clear=True)
             seen.append((mode, status, summary['started']))
@@ -97,12 +97,12 @@
 async def _hold_one_request() -> tuple[bool, int | None]:
     async with deployment.Deployment() as dep:
         await dep.start_endpoints([URN])
-        await dep.set_mode('urn', 'silent')
+        await dep.set_endpoint_mode('urn', 'silent')
         held = asyncio.create_task(_post(dep, 'x'))
         while not (await dep.read_record('urn'))[1]:
             await asyncio.sleep(0.01)
         was_done = held.done()
-        await dep.set_mode('urn', 'normal')
+        await dep.set_endpoint_mode('urn', 'normal')
         return was_done, (await held)[0]
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -37,16 +37,16 @@
         self,
         task: str = TASK,
         begin: float = 10,
-        how: workers.RunResult = workers.RunResult.DONE,
+        result: workers.RunResult = workers.RunResult.DONE,
     ) -> None:
         self.model.records.append(
-            worker_model.Record(
+            worker_model.RunRecord(
                 task=workers.TaskName(task),
                 run=len(self.model.records) + 1,
                 worker='w0',
                 started_at=begin,
                 ended_at=begin + 0.2,
-                how=how,
+                result=result,
                 resources=samples.make_worker().capacity,
             )
         )
@@ -129,7 +129,7 @@
 
     def test_completed_job_without_all_tasks_is_found(self) -> None:
         around = _Fleet()
-        around.worker.ran(how=workers.RunResult.STOPPED)
+        around.worker.ran(result=workers.RunResult.STOPPED)
         around.answer()
         self.assertThat(around.complaints()[0], matchers.Contains('completed'))
 
