--- a/sardineproxy/bench/senders.py
+++ b/sardineproxy/bench/senders.py
@@ -67,7 +67,7 @@
         """Check an answer."""
         if isinstance(answer, str):
             return driver.Reply(useful=0, fault=answer)
-        return _judge(submission, caller.parse(answer))
+        return _judge(submission, caller.parse_object(answer))
 
     async def _mint(self, place: _Place, count: int) -> None:
         batches = await asyncio.gather(
--- a/sardineproxy/demo/__init__.py
+++ b/sardineproxy/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Demo of the whole system on loopback."""
+"""Demo of a complete deployment on loopback."""
--- a/sardineproxy/demo/caller.py
+++ b/sardineproxy/demo/caller.py
@@ -1,4 +1,4 @@
-"""A caller: mints keys and submits requests and jobs to an entry VM."""
+"""HTTP client that submits requests and jobs to an entry process."""
 
 import dataclasses
 import json
@@ -9,30 +9,32 @@
 REQUESTS_PATH = '/v1/requests'
 JOBS_PATH = '/v1/jobs'
 
-#: Longest wait for an answer; entry processes end requests before that.
+#: Client timeout; entry processes reply to every request before that.
 REPLY_TIMEOUT_S = 150
 _TIMEOUT = aiohttp.ClientTimeout(total=REPLY_TIMEOUT_S)
 
 
 class CallerError(Exception):
-    """The entry process refused to mint keys."""
+    """The entry process did not create the requested keys."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """An entry process's answer; ``document`` is empty if it has no JSON."""
+    """Reply of an entry process."""
 
     status: int
+
+    #: Body of the reply; empty unless it is a JSON object.
     document: dict[str, Any]
 
 
 class Caller:
-    """Speaks the caller protocol with one entry process as one customer."""
+    """Client of one entry process with the credential of one customer."""
 
     def __init__(
         self, *, session: aiohttp.ClientSession, base: str, credential: str
     ) -> None:
-        """Submit to the URL ``base``, which has no path."""
+        """Send requests to the URL ``base``, which has no path."""
         self._session = session
         self._base = base
         self._headers = {
@@ -46,23 +48,27 @@
         keys = reply.document.get('keys', [])
         if len(keys) != count:
             raise CallerError(
-                f'{len(keys)} of {count} keys: {reply.status} {reply.document}'
+                f'{len(keys)} of {count} requested keys were created: '
+                f'HTTP {reply.status} {reply.document}'
             )
         return list(keys)
 
     async def submit(
         self, path: str, document: Mapping[str, Any], *, key: str = ''
     ) -> Reply:
-        """Post a document; raise ``aiohttp.ClientError`` if no answer came."""
+        """Post a JSON document and return the reply.
+
+        Raise ``aiohttp.ClientError`` or ``TimeoutError`` if none arrives.
+        """
         status, body = await self.post(
             path, json.dumps(document).encode(), key=key
         )
-        return Reply(status=status, document=parse(body))
+        return Reply(status=status, document=parse_object(body))
 
     async def post(
         self, path: str, body: bytes, *, key: str = ''
     ) -> tuple[int, bytes]:
-        """Post a rendered document and return the status and the body."""
+        """Post an encoded document and return the status and the body."""
         headers = self._headers
         if key:
             headers = {**headers, 'Idempotency-Key': key}
@@ -75,8 +81,8 @@
             return reply.status, await reply.read()
 
 
-def parse(body: bytes) -> dict[str, Any]:
-    """Return the JSON object in ``body``, or an empty one."""
+def parse_object(body: bytes) -> dict[str, Any]:
+    """Return the JSON object in ``body``, or an empty dict."""
     try:
         document = json.loads(body)
     except ValueError:
--- a/sardineproxy/demo/child.py
+++ b/sardineproxy/demo/child.py
@@ -1,4 +1,4 @@
-"""One child process of a deployment, ended by its process id."""
+"""Child process that runs one of the programs of a package."""
 
 import asyncio
 import contextlib
@@ -12,24 +12,26 @@
 
 import sardineproxy
 
-#: Longest wait for the ready line, in seconds; generous for busy machines.
+#: Longest wait for the ready line; long enough for a loaded machine.
 READY_TIMEOUT_S = 60
 
-#: Longest wait for an orderly end before the process is killed, in seconds.
+#: Longest wait for an orderly exit after SIGTERM, before SIGKILL.
 STOP_TIMEOUT_S = 20
 
-#: Longest line that is read from a child, in bytes.
+#: Size limit of a line on the standard output of a child.
 MAX_LINE_BYTES = 1_048_576
 
-#: Bytes of the standard error that an error message quotes.
-QUOTED_BYTES = 2000
+#: Limit of the standard error that an error message quotes.
+MAX_QUOTED_BYTES = 2000
+
+#: Operation of ``prctl(2)``.
 PR_SET_PDEATHSIG = 1
 
 _libc = ctypes.CDLL(None)
 
 
 class ChildError(Exception):
-    """The process did not start, or ended with an error."""
+    """The process did not start, timed out or failed."""
 
 
 class Child:
@@ -43,13 +45,13 @@
         *,
         module: str = 'sardineproxy',
     ) -> None:
-        """Prepare to run ``python -m MODULE NAME ARGS``."""
+        """Prepare the command ``python -m MODULE NAME ARGS``."""
         self.name = name
         self.ports: dict[str, int] = {}
         self._args = (sys.executable, '-m', module, name, *args)
         self._stderr = directory / f'{name}-{id(self)}.stderr'
         self._process: asyncio.subprocess.Process | None = None
-        self._drain: asyncio.Task[None] | None = None
+        self._output_task: asyncio.Task[None] | None = None
 
     @property
     def pid(self) -> int:
@@ -71,10 +73,10 @@
         except (TimeoutError, ValueError, ChildError) as exc:
             await self.stop()
             raise ChildError(f'{self.describe_end()} ({exc!r})') from exc
-        self._drain = asyncio.create_task(self._discard_output())
+        self._output_task = asyncio.create_task(self._discard_output())
 
     async def run(self, text: str, *, timeout_s: float) -> str:
-        """Run to the end with ``text`` as input and return the output."""
+        """Run the process with ``text`` as input; return its output."""
         process = await self._spawn()
         try:
             async with asyncio.timeout(timeout_s):
@@ -82,20 +84,20 @@
         except TimeoutError as exc:
             await self.stop()
             raise ChildError(
-                f'{self.name}: no end after {timeout_s} s'
+                f'{self.name} did not exit within {timeout_s} s'
             ) from exc
         if process.returncode:
             raise ChildError(self.describe_end())
         return output.decode()
 
     def signal(self, signum: signal.Signals) -> None:
-        """Send a signal to the process if it still runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(signum)
 
     async def stop(self) -> None:
-        """End the process: SIGTERM, and SIGKILL when that takes long."""
+        """Terminate the process; kill it after ``STOP_TIMEOUT_S``."""
         if self._process is None:
             return
         self.signal(signal.SIGCONT)
@@ -106,25 +108,27 @@
             await self.kill()
         finally:
             self.signal(signal.SIGKILL)
-        if self._drain is not None:
-            await self._drain
-            self._drain = None
+        if self._output_task is not None:
+            await self._output_task
+            self._output_task = None
 
     async def kill(self) -> None:
-        """End the process at once and wait for its end."""
+        """Kill the process and wait until it exits."""
         self.signal(signal.SIGKILL)
         assert self._process is not None
         await self._process.wait()
 
     def describe_end(self) -> str:
-        """Return one message with the exit status and the last log lines."""
+        """Return a message with the exit status and the last log lines."""
         try:
-            log = self._stderr.read_bytes()[-QUOTED_BYTES:].decode(
+            log = self._stderr.read_bytes()[-MAX_QUOTED_BYTES:].decode(
                 errors='replace'
             )
         except OSError:
             log = ''
-        return f'{self.name} ended with {self.returncode}: {log.strip()}'
+        return (
+            f'{self.name} exited with status {self.returncode}: {log.strip()}'
+        )
 
     async def _spawn(self) -> asyncio.subprocess.Process:
         root = pathlib.Path(sardineproxy.__file__).parent.parent
@@ -146,10 +150,10 @@
         line = await self._process.stdout.readline()
         if not line:
             await self._process.wait()
-            raise ChildError('no ready line')
+            raise ChildError('standard output closed before the ready line')
         document = json.loads(line)
         if 'ready' not in document:
-            raise ChildError(f'not a ready line: {document}')
+            raise ChildError(f'expected a ready line, found {document}')
         return dict(document['ready'])
 
     async def _discard_output(self) -> None:
@@ -161,5 +165,5 @@
 
 
 def set_parent_death_signal() -> None:
-    """Let the kernel end this process when its parent is killed."""
+    """Have the kernel kill this process when its parent exits."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/sardineproxy/demo/controls.py
+++ b/sardineproxy/demo/controls.py
@@ -1,4 +1,4 @@
-"""Control requests to stand-ins and admin requests to entry processes."""
+"""Requests to the control ports of stand-ins and admin ports of entries."""
 
 from typing import Any, Mapping
 
@@ -6,7 +6,7 @@
 
 
 class ControlError(Exception):
-    """The request failed or was refused."""
+    """The request failed, or its response has an error status."""
 
 
 async def request(
@@ -15,7 +15,7 @@
     url: str,
     body: Mapping[str, Any] | None = None,
 ) -> str:
-    """Send a request with a JSON body and return the answer's text."""
+    """Send a request with a JSON body and return the response body."""
     try:
         async with session.request(method, url, json=body) as reply:
             status, text = reply.status, await reply.text()
--- a/sardineproxy/demo/core.py
+++ b/sardineproxy/demo/core.py
@@ -1,8 +1,8 @@
-"""Show a whole deployment on loopback: two zones, lookups, stamps, a job.
+"""Run a deployment in two zones on loopback: a lookup, a stamp and a job.
 
 Starts a stand-in platform, stand-in endpoints and entry processes, applies a
-contract, submits work as a clerk would and checks every answer and the
-endpoints' records. Ends all processes; takes about ten seconds.
+contract, submits work as a customer and checks every reply and the endpoints'
+records. Stops all processes at the end; takes about ten seconds.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 SHORT_RUN_MS = 50
 LONG_RUN_MS = 400
 
-#: Speeds of each zone's endpoints.
+#: Each zone with the relative speeds of its endpoints.
 ZONES = (('sondrio', (1, 1.5, 2)), ('tirano', (0.5, 1, 2)))
 ENTRIES = (
     parts.EntrySpec(name='sondrio-entry-1', zone='sondrio', size=2),
@@ -44,7 +44,7 @@
 
 
 def main(argv: list[str]) -> exit_status.ExitStatus:
-    """Run the demo; succeed only if everything was right."""
+    """Run the demo; fail if a reply or a record is wrong."""
     cfg = command_line.new_flags()
     flags.DEFINE_integer(
         'tasks', 200, 'Tasks of the job.', 1, 1700, flag_values=cfg
@@ -59,7 +59,7 @@
         sys.stderr.write(f'{exc}\n')
         return exit_status.ExitStatus.ERROR
     except (aiohttp.ClientError, TimeoutError) as exc:
-        sys.stderr.write(f'no answer from an entry process: {exc!r}\n')
+        sys.stderr.write(f'no reply from an entry process: {exc!r}\n')
         return exit_status.ExitStatus.UNAVAILABLE
     for fault in faults:
         print(f'WRONG: {fault}')
@@ -71,21 +71,21 @@
 async def run(
     *, count: int, seed: int, module: str = 'sardineproxy'
 ) -> list[str]:
-    """Run the demo on programs of ``module``; return what was wrong."""
+    """Run the demo with programs of ``module``; return the faults found."""
     async with deployment.Deployment(module=module) as dep:
-        await _start(dep)
-        callers = _connect(dep)
+        await _start_deployment(dep)
+        callers = _create_callers(dep)
         job = _compose_job(count, clocks.new_random(seed))
         faults = [
-            await _look_up(callers[0]),
-            await _stamp(callers[-1], callers[0]),
+            await _submit_lookup(callers[0]),
+            await _submit_stamp(callers[-1], callers[0]),
             await _submit_job(callers[1], job),
             *await _check_records(dep, (LOOKUP, STAMP, *job)),
         ]
     return [fault for fault in faults if fault]
 
 
-async def _start(dep: deployment.Deployment) -> None:
+async def _start_deployment(dep: deployment.Deployment) -> None:
     print('Starting the platform, endpoints and entry processes ...')
     await dep.start_platform()
     await asyncio.gather(
@@ -127,7 +127,7 @@
     }
 
 
-def _connect(dep: deployment.Deployment) -> list[caller.Caller]:
+def _create_callers(dep: deployment.Deployment) -> list[caller.Caller]:
     return [
         caller.Caller(
             session=dep.session, base=entry.url(''), credential=CREDENTIAL
@@ -136,40 +136,42 @@
     ]
 
 
-async def _look_up(clerk: caller.Caller) -> str | None:
-    began = time.monotonic()
-    reply = await clerk.submit(
+async def _submit_lookup(client: caller.Caller) -> str | None:
+    started_at = time.monotonic()
+    reply = await client.submit(
         caller.REQUESTS_PATH,
         tasks.render_single(LOOKUP, deadline_ms=DEADLINE_MS),
     )
-    _print_answer('Certificate lookup', began, reply)
+    _print_reply('Certificate lookup', started_at, reply)
     return LOOKUP.find_fault(reply.document)
 
 
-async def _stamp(clerk: caller.Caller, other: caller.Caller) -> str | None:
-    """Stamp once, although the clerk submits the same key twice."""
-    key = (await clerk.create_keys(1))[0]
+async def _submit_stamp(
+    client: caller.Caller, other_client: caller.Caller
+) -> str | None:
+    """Submit a stamp with the same key to two entry VMs."""
+    key = (await client.create_keys(1))[0]
     document = tasks.render_single(STAMP, deadline_ms=DEADLINE_MS)
-    began = time.monotonic()
-    reply = await clerk.submit(caller.REQUESTS_PATH, document, key=key)
-    _print_answer('Stamp', began, reply)
-    began = time.monotonic()
-    repeat = await other.submit(caller.REQUESTS_PATH, document, key=key)
-    _print_answer('Stamp, same key at another entry VM', began, repeat)
+    started_at = time.monotonic()
+    reply = await client.submit(caller.REQUESTS_PATH, document, key=key)
+    _print_reply('Stamp', started_at, reply)
+    started_at = time.monotonic()
+    repeat = await other_client.submit(caller.REQUESTS_PATH, document, key=key)
+    _print_reply('Stamp, same key at another entry VM', started_at, repeat)
     return STAMP.find_fault(reply.document) or STAMP.find_fault(repeat.document)
 
 
 async def _submit_job(
-    clerk: caller.Caller, job: tuple[tasks.Task, ...]
+    client: caller.Caller, job: tuple[tasks.Task, ...]
 ) -> str | None:
-    key = (await clerk.create_keys(1))[0]
-    began = time.monotonic()
-    reply = await clerk.submit(
+    key = (await client.create_keys(1))[0]
+    started_at = time.monotonic()
+    reply = await client.submit(
         caller.JOBS_PATH,
         tasks.render_job(job, deadline_ms=DEADLINE_MS),
         key=key,
     )
-    _print_answer(f'Job of {len(job)} tasks', began, reply)
+    _print_reply(f'Job of {len(job)} tasks', started_at, reply)
     return tasks.find_job_fault(job, reply.document)
 
 
@@ -186,8 +188,8 @@
     )
 
 
-def _print_answer(title: str, began: float, reply: caller.Reply) -> None:
-    took_ms = 1000 * (time.monotonic() - began)
+def _print_reply(title: str, started_at: float, reply: caller.Reply) -> None:
+    took_ms = 1000 * (time.monotonic() - started_at)
     document = reply.document
     outcome = (
         document.get('state')
@@ -200,7 +202,7 @@
 async def _check_records(
     dep: deployment.Deployment, expected: tuple[tasks.Task, ...]
 ) -> list[str]:
-    """Print what the endpoints ran; return tasks not run exactly once."""
+    """Print what the endpoints ran; report tasks not started exactly once."""
     records = await asyncio.gather(
         *(dep.read_record(name) for name in dep.endpoints)
     )
--- a/sardineproxy/demo/deployment.py
+++ b/sardineproxy/demo/deployment.py
@@ -1,4 +1,4 @@
-"""Start and end a whole deployment of real processes on loopback."""
+"""Complete deployment of real processes on loopback."""
 
 import asyncio
 import json
@@ -10,12 +10,12 @@
 HOST = parts.HOST
 OPERATOR = 'deployment'
 
-#: Longest wait for an entry process to be ready, in seconds.
+#: Longest wait until all entry processes are ready.
 READY_TIMEOUT_S = 60
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
-#: Control path and key of each fault of the stand-in platform.
+#: Control path and JSON key of each fault of the stand-in platform.
 PLATFORM_FAULTS = types.MappingProxyType(
     {
         'down': ('down', 'down'),
@@ -33,11 +33,11 @@
     def __init__(
         self, *, region: str = 'alpha', module: str = 'sardineproxy'
     ) -> None:
-        """Start with no process."""
+        """Prepare a deployment without processes."""
         super().__init__(module=module)
         self._region = region
 
-        #: Whether settings name the entry VMs that already run as seeds.
+        #: Whether a new entry process gets the running ones as seeds.
         self.use_seeds = True
         self.platform: child.Child | None = None
         self._states: dict[str, str] = {}
@@ -58,7 +58,7 @@
         slots: int = 8,
         connections: int = 64,
     ) -> child.Child:
-        """Serve all of ``specs`` from one process."""
+        """Start one process that serves all of ``specs``."""
         process = await self.start_program(
             'standin-endpoint',
             f'--host={HOST}',
@@ -83,11 +83,11 @@
         return process
 
     async def start_entry(
-        self, spec: parts.EntrySpec, **more: Any
+        self, spec: parts.EntrySpec, **extra: Any
     ) -> parts.Entry:
-        """Start an entry process; ``more`` replaces settings.
+        """Start an entry process; ``extra`` overrides settings.
 
-        It is ready once it has a version of the contracts.
+        The process becomes ready when it has a version of the contracts.
         """
         path = self.directory / f'{spec.name}.json'
         settings = parts.render_settings(
@@ -96,7 +96,7 @@
             platform_port=self._platform_port(),
             seeds=self.entries.values() if self.use_seeds else (),
         )
-        path.write_text(json.dumps({**settings, **more}), encoding='utf-8')
+        path.write_text(json.dumps({**settings, **extra}), encoding='utf-8')
         process = await self.start_program('entry', '--settings', str(path))
         entry = parts.Entry(
             name=spec.name, zone=spec.zone, size=spec.size, process=process
@@ -109,30 +109,30 @@
         return f'{HOST}:{self._platform_port()}'
 
     async def register(self) -> None:
-        """Put all entry VMs and endpoints into the platform's list."""
+        """Replace the platform's VM list by all entry VMs and endpoints."""
         await self.request(
             'POST', self._platform_url('vms'), {'vms': self._list_vms()}
         )
 
     async def set_vm_state(self, name: str, state: str) -> None:
-        """List an entry VM or endpoint as ``live`` or ``leaving``."""
+        """Set the listed state of a VM to ``live`` or ``leaving``."""
         self._states[name] = state
         await self.register()
 
     async def set_platform_faults(self, **faults: Any) -> None:
-        """Tell the platform to be down, slow, stale or lagging."""
+        """Set faults of the platform by their names in PLATFORM_FAULTS."""
         for name, setting in faults.items():
             path, key = PLATFORM_FAULTS[name]
             await self.request('POST', self._platform_url(path), {key: setting})
 
     async def set_endpoint_mode(
-        self, endpoint: str, mode: str, **more: Any
+        self, endpoint: str, mode: str, **extra: Any
     ) -> None:
-        """Make an endpoint show a fault; ``normal`` ends it."""
+        """Set the fault mode of an endpoint; ``normal`` ends the fault."""
         await self.request(
             'POST',
             f'{self.endpoints[endpoint].control}/mode',
-            {'mode': mode, **more},
+            {'mode': mode, **extra},
         )
 
     async def read_record(
@@ -147,13 +147,13 @@
         return first['summary'], starts
 
     async def hash_credential(self, credential: str) -> str:
-        """Return the hash of a credential that a contract holds."""
+        """Return the hash of a credential for use in a contract."""
         return (await self.run_ctl('hash-credential', text=credential)).strip()
 
     async def apply(
         self, contracts: Sequence[Mapping[str, Any]], *, base: int = 0
     ) -> None:
-        """Apply contracts with the operator's program."""
+        """Apply contracts with the operator's command line."""
         directory = self.directory / f'contracts-{base}'
         directory.mkdir()
         for contract in contracts:
@@ -171,7 +171,7 @@
         )
 
     async def wait_ready(self) -> None:
-        """Wait until every entry process answers that it is ready."""
+        """Wait until every entry process reports readiness."""
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 await asyncio.gather(
@@ -182,12 +182,12 @@
                 )
         except TimeoutError as exc:
             raise processes.DeploymentError(
-                f'entry processes are not ready after {READY_TIMEOUT_S} s'
+                f'entry processes not ready after {READY_TIMEOUT_S} s'
             ) from exc
 
     async def _wait_ready(self, entry: parts.Entry) -> None:
         while not await self._is_ready(entry):
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _is_ready(self, entry: parts.Entry) -> bool:
         if entry.process.returncode is not None:
@@ -202,23 +202,23 @@
 
     def _platform_port(self) -> int:
         if self.platform is None:
-            raise processes.DeploymentError('the platform is not started')
+            raise processes.DeploymentError('platform is not started')
         return self.platform.ports['http']
 
     def _platform_url(self, name: str) -> str:
         return f'http://{HOST}:{self._platform_port()}/control/{name}'
 
     def _list_vms(self) -> list[parts.Document]:
-        everything: tuple[parts.Endpoint | parts.Entry, ...] = (
+        vms: tuple[parts.Endpoint | parts.Entry, ...] = (
             *self.entries.values(),
             *self.endpoints.values(),
         )
         return [
             {
-                **part.render_vm(),
-                'state': self._states.get(part.name, 'live'),
+                **vm.render_vm(),
+                'state': self._states.get(vm.name, 'live'),
                 'region': self._region,
                 'host': HOST,
             }
-            for part in everything
+            for vm in vms
         ]
--- a/sardineproxy/demo/parts.py
+++ b/sardineproxy/demo/parts.py
@@ -1,4 +1,4 @@
-"""Parts of a deployment, and how the platform and settings list them."""
+"""Components of a deployment with their VM list records and settings."""
 
 import dataclasses
 import types
@@ -10,13 +10,13 @@
 
 Document = dict[str, Any]
 
-#: No balancer has to notice, so entry processes end soon.
+#: Shorter than the defaults, as no load balancer has to notice the shutdown.
 SHUTDOWN = types.MappingProxyType({'notice_s': 0.2, 'limit_s': 10})
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EndpointSpec:
-    """One stand-in endpoint."""
+    """Stand-in endpoint to start."""
 
     name: str
     zone: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EntrySpec:
-    """One entry process."""
+    """Entry process to start."""
 
     name: str
     zone: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Endpoint:
-    """A running stand-in endpoint."""
+    """Running stand-in endpoint."""
 
     name: str
     zone: str
@@ -43,11 +43,11 @@
     connections: int
     port: int
 
-    #: URL of the endpoint's control requests.
+    #: Base URL of the endpoint's control interface.
     control: str
 
     def render_vm(self) -> Document:
-        """Return this endpoint's part of the platform's list."""
+        """Return this endpoint's record in the platform's VM list."""
         return {
             'name': self.name,
             'role': 'endpoint',
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Entry:
-    """A running entry process."""
+    """Running entry process."""
 
     name: str
     zone: str
@@ -68,15 +68,15 @@
     process: child.Child
 
     def url(self, path: str) -> str:
-        """Return the callers' URL of ``path``."""
+        """Return the URL of ``path`` for callers."""
         return f'http://{HOST}:{self.process.ports["callers"]}{path}'
 
     def admin_url(self, path: str) -> str:
-        """Return the admin URL of ``path``."""
+        """Return the URL of ``path`` on the admin port."""
         return f'http://{HOST}:{self.process.ports["admin"]}{path}'
 
     def render_vm(self) -> Document:
-        """Return this entry VM's part of the platform's list."""
+        """Return this entry VM's record in the platform's VM list."""
         return {
             'name': self.name,
             'role': 'entry',
@@ -94,15 +94,15 @@
     platform_port: int,
     seeds: Iterable[Entry] = (),
 ) -> Document:
-    """Return the settings of an entry process with ports of any number."""
-    any_port = {'host': HOST, 'port': 0}
+    """Return the settings of an entry process that uses ephemeral ports."""
+    ephemeral_port = {'host': HOST, 'port': 0}
     return {
         'vm': spec.name,
         'zone': spec.zone,
         'region': region,
-        'callers': any_port,
-        'admin': any_port,
-        'peers': any_port,
+        'callers': ephemeral_port,
+        'admin': ephemeral_port,
+        'peers': ephemeral_port,
         'platform': {'host': HOST, 'port': platform_port},
         'size': spec.size,
         'shutdown': dict(SHUTDOWN),
--- a/sardineproxy/demo/processes.py
+++ b/sardineproxy/demo/processes.py
@@ -1,4 +1,4 @@
-"""Processes, a temporary directory and an HTTP session, ended together."""
+"""Child processes, a temporary directory and an HTTP session."""
 
 import asyncio
 import contextlib
@@ -12,10 +12,10 @@
 
 from sardineproxy.demo import child, controls
 
-#: Longest wait for one run of the operator's program, in seconds.
+#: Time limit of one command of the operator's program.
 COMMAND_TIMEOUT_S = 60
 
-#: Longest wait for a control request to a stand-in, in seconds.
+#: Time limit of one control request to a stand-in.
 CONTROL_TIMEOUT_S = 30
 
 
@@ -23,23 +23,23 @@
 
 
 class DeploymentError(Exception):
-    """A part of the deployment could not be started or set up."""
+    """A component of the deployment failed to start or to be configured."""
 
 
 class Processes:
     """Asynchronous context that owns processes and a temporary directory.
 
-    Leaving the context, for whatever reason, ends every process.
+    Every process is stopped on exit from the context, also after an error.
     """
 
     def __init__(self, *, module: str = 'sardineproxy') -> None:
-        """Run programs by ``python -m MODULE NAME``."""
+        """Use ``python -m MODULE NAME`` to run programs."""
         self._module = module
         self._stack = contextlib.AsyncExitStack()
         self._children: list[child.Child] = []
 
     async def __aenter__(self) -> Self:
-        """Make the temporary directory and the HTTP session."""
+        """Create the temporary directory and the HTTP session."""
         directory = self._stack.enter_context(
             tempfile.TemporaryDirectory(prefix='sardineproxy-')
         )
@@ -59,13 +59,13 @@
         exc: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End all processes and remove the directory."""
+        """Stop all processes and remove the directory."""
         await self._stack.aclose()
 
     async def start_program(
         self, name: str, *args: str, module: str | None = None
     ) -> child.Child:
-        """Start any program that prints a ready line."""
+        """Start a program and wait for its ready line."""
         process = child.Child(
             name, args, self.directory, module=module or self._module
         )
@@ -77,7 +77,7 @@
         return process
 
     async def run_ctl(self, *args: str, text: str = '') -> str:
-        """Run the operator's program and return what it prints."""
+        """Run the operator's program and return its standard output."""
         command = child.Child('ctl', args, self.directory, module=self._module)
         self._children.append(command)
         try:
@@ -88,7 +88,7 @@
     async def request(
         self, method: str, url: str, body: Mapping[str, Any] | None = None
     ) -> str:
-        """Send a request with a JSON body and return the answer's text."""
+        """Send a request with a JSON body and return the response body."""
         try:
             return await controls.request(self.session, method, url, body)
         except controls.ControlError as exc:
@@ -101,11 +101,11 @@
 
 
 def run(main: Coroutine[Any, Any, Outcome]) -> Outcome:
-    """Run ``main``; a signal cancels it, so that it can end its processes."""
+    """Run ``main``; SIGTERM or SIGINT cancels it and lets it clean up."""
     try:
         return asyncio.run(_run_until_signal(main))
     except (asyncio.CancelledError, KeyboardInterrupt) as exc:
-        raise DeploymentError('ended by a signal') from exc
+        raise DeploymentError('interrupted by a signal') from exc
 
 
 async def _run_until_signal(main: Coroutine[Any, Any, Outcome]) -> Outcome:
--- a/sardineproxy/demo/tasks.py
+++ b/sardineproxy/demo/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks for stand-in endpoints, and the check of their answers."""
+"""Tasks for stand-in endpoints and checks of their replies."""
 
 import dataclasses
 import hashlib
@@ -12,11 +12,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Task:
-    """One task; ``label`` is unique among all tasks of a run."""
+    """One task; ``label`` is unique among all tasks of a demo or benchmark."""
 
     label: str
 
-    #: Milliseconds that it runs at an endpoint of speed 1.
+    #: Run time at an endpoint of speed 1.
     run_ms: float
     method: str = 'POST'
     path: str = '/tasks'
@@ -24,7 +24,7 @@
     idempotent: bool = True
 
     def render(self) -> Document:
-        """Return the task as callers submit it."""
+        """Return the task in the format of the caller interface."""
         document: Document = {
             'method': self.method,
             'path': self.path,
@@ -37,28 +37,28 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Return the headers that stand-in endpoints read."""
+        """Return the headers that control a stand-in endpoint."""
         return {'X-Task': self.label, 'X-Run-Ms': str(self.run_ms)}
 
-    def find_fault(self, answer: Mapping[str, Any]) -> str | None:
-        """Return what is wrong with an answer, or None."""
-        verdict = answer.get('verdict')
+    def find_fault(self, reply: Mapping[str, Any]) -> str | None:
+        """Return the fault of a reply to this task, or None."""
+        verdict = reply.get('verdict')
         if verdict != verdicts.Verdict.RAN.value:
-            code = answer.get('code') or answer.get('problem')
+            code = reply.get('code') or reply.get('problem')
             return f'{self.label}: verdict {verdict} ({code})'
-        if answer.get('status') != 200:
-            return f'{self.label}: status {answer.get("status")}'
-        return self.find_body_fault(str(answer.get('body_text', '')))
+        if reply.get('status') != 200:
+            return f'{self.label}: status {reply.get("status")}'
+        return self.find_body_fault(str(reply.get('body_text', '')))
 
-    def find_body_fault(self, text: str) -> str | None:
-        """Return what is wrong with an endpoint's body, or None."""
+    def find_body_fault(self, body_text: str) -> str | None:
+        """Return the fault of the body that an endpoint sent, or None."""
         try:
-            echo = json.loads(text)
+            echo = json.loads(body_text)
         except ValueError:
-            return f'{self.label}: body is not whole: {text!r}'
+            return f'{self.label}: body is not valid JSON: {body_text!r}'
         digest = hashlib.sha256(self.body.encode()).hexdigest()
         if (echo.get('task'), echo.get('body_sha256')) != (self.label, digest):
-            return f'{self.label}: answer of another task: {text!r}'
+            return f'{self.label}: response to another task: {body_text!r}'
         return None
 
 
@@ -76,15 +76,16 @@
 
 
 def find_job_fault(
-    tasks: tuple[Task, ...], answer: Mapping[str, Any]
+    tasks: tuple[Task, ...], reply: Mapping[str, Any]
 ) -> str | None:
-    """Return the first thing that is wrong with a job's answer, or None."""
-    state, answers = answer.get('state'), answer.get('tasks', ())
+    """Return the first fault of a reply to a job, or None."""
+    state, outcomes = reply.get('state'), reply.get('tasks', ())
     if state != 'complete':
-        return f'state {state} ({answer.get("code")})'
-    if len(answers) != len(tasks):
-        return f'{len(answers)} answers for {len(tasks)} tasks'
+        return f'state {state} ({reply.get("code")})'
+    if len(outcomes) != len(tasks):
+        return f'{len(outcomes)} outcomes for {len(tasks)} tasks'
     faults = (
-        task.find_fault(one) for task, one in zip(tasks, answers, strict=True)
+        task.find_fault(outcome)
+        for task, outcome in zip(tasks, outcomes, strict=True)
     )
     return next((fault for fault in faults if fault), None)
