--- a/sardineproxy/standin/row_store.py
+++ b/sardineproxy/standin/row_store.py
@@ -1,7 +1,7 @@
-"""The platform's table service as its callers see it.
+"""In-memory model of the platform's table service.
 
-Tables of rows with a version counter, conditional transactions and a feed of
-changes whose history ends.
+Holds tables of rows with revisions, and offers conditional transactions and a
+change feed whose history can be truncated.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Page:
-    """Rows as of one moment, and whether more follow."""
+    """Rows of one consistent read, and whether more follow."""
 
     rows: tuple[store.Row, ...]
     revision: int
@@ -23,27 +23,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """Present rows of the conditions, one of which did not hold."""
+    """Current rows of the conditions, at least one of which did not hold."""
 
     rows: tuple[store.Row, ...]
 
 
-#: Most conditions, writes and removals of a transaction together.
+#: Most conditions, writes and removals in one transaction.
 MAX_ENTRIES = 100
 
 #: Part and key of a row; the key starts with the table's name and a slash.
-_Place = tuple[str, str]
+_RowId = tuple[str, str]
 
 
 class RowStore:
-    """All tables, each in parts of any name."""
+    """All tables; parts of a table exist as soon as rows are written there."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.revision = 0
-        self._rows: dict[_Place, store.Row] = {}
-        self._log: list[store.Row] = []
-        self._forgotten = 0
+        self._rows: dict[_RowId, store.Row] = {}
+        self._changes: list[store.Row] = []
+        self._truncated_through = 0
 
     def transact(
         self,
@@ -55,14 +55,17 @@
         """Apply all changes if all conditions hold; return the revision."""
         entries = len(conditions) + len(writes) + len(removals)
         if entries > MAX_ENTRIES:
-            raise ValueError(f'{entries} entries in a transaction')
-        present = [self._rows.get((each.part, each.key)) for each in conditions]
-        held = all(
-            each.revision == _revision_of(row)
-            for each, row in zip(conditions, present)
+            raise ValueError(f'{entries} entries exceed the transaction limit')
+        current_rows = [
+            self._rows.get((condition.part, condition.key))
+            for condition in conditions
+        ]
+        conditions_hold = all(
+            condition.revision == _revision_of(row)
+            for condition, row in zip(conditions, current_rows)
         )
-        if not held:
-            return Conflict(rows=tuple(row for row in present if row))
+        if not conditions_hold:
+            return Conflict(rows=tuple(row for row in current_rows if row))
         self.revision += 1
         for write in writes:
             self._put(write.part, write.key, write.body)
@@ -74,13 +77,15 @@
         """Write or remove one row without a condition."""
         if body is None:
             removals = (store.Removal(key=key),)
-            done = self.transact(conditions=(), writes=(), removals=removals)
+            revision = self.transact(
+                conditions=(), writes=(), removals=removals
+            )
         else:
-            done = self.transact(
+            revision = self.transact(
                 conditions=(), writes=(store.Write(key=key, body=body),)
             )
-        assert isinstance(done, int)
-        return done
+        assert isinstance(revision, int)
+        return revision
 
     def read(
         self,
@@ -91,12 +96,15 @@
         end: str = '',
         limit: int = PAGE_ROWS,
     ) -> Page:
-        """Return rows of a part between two keys, in order of their keys."""
+        """Return rows of a part from ``start`` to ``end``, sorted by key.
+
+        ``start`` and ``end`` lack the table prefix; ``end`` is exclusive.
+        """
         prefix = f'{table}/'
         keys = sorted(
             key
-            for of_part, key in self._rows
-            if of_part == part
+            for row_part, key in self._rows
+            if row_part == part
             and key.startswith(prefix)
             and key >= f'{prefix}{start}'
             and (not end or key < f'{prefix}{end}')
@@ -108,27 +116,30 @@
         )
 
     def changes(self, table: str, *, after: int) -> Page | None:
-        """Return changed rows in order, None if history does not reach."""
-        if after < self._forgotten:
+        """Return rows changed after a revision, None if history is truncated.
+
+        Rows are sorted by revision.
+        """
+        if after < self._truncated_through:
             return None
         prefix = f'{table}/'
         newest = {
             row.key: row
-            for row in self._log
+            for row in self._changes
             if row.revision > after and row.key.startswith(prefix)
         }
         rows = sorted(newest.values(), key=_by_revision)[:PAGE_ROWS]
-        is_cut = len(newest) > PAGE_ROWS
+        has_more = len(newest) > PAGE_ROWS
         return Page(
             rows=tuple(rows),
-            revision=rows[-1].revision if is_cut else self.revision,
-            has_more=is_cut,
+            revision=rows[-1].revision if has_more else self.revision,
+            has_more=has_more,
         )
 
     def truncate_history(self) -> None:
-        """Drop all history up to now."""
-        self._forgotten = self.revision
-        self._log.clear()
+        """Remove the history of all changes made so far."""
+        self._truncated_through = self.revision
+        self._changes.clear()
 
     def get(self, key: str, *, part: str = '') -> store.Row | None:
         """Return a row."""
@@ -140,7 +151,7 @@
             self._rows[(part, key)] = row
         elif self._rows.pop((part, key), None) is None:
             return
-        self._log.append(row)
+        self._changes.append(row)
 
 
 def _by_revision(row: store.Row) -> tuple[int, str]:
--- a/sardineproxy/standin/run_checks.py
+++ b/sardineproxy/standin/run_checks.py
@@ -1,4 +1,4 @@
-"""Checks of what modelled workers ran against the promises for tasks."""
+"""Checks that the runs of modelled workers kept the guarantees for tasks."""
 
 import operator
 
@@ -9,58 +9,60 @@
 
 
 def find_overlapping_runs(records: list[worker_model.RunRecord]) -> list[str]:
-    """Return a sentence for each two runs of a task at the same time."""
-    found = []
+    """Return a sentence for each two overlapping runs of a task."""
+    violations = []
     by_task: dict[workers.TaskName, list[worker_model.RunRecord]] = {}
     for record in records:
         by_task.setdefault(record.task, []).append(record)
-    for task, of_task in by_task.items():
-        of_task.sort(key=operator.attrgetter('started_at'))
-        for first, second in zip(of_task, of_task[1:]):
+    for task, task_records in by_task.items():
+        task_records.sort(key=operator.attrgetter('started_at'))
+        for first, second in zip(task_records, task_records[1:]):
             if first.ended_at is None or second.started_at < first.ended_at:
-                found.append(
+                violations.append(
                     f'{task}: run {first.run} on {first.worker} and run '
                     f'{second.run} on {second.worker} at the same time'
                 )
-    return found
+    return violations
 
 
 def find_runs_after_success(records: list[worker_model.RunRecord]) -> list[str]:
-    """Return a sentence for each start of a task that had ended well.
+    """Return a sentence for each run that started after a success of its task.
 
-    An end counts if it was acknowledged at any time, unless the worker's lease
-    expired before.
+    A success counts if its result was ever acknowledged, unless the worker's
+    lease expired before that.
     """
-    done: dict[workers.TaskName, float] = {}
-    for each in _counted(records, workers.RunResult.DONE):
-        ended_at = _end_of(each)
-        done[each.task] = min(ended_at, done.get(each.task, ended_at))
+    succeeded_at: dict[workers.TaskName, float] = {}
+    for success in _acknowledged_runs(records, workers.RunResult.DONE):
+        ended_at = _end_time(success)
+        succeeded_at[success.task] = min(
+            ended_at, succeeded_at.get(success.task, ended_at)
+        )
     return [
         f'{record.task}: run {record.run} on {record.worker} started after '
-        f'it had ended well'
+        f'a run of it had succeeded'
         for record in records
-        if record.started_at > done.get(record.task, _NEVER)
+        if record.started_at > succeeded_at.get(record.task, _NEVER)
     ]
 
 
 def find_runs_after_max_failures(
-    records: list[worker_model.RunRecord], most: int
+    records: list[worker_model.RunRecord], max_failures: int
 ) -> list[str]:
-    """Return a sentence for each start after ``most`` failures of a task."""
+    """Return a sentence for each run after the last permitted failure."""
     failures: dict[workers.TaskName, list[float]] = {}
-    for each in _counted(records, workers.RunResult.FAILED):
-        failures.setdefault(each.task, []).append(_end_of(each))
+    for failure in _acknowledged_runs(records, workers.RunResult.FAILED):
+        failures.setdefault(failure.task, []).append(_end_time(failure))
     return [
-        f'{record.task}: run {record.run} started after {most} failures'
+        f'{record.task}: run {record.run} started after {max_failures} failures'
         for record in records
-        if _count_before(failures, record) >= most
+        if _count_earlier_failures(failures, record) >= max_failures
     ]
 
 
-def _counted(
+def _acknowledged_runs(
     records: list[worker_model.RunRecord], result: workers.RunResult
 ) -> list[worker_model.RunRecord]:
-    """Return the runs that ended so and whose end stands for good."""
+    """Return the runs with this result, acknowledged before lease expiry."""
     return [
         record
         for record in records
@@ -70,12 +72,13 @@
     ]
 
 
-def _count_before(
-    ends: dict[workers.TaskName, list[float]], record: worker_model.RunRecord
+def _count_earlier_failures(
+    failures: dict[workers.TaskName, list[float]],
+    record: worker_model.RunRecord,
 ) -> int:
-    of_task = ends.get(record.task, [])
-    return sum(ended_at < record.started_at for ended_at in of_task)
+    failed_at = failures.get(record.task, [])
+    return sum(ended_at < record.started_at for ended_at in failed_at)
 
 
-def _end_of(record: worker_model.RunRecord) -> float:
+def _end_time(record: worker_model.RunRecord) -> float:
     return _NEVER if record.ended_at is None else record.ended_at
