--- a/sardineproxy/process/shards/backlog.py
+++ b/sardineproxy/process/shards/backlog.py
@@ -9,7 +9,7 @@
 from sardineproxy.request import jobs
 
 #: Suggested retry delay after a refusal for lack of capacity, in seconds. Some
-#: of the longest typical tasks have ended by then.
+#: of the longest typical tasks have finished by then.
 NO_CAPACITY_RETRY_S = 1.0
 
 _LOG = logs.get_logger('cell')
@@ -43,7 +43,7 @@
         return len(self._batches)
 
     def get(self, key: runs.BatchKey) -> runs.Batch | None:
-        """Return a batch, None if there is none."""
+        """Return a batch, None if it does not exist."""
         return self._batches.get(key)
 
     def add(self, batch: runs.Batch) -> None:
@@ -76,7 +76,7 @@
         batch = self._batches.get(run.batch.key)
         if batch is not None and run.index in batch.tasks:
             task = batch.tasks[run.index]
-            task.number = max(task.number, run.number + 1)
+            task.next_run_number = max(task.next_run_number, run.number + 1)
 
     def requeue(self, run: runs.Run) -> None:
         """Return the task of a run that no longer exists to the queue."""
@@ -93,9 +93,9 @@
     def record_dropped_result(
         self, run: runs.Run, result: workers.RunResult
     ) -> None:
-        """Record the result of a run whose task was dropped before it ended."""
+        """Record the result of a run whose task was dropped."""
         _LOG.info(
-            'Run of a dropped task ended.',
+            'Run of a dropped task finished.',
             extra={
                 'job': run.batch.job,
                 'task': run.task,
@@ -104,7 +104,7 @@
             },
         )
         if result is workers.RunResult.DONE:
-            self._record(run.task, run.number, jobs.TaskResult.DONE)
+            self._record_result(run.task, run.number, jobs.TaskResult.DONE)
 
     # Batches.
 
@@ -118,15 +118,15 @@
         if batch.link is not None and batch.link is not source:
             for index, task in batch.tasks.items():
                 self.send_result(
-                    batch, index, task.number, jobs.TaskResult.REPLACED
+                    batch, index, task.next_run_number, jobs.TaskResult.REPLACED
                 )
         batch.link = source
-        for index, number in tasks.items():
+        for index, run_number in tasks.items():
             if index in batch.tasks:
                 continue
             recent_result = self._recent_results.find(batch.task_name(index))
-            if recent_result is None or number > recent_result.run:
-                batch.tasks[index] = runs.Task(number=number)
+            if recent_result is None or run_number > recent_result.run:
+                batch.tasks[index] = runs.Task(next_run_number=run_number)
             else:
                 self.send_result(
                     batch, index, recent_result.run, recent_result.result
@@ -137,7 +137,7 @@
     ) -> dict[int, int]:
         """Send the results of tasks already done; return the other tasks."""
         remaining: dict[int, int] = {}
-        for index, number in tasks.items():
+        for index, run_number in tasks.items():
             recent_result = self._recent_results.find(batch.task_name(index))
             if (
                 recent_result is not None
@@ -147,10 +147,10 @@
                     batch, index, recent_result.run, recent_result.result
                 )
             else:
-                remaining[index] = number
+                remaining[index] = run_number
         if len(remaining) < len(tasks):
             _LOG.info(
-                'Tasks already done are not repeated.',
+                'Tasks already done are not run again.',
                 extra={
                     'job': batch.job,
                     'step': batch.step,
@@ -169,7 +169,7 @@
         indices: list[int],
         *,
         cause: str,
-        other: str = '',
+        suggested_shard: str = '',
     ) -> None:
         """Notify the coordinator that tasks will not start in this shard."""
         for index in indices:
@@ -181,7 +181,7 @@
                 'job': batch.job,
                 'indices': indices,
                 'cause': cause,
-                'other': other,
+                'other': suggested_shard,
                 'age_s': round(self._clock.now() - batch.arrived_at, 4),
                 'batches': len(self._batches),
             },
@@ -194,7 +194,7 @@
                     job=batch.job,
                     step=batch.step,
                     indices=tuple(indices),
-                    suggested_shard=other,
+                    suggested_shard=suggested_shard,
                     cause=cause,
                     retry_after_s=NO_CAPACITY_RETRY_S,
                     stored=batch.stored,
@@ -226,11 +226,11 @@
         self,
         batch: runs.Batch,
         index: int,
-        number: int,
+        run_number: int,
         result: jobs.TaskResult,
     ) -> None:
         """Send a task's result to its coordinator, and record it."""
-        self._record(batch.task_name(index), number, result)
+        self._record_result(batch.task_name(index), run_number, result)
         if batch.link is not None:
             batch.link.send(
                 messages.RunEnded(
@@ -238,17 +238,17 @@
                     job=batch.job,
                     step=batch.step,
                     index=index,
-                    run=number,
+                    run=run_number,
                     result=result.value,
                     stored=batch.stored,
                 )
             )
 
-    def _record(
-        self, task: workers.TaskName, number: int, result: jobs.TaskResult
+    def _record_result(
+        self, task: workers.TaskName, run_number: int, result: jobs.TaskResult
     ) -> None:
         self._recent_results.add(
-            task, run=number, result=result, now=self._clock.now()
+            task, run=run_number, result=result, now=self._clock.now()
         )
 
     def _remove_if_empty(self, batch: runs.Batch) -> None:
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -85,7 +85,7 @@
         self._speed = speed
         self._clock_rate = clock_rate
         self._clock_start_ms = clock_start_ms
-        self._born_at = started_at
+        self._started_at = started_at
         self._fence = 0
         self._lease_end_ms = 0
         self._running: dict[workers.TaskName, _ActiveRun] = {}
@@ -101,7 +101,7 @@
 
     def clock_ms(self, now: float) -> int:
         """Return the time on the worker's clock."""
-        elapsed_s = (now - self._born_at) * self._clock_rate
+        elapsed_s = (now - self._started_at) * self._clock_rate
         return self._clock_start_ms + int(elapsed_s * _MS_PER_S)
 
     def set_capacity(self, millicores: int) -> None:
@@ -131,7 +131,7 @@
 
     def restart(self, now: float) -> None:
         """Start a new process with the same worker id."""
-        self._born_at = now
+        self._started_at = now
         self.is_up = True
         self.worker = dataclasses.replace(
             self.worker,
@@ -266,7 +266,7 @@
         if not self._running:
             return float('inf')
         elapsed_ms = self._lease_end_ms - self._clock_start_ms
-        return self._born_at + elapsed_ms / _MS_PER_S / self._clock_rate
+        return self._started_at + elapsed_ms / _MS_PER_S / self._clock_rate
 
     def _start_run(self, order: workers.Order, now: float) -> None:
         work = self._work_of(order.task, order.run)
