--- a/sardineproxy/standin/endpoint_core.py
+++ b/sardineproxy/standin/endpoint_core.py
@@ -1,8 +1,8 @@
-"""Run stand-in endpoints: HTTP back ends with slots and a record.
+"""Run stand-in endpoints: HTTP back ends that record the tasks they start.
 
 Control requests are served under ``/control/`` at each endpoint's port and
 under ``/control/NAME/`` at one control port, which stays usable while an
-endpoint's connections are used up.
+endpoint is at its connection limit.
 """
 
 import asyncio
@@ -18,13 +18,13 @@
 from sardineproxy.process import ready
 from sardineproxy.standin import endpoint_server
 
-#: Endpoints that one process serves at most.
+#: Limit of endpoints in one process.
 MAX_COUNT = 256
 BACKLOG = 1024
 
 
 def main(argv: list[str]) -> exit_status.ExitStatus:
-    """Serve endpoints until a signal to end arrives."""
+    """Serve endpoints until SIGTERM or SIGINT."""
     cfg = _define_flags()
     status = command_line.parse(cfg, argv, __doc__ or '')
     if status is not None:
@@ -62,10 +62,10 @@
         'count', 1, 'Endpoints to serve.', 1, MAX_COUNT, flag_values=cfg
     )
     flags.DEFINE_integer(
-        'slots', 8, 'Tasks that run at once.', 1, flag_values=cfg
+        'slots', 8, 'Limit of concurrent tasks.', 1, flag_values=cfg
     )
     flags.DEFINE_integer(
-        'connections', 64, 'Connections at once.', 1, flag_values=cfg
+        'connections', 64, 'Limit of open connections.', 1, flag_values=cfg
     )
     flags.DEFINE_float(
         'speed', 1.0, 'Divides the run time of tasks.', 0.001, flag_values=cfg
@@ -94,7 +94,7 @@
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
     endpoints = _build_endpoints(cfg, speeds)
-    numbers = await asyncio.gather(
+    port_numbers = await asyncio.gather(
         *(
             _listen(
                 endpoint_server.Server(
@@ -106,11 +106,11 @@
             for index, endpoint in enumerate(endpoints.values())
         )
     )
-    ports = dict(zip(endpoints, numbers))
-    control = web.Server(
-        functools.partial(_control, endpoints), access_log=None
+    ports = dict(zip(endpoints, port_numbers))
+    control_server = web.Server(
+        functools.partial(_handle_control, endpoints), access_log=None
     )
-    ports['control'] = await _listen(control, cfg.host, 0)
+    ports['control'] = await _listen(control_server, cfg.host, 0)
     ready.announce(ports)
     await stop.wait()
 
@@ -129,12 +129,12 @@
     }
 
 
-async def _control(
+async def _handle_control(
     endpoints: dict[str, endpoint_server.Endpoint], req: web.BaseRequest
 ) -> web.StreamResponse:
     parts = req.path.split('/')
     if len(parts) == 4 and parts[2] in endpoints:
-        return await endpoint_server.control(endpoints[parts[2]], req)
+        return await endpoint_server.handle_control(endpoints[parts[2]], req)
     return web.json_response({'error': 'no such endpoint'}, status=404)
 
 
--- a/sardineproxy/standin/endpoint_modes.py
+++ b/sardineproxy/standin/endpoint_modes.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in endpoint can be told to show."""
+"""Fault modes of a stand-in endpoint."""
 
 import enum
 from typing import Annotated
@@ -7,32 +7,32 @@
 
 
 class Mode(enum.Enum):
-    """How an endpoint treats tasks."""
+    """Treatment of tasks by an endpoint."""
 
     NORMAL = 'normal'
 
-    #: Start every task and answer 500 at once.
+    #: Record the start of every task and respond with 500 at once.
     FAIL = 'fail'
 
-    #: Answer 503 and start nothing.
+    #: Respond with 503 and start nothing.
     REFUSE = 'refuse'
 
-    #: Start the task and never answer.
+    #: Run the task and never respond.
     SILENT = 'silent'
 
-    #: Run the task, send half of the answer and reset the connection.
+    #: Run the task, send half of the response body and reset the connection.
     CUT = 'cut'
 
-    #: Run the task and close in order after half of the declared length.
+    #: Run the task, send half of the declared length and close normally.
     SHORT = 'short'
 
-    #: Run the task and answer ``delay_ms`` later.
+    #: Run the task and respond ``delay_ms`` later.
     DELAY = 'delay'
 
-    #: Announce and close the connection after each answer.
+    #: Send ``Connection: close`` and close after each response.
     CLOSE = 'close'
 
-    #: Close the connection after each answer without a notice.
+    #: Close after each response without ``Connection: close``.
     CLOSE_IDLE = 'close_idle'
 
 
@@ -43,7 +43,7 @@
 
     mode: Mode = Mode.NORMAL
 
-    #: Milliseconds by which ``delay`` holds answers back.
+    #: Delay of responses in the mode ``delay``.
     delay_ms: Annotated[
         float, pydantic.Field(ge=0, le=600_000, allow_inf_nan=False)
     ] = 0
--- a/sardineproxy/standin/endpoint_record.py
+++ b/sardineproxy/standin/endpoint_record.py
@@ -5,14 +5,14 @@
 import json
 from typing import AsyncIterator
 
-#: Starts that are kept; further starts are only counted.
+#: Starts that are stored; further ones are only counted.
 MAX_STARTS = 1_000_000
 LINES_PER_CHUNK = 200
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Start:
-    """One start of a task; times are monotonic seconds."""
+    """Start of a task; times are monotonic seconds."""
 
     task: str
     arrival: float
@@ -21,12 +21,12 @@
     #: None while the task runs.
     end: float | None = None
 
-    #: Tasks that ran just after this one started, with this one.
+    #: Running tasks just after this start, including this one.
     running: int = 0
 
 
 class Record:
-    """Starts in the order in which they happened, and their extremes."""
+    """Starts in order of time, with counts and the highest concurrency."""
 
     def __init__(self) -> None:
         """Start with an empty record."""
@@ -35,8 +35,8 @@
         self.running = 0
         self.most_running = 0
 
-    def begin(self, *, task: str, arrival: float, now: float) -> Start:
-        """Record that a task starts."""
+    def record_start(self, *, task: str, arrival: float, now: float) -> Start:
+        """Add the start of a task."""
         self.running += 1
         self.most_running = max(self.most_running, self.running)
         start = Start(
@@ -47,23 +47,23 @@
             self._starts.append(start)
         return start
 
-    def finish(self, start: Start, *, now: float) -> None:
-        """Record that a task ended."""
+    def record_end(self, start: Start, *, now: float) -> None:
+        """Set the end time of a task."""
         self.running -= 1
         start.end = now
 
     def count(self, name: str) -> None:
-        """Count an event that is no start."""
+        """Count an event other than a start."""
         self._counts[name] += 1
 
     def clear(self) -> None:
-        """Forget the past; running tasks still count as running."""
+        """Clear starts and counts; running tasks still count as running."""
         self._starts = []
         self._counts.clear()
         self.most_running = self.running
 
     def summary(self) -> dict[str, int]:
-        """Return the counts and the highest number of tasks at once."""
+        """Return the counts and the highest number of concurrent tasks."""
         return {
             'started': 0,
             'refused': 0,
@@ -74,13 +74,15 @@
         }
 
     async def stream(self) -> AsyncIterator[bytes]:
-        """Return a summary line, then one JSON line for each start."""
-        yield _line({'summary': self.summary()})
+        """Yield a summary line, then one JSON line for each start."""
+        yield _encode_line({'summary': self.summary()})
         starts = self._starts.copy()
         for first in range(0, len(starts), LINES_PER_CHUNK):
             chunk = starts[first : first + LINES_PER_CHUNK]
-            yield b''.join(_line(dataclasses.asdict(start)) for start in chunk)
+            yield b''.join(
+                _encode_line(dataclasses.asdict(start)) for start in chunk
+            )
 
 
-def _line(document: dict[str, object]) -> bytes:
+def _encode_line(document: dict[str, object]) -> bytes:
     return f'{json.dumps(document)}\n'.encode()
--- a/sardineproxy/standin/endpoint_reset.py
+++ b/sardineproxy/standin/endpoint_reset.py
@@ -1,15 +1,15 @@
-"""End a connection with a reset instead of an orderly close."""
+"""Reset of a TCP connection."""
 
 import asyncio
 import socket
 import struct
 
-#: ``struct linger`` that makes a close discard data and send a reset.
+#: ``struct linger`` with which close discards unsent data and sends a reset.
 _NO_LINGER = struct.pack('ii', 1, 0)
 
 
 def reset(transport: asyncio.BaseTransport | None) -> None:
-    """Reset the connection; one that is lost already is left alone."""
+    """Reset the connection unless it is closed or closing."""
     if not isinstance(transport, asyncio.Transport) or transport.is_closing():
         return
     transport.get_extra_info('socket').setsockopt(
--- a/sardineproxy/standin/endpoint_server.py
+++ b/sardineproxy/standin/endpoint_server.py
@@ -1,4 +1,4 @@
-"""Plain HTTP/1.1 back end with slots, a queue and a record of its starts."""
+"""HTTP/1.1 back end with slots, a queue and a record of its starts."""
 
 import asyncio
 import hashlib
@@ -15,17 +15,17 @@
     endpoint_reset,
 )
 
-#: Longest run time that a request may ask for, in milliseconds.
+#: Upper limit of the X-Run-Ms header.
 MAX_RUN_MS = 600_000
 MILLISECONDS_PER_SECOND = 1000
 
-#: Idle connections stay open for an hour unless a mode closes them.
+#: Long, so that only a fault mode closes idle connections.
 KEEPALIVE_S = 3600
 CHUNK_BYTES = 65_536
 
 
 class Endpoint:
-    """One back end: tasks beyond its slots wait, first come first served."""
+    """One back end; tasks beyond its slots wait in FIFO order."""
 
     def __init__(
         self, *, clock: clocks.Clock, name: str, slots: int, speed: float
@@ -40,20 +40,20 @@
         self.setting = endpoint_modes.Setting()
 
     def set_mode(self, setting: endpoint_modes.Setting) -> None:
-        """Change the mode; requests held by ``silent`` are reset."""
+        """Change the mode; reset the connections that ``silent`` blocks."""
         self.setting = setting
         self._mode_changed.set()
         self._mode_changed = asyncio.Event()
 
     async def handle(self, req: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request, a task or a control request."""
+        """Handle a task or a control request."""
         if req.path.startswith('/control/'):
-            return await control(self, req)
+            return await handle_control(self, req)
         arrival = self._clock.now()
         run_s = _run_seconds(req) / self._speed
         if run_s < 0:
             return web.Response(status=400, text='X-Run-Ms is not valid\n')
-        digest = await _digest(req)
+        digest = await _compute_digest(req)
         if self.setting.mode is endpoint_modes.Mode.REFUSE:
             self.record.count('refused')
             return web.json_response(
@@ -63,36 +63,36 @@
             )
         task = req.headers.get('X-Task', '')
         status = await self._run(task, arrival, run_s)
-        return await self._answer(req, status, self._render(task, digest))
+        return await self._respond(req, status, self._render_body(task, digest))
 
     async def _run(self, task: str, arrival: float, run_s: float) -> int:
         if self.setting.mode is endpoint_modes.Mode.FAIL:
-            self._begin_and_finish(task, arrival)
+            self._record_instant_run(task, arrival)
             return 500
         async with self._slots:
-            start = self.record.begin(
+            start = self.record.record_start(
                 task=task, arrival=arrival, now=self._clock.now()
             )
             try:
                 await asyncio.sleep(run_s)
             finally:
-                self.record.finish(start, now=self._clock.now())
+                self.record.record_end(start, now=self._clock.now())
         return 200
 
-    def _begin_and_finish(self, task: str, arrival: float) -> None:
+    def _record_instant_run(self, task: str, arrival: float) -> None:
         now = self._clock.now()
-        start = self.record.begin(task=task, arrival=arrival, now=now)
-        self.record.finish(start, now=now)
+        start = self.record.record_start(task=task, arrival=arrival, now=now)
+        self.record.record_end(start, now=now)
 
-    def _render(self, task: str, digest: str) -> bytes:
+    def _render_body(self, task: str, digest: str) -> bytes:
         return json.dumps(
             {'task': task, 'body_sha256': digest, 'endpoint': self.name}
         ).encode()
 
-    async def _answer(
+    async def _respond(
         self, req: web.BaseRequest, status: int, body: bytes
     ) -> web.StreamResponse:
-        reply = web.StreamResponse(
+        response = web.StreamResponse(
             status=status,
             headers={
                 'Content-Type': 'application/json',
@@ -100,41 +100,41 @@
                 'X-Endpoint': self.name,
             },
         )
-        reply.content_length = len(body)
+        response.content_length = len(body)
         match self.setting.mode:
             case endpoint_modes.Mode.SILENT:
                 await self._mode_changed.wait()
                 endpoint_reset.reset(req.transport)
-                return reply
+                return response
             case endpoint_modes.Mode.DELAY:
                 await asyncio.sleep(
                     self.setting.delay_ms / MILLISECONDS_PER_SECOND
                 )
             case endpoint_modes.Mode.CLOSE:
-                reply.force_close()
-        return await self._send(req, reply, body)
+                response.force_close()
+        return await self._send(req, response, body)
 
     async def _send(
-        self, req: web.BaseRequest, reply: web.StreamResponse, body: bytes
+        self, req: web.BaseRequest, response: web.StreamResponse, body: bytes
     ) -> web.StreamResponse:
-        await reply.prepare(req)
+        await response.prepare(req)
         mode = self.setting.mode
         if mode in {endpoint_modes.Mode.CUT, endpoint_modes.Mode.SHORT}:
-            await reply.write(body[: len(body) // 2])
+            await response.write(body[: len(body) // 2])
             if mode is endpoint_modes.Mode.CUT:
                 endpoint_reset.reset(req.transport)
             else:
-                _close(req)
-            return reply
-        await reply.write(body)
-        await reply.write_eof()
+                _close_connection(req)
+            return response
+        await response.write(body)
+        await response.write_eof()
         if mode is endpoint_modes.Mode.CLOSE_IDLE:
-            _close(req)
-        return reply
+            _close_connection(req)
+        return response
 
 
 class Server(web.Server):
-    """Resets each connection that exceeds the endpoint's bound."""
+    """Server that resets connections beyond the endpoint's limit."""
 
     def __init__(self, *, endpoint: Endpoint, connections: int) -> None:
         """Serve ``endpoint``."""
@@ -142,31 +142,31 @@
             endpoint.handle, access_log=None, keepalive_timeout=KEEPALIVE_S
         )
         self._endpoint = endpoint
-        self._bound = connections
+        self._max_connections = connections
 
     def connection_made(
         self,
         handler: web_protocol.RequestHandler,
         transport: asyncio.Transport,
     ) -> None:
-        """Add a connection, or reset it."""
+        """Accept a connection, or reset it if it exceeds the limit."""
         super().connection_made(handler, transport)
-        if self._open_connections() > self._bound:
+        if self._open_connections() > self._max_connections:
             self._endpoint.record.count('refused_connections')
             endpoint_reset.reset(transport)
 
     def _open_connections(self) -> int:
-        # A lost connection stays in the mapping while its task runs.
+        # aiohttp keeps a lost connection in the mapping while its task runs.
         return sum(
             not transport.is_closing()
             for transport in self._connections.values()
         )
 
 
-async def control(
+async def handle_control(
     endpoint: Endpoint, req: web.BaseRequest
 ) -> web.StreamResponse:
-    """Answer ``record`` (GET, DELETE) and ``mode`` (GET, POST)."""
+    """Handle ``record`` (GET, DELETE) and ``mode`` (GET, POST)."""
     match (req.method, req.path.rsplit('/', 1)[-1]):
         case ('GET', 'record'):
             return web.Response(
@@ -199,7 +199,7 @@
 
 
 def _run_seconds(req: web.BaseRequest) -> float:
-    """Return the seconds of ``X-Run-Ms``, or -1 if it is not valid."""
+    """Return the run time of ``X-Run-Ms``, or -1 if it is invalid."""
     try:
         run_ms = float(req.headers.get('X-Run-Ms', '0'))
     except ValueError:
@@ -209,13 +209,13 @@
     return -1
 
 
-async def _digest(req: web.BaseRequest) -> str:
+async def _compute_digest(req: web.BaseRequest) -> str:
     digest = hashlib.sha256()
     async for chunk in req.content.iter_chunked(CHUNK_BYTES):
         digest.update(chunk)
     return digest.hexdigest()
 
 
-def _close(req: web.BaseRequest) -> None:
+def _close_connection(req: web.BaseRequest) -> None:
     if req.transport is not None:
         req.transport.close()
--- a/sardineproxy/standin/platform_control.py
+++ b/sardineproxy/standin/platform_control.py
@@ -9,7 +9,7 @@
 from sardineproxy.process import listing
 from sardineproxy.standin import platform_faults, platform_server
 
-#: Longest lag of the VM list, in seconds.
+#: Upper limit of the lag of the VM list.
 MAX_LAG_S = 3600
 
 
@@ -43,62 +43,70 @@
     vms: list[dict[str, Any]]
 
 
-_Act = Callable[[Any], dict[str, Any]]
+_Action = Callable[[Any], dict[str, Any]]
 
 
 class Control:
-    """Sets the faults and the VM list of a server."""
+    """Handlers of control requests."""
 
     def __init__(self, *, server: platform_server.PlatformServer) -> None:
-        """Control ``server``."""
+        """Set the faults and the VM list of ``server``."""
         self._server = server
 
     def add_routes(self, app: web.Application) -> None:
         """Add the control routes to ``app``."""
         app.add_routes(
             [
-                web.post('/control/down', self._checked(self._down)),
-                web.post('/control/slow', self._checked(self._slow)),
-                web.post('/control/stale-reads', self._checked(self._stale)),
-                web.post('/control/list-lag', self._checked(self._lag)),
-                web.post('/control/lose-answers', self._checked(self._lose)),
-                web.post('/control/vms', self._checked(self._vms)),
-                web.get('/control/state', self._state),
+                web.post('/control/down', self._make_handler(self._set_down)),
+                web.post('/control/slow', self._make_handler(self._set_slow)),
+                web.post(
+                    '/control/stale-reads',
+                    self._make_handler(self._set_stale_reads),
+                ),
+                web.post(
+                    '/control/list-lag', self._make_handler(self._set_list_lag)
+                ),
+                web.post(
+                    '/control/lose-answers',
+                    self._make_handler(self._set_lose_answers),
+                ),
+                web.post('/control/vms', self._make_handler(self._set_vms)),
+                web.get('/control/state', self._get_state),
             ]
         )
 
-    def _checked(
-        self, act: _Act
+    def _make_handler(
+        self, action: _Action
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
-        return functools.partial(_handle, act)
+        return functools.partial(_run_action, action)
 
-    def _down(self, document: Any) -> dict[str, Any]:
+    def _set_down(self, document: Any) -> dict[str, Any]:
         self._server.faults.down = _Down.model_validate(document).down
         return {}
 
-    def _slow(self, document: Any) -> dict[str, Any]:
+    def _set_slow(self, document: Any) -> dict[str, Any]:
         self._server.faults.slow_ms = _Slow.model_validate(document).ms
         return {}
 
-    def _stale(self, document: Any) -> dict[str, Any]:
+    def _set_stale_reads(self, document: Any) -> dict[str, Any]:
         is_stale = _StaleReads.model_validate(document).stale
         table = self._server.store.table
         self._server.faults.stale_table = table.copy() if is_stale else None
         return {}
 
-    def _lag(self, document: Any) -> dict[str, Any]:
+    def _set_list_lag(self, document: Any) -> dict[str, Any]:
         lag = _ListLag.model_validate(document)
         self._server.faults.list_lag_s = lag.seconds
         return {}
 
-    def _lose(self, document: Any) -> dict[str, Any]:
+    def _set_lose_answers(self, document: Any) -> dict[str, Any]:
         lose = _LoseAnswers.model_validate(document)
         self._server.faults.lose_answers = lose.writes
         return {}
 
-    def _vms(self, document: Any) -> dict[str, Any]:
-        members = _Vms.model_validate(document).vms
-        vm_list = listing.from_document({'revision': 0, 'vms': members})
+    def _set_vms(self, document: Any) -> dict[str, Any]:
+        vm_documents = _Vms.model_validate(document).vms
+        vm_list = listing.from_document({'revision': 0, 'vms': vm_documents})
         if vm_list.is_err():
             raise ValueError(vm_list.unwrap_err())
         revision = self._server.store.set_vms(
@@ -106,7 +114,7 @@
         )
         return {'revision': revision}
 
-    async def _state(self, req: web.Request) -> web.Response:
+    async def _get_state(self, req: web.Request) -> web.Response:
         faults = self._server.faults
         return web.json_response(
             {
@@ -123,9 +131,9 @@
         )
 
 
-async def _handle(act: _Act, req: web.Request) -> web.Response:
+async def _run_action(action: _Action, req: web.Request) -> web.Response:
     try:
-        answer = act(await platform_server.read_json(req))
+        document = action(await platform_server.read_json(req))
     except ValueError as exc:
         return web.Response(status=400, text=str(exc))
-    return web.json_response(answer)
+    return web.json_response(document)
--- a/sardineproxy/standin/platform_faults.py
+++ b/sardineproxy/standin/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the stand-in platform is told to show, and its rate limits."""
+"""Configurable faults and rate limits of the stand-in platform."""
 
 import dataclasses
 
@@ -10,39 +10,39 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Faults:
-    """What the platform does wrong at present."""
+    """Faults that are active now."""
 
-    #: Answer everything with 503.
+    #: Respond with 503 to all requests.
     down: bool = False
 
-    #: Wait before each request is carried out, in milliseconds.
+    #: Delay of each request.
     slow_ms: float = 0
 
-    #: Age of the VM list in answers, in seconds.
+    #: Age of the VM list in responses.
     list_lag_s: float = 0
 
-    #: Writes still to come whose answer is lost after they took effect.
+    #: Number of further writes that take effect without a response.
     lose_answers: int = 0
 
-    #: Rows that plain reads see, if they are told to be stale.
+    #: Rows that reads return unless they are strict; None if not stale.
     stale_table: platform_store.Table | None = None
 
 
 class RateLimit:
-    """Token bucket that holds at most one second of requests."""
+    """Token bucket with a capacity of one second of requests."""
 
     def __init__(self, *, per_s: float) -> None:
-        """Start full."""
+        """Start with a full bucket."""
         self._per_s = per_s
         self._tokens = max(per_s, 1)
-        self._filled_at: float | None = None
-
-    def take(self, *, now: float) -> bool:
-        """Take one token, or return False if there is none."""
-        if self._filled_at is not None:
-            gained = (now - self._filled_at) * self._per_s
-            self._tokens = min(self._tokens + gained, max(self._per_s, 1))
-        self._filled_at = now
+        self._refilled_at: float | None = None
+
+    def try_acquire(self, *, now: float) -> bool:
+        """Remove one token; return False if there is none."""
+        if self._refilled_at is not None:
+            refill = (now - self._refilled_at) * self._per_s
+            self._tokens = min(self._tokens + refill, max(self._per_s, 1))
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/sardineproxy/standin/platform_server.py
+++ b/sardineproxy/standin/platform_server.py
@@ -15,7 +15,7 @@
 from sardineproxy.process import listing, platform, store
 from sardineproxy.standin import platform_faults, platform_store
 
-#: Largest request, in bytes. Base64 makes a row a third longer.
+#: Limit of a request body; base64 makes a row a third larger.
 MAX_REQUEST_BYTES = 25_165_824
 
 MAX_ROWS_IN_TRANSACTION = 64
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Limits:
-    """Requests a second over which the answer is 429."""
+    """Rate limits; requests beyond them get status 429."""
 
     writes_per_s: float = 300
     reads_per_s: float = 2000
@@ -59,10 +59,10 @@
 
 
 class PlatformServer:
-    """Answers requests from its store, with the faults it is told to show."""
+    """Handlers of the platform's services, with configurable faults."""
 
     def __init__(self, *, clock: clock.Clock, limits: Limits) -> None:
-        """Start empty and without faults."""
+        """Start with an empty store and without faults."""
         self.store = platform_store.Store()
         self.faults = platform_faults.Faults()
         self.counts: collections.Counter[str] = collections.Counter()
@@ -71,7 +71,7 @@
         self._reads = platform_faults.RateLimit(per_s=limits.reads_per_s)
 
     def application(self) -> web.Application:
-        """Return the application with the services' routes."""
+        """Return the application with the routes of the services."""
         app = web.Application(client_max_size=MAX_REQUEST_BYTES)
         app.add_routes(
             [
@@ -85,7 +85,7 @@
         return app
 
     def now(self) -> float:
-        """Return the server's monotonic seconds."""
+        """Return the server's monotonic time in seconds."""
         return self._clock.now()
 
     def _read(self, handler: Handler) -> Handler:
@@ -106,12 +106,12 @@
         refusal = await self._admit(self._writes, 'writes')
         if refusal:
             return refusal
-        reply = await handler(req)
-        if reply.status < 300 and self.faults.lose_answers:
+        response = await handler(req)
+        if response.status < 300 and self.faults.lose_answers:
             self.faults.lose_answers -= 1
             self.counts['lost_answers'] += 1
             _close_connection(req)
-        return reply
+        return response
 
     async def _admit(
         self, limit: platform_faults.RateLimit, kind: str
@@ -119,7 +119,7 @@
         if self.faults.down:
             self.counts['refused_down'] += 1
             return web.Response(status=503, text='down')
-        if not limit.take(now=self.now()):
+        if not limit.try_acquire(now=self.now()):
             self.counts[f'refused_{kind}'] += 1
             return web.Response(status=429, text=f'too many {kind}')
         self.counts[kind] += 1
@@ -138,7 +138,7 @@
         return web.json_response(
             {
                 'rows': [_row_fields(row) for row in page.rows],
-                'more': page.more,
+                'more': page.has_more,
             }
         )
 
@@ -151,13 +151,13 @@
             store.Write(key=write.key, body=write.body_base64)
             for write in model.writes
         )
-        refusal = self._check_room([len(write.body) for write in writes])
+        refusal = self._check_size([len(write.body) for write in writes])
         if refusal:
             return refusal
         conflict = self.store.transact(
             tuple(
-                store.Condition(key=member.key, revision=member.revision)
-                for member in model.conditions
+                store.Condition(key=condition.key, revision=condition.revision)
+                for condition in model.conditions
             ),
             writes,
         )
@@ -179,7 +179,7 @@
         body = await req.read()
         if len(body) > platform_store.MAX_OBJECT_BYTES:
             return web.Response(status=413, text='object is too large')
-        if not self.store.has_room(len(body)):
+        if not self.store.has_capacity(len(body)):
             return web.Response(status=507, text='store is full')
         self.store.put_object(name, body)
         return web.Response(status=204)
@@ -189,16 +189,16 @@
         tag = f'"{vm_list.revision}"'
         if req.headers.get('If-None-Match') == tag:
             return web.Response(status=304)
-        reply = web.json_response(
+        response = web.json_response(
             listing.to_document(vm_list), headers={'ETag': tag}
         )
-        reply.enable_compression()
-        return reply
+        response.enable_compression()
+        return response
 
-    def _check_room(self, sizes: list[int]) -> web.Response | None:
+    def _check_size(self, sizes: list[int]) -> web.Response | None:
         if max(sizes) > platform_store.MAX_ROW_BYTES:
             return web.Response(status=413, text='row is too large')
-        if not self.store.has_room(sum(sizes)):
+        if not self.store.has_capacity(sum(sizes)):
             return web.Response(status=507, text='store is full')
         return None
 
@@ -207,9 +207,9 @@
 async def serving(
     app: web.Application, *, host: str, port: int
 ) -> AsyncIterator[int]:
-    """Serve ``app`` inside the context; yields the port in use."""
-    # The wait for requests in progress is short: a test that ends while the
-    # platform is slow does not wait for it.
+    """Serve ``app`` within the context; yield the port."""
+    # A short shutdown timeout, so that a test that ends while the platform is
+    # slow does not wait for delayed requests.
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     try:
--- a/sardineproxy/standin/platform_store.py
+++ b/sardineproxy/standin/platform_store.py
@@ -1,4 +1,4 @@
-"""State of the stand-in platform: tables, objects, and the list of VMs."""
+"""State of the stand-in platform: rows, objects and the list of VMs."""
 
 import bisect
 import collections
@@ -13,28 +13,28 @@
 MAX_OBJECT_BYTES = 16_777_216
 MAX_ENTRIES = 200_000
 
-#: Most bytes of all rows and objects together.
+#: Limit of all rows and objects together.
 MAX_TOTAL_BYTES = 268_435_456
 
-#: A page of rows ends with the row that reaches this size.
+#: A page ends with the row with which it reaches this size.
 PAGE_BYTES = 1_048_576
 
-#: Older lists are kept only as long as a lag can ask for them.
+#: Former VM lists that are stored for requests with a list lag.
 MAX_LISTS = 1000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Page:
-    """Rows in the order of their keys."""
+    """Rows sorted by key."""
 
     rows: tuple[platform.Row, ...]
 
-    #: Whether rows with greater keys were left out.
-    more: bool
+    #: Whether rows with greater keys follow.
+    has_more: bool
 
 
 class Table:
-    """Rows by key, with their keys in order."""
+    """Rows by key, with a sorted list of the keys."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -46,50 +46,50 @@
         return len(self._rows)
 
     def copy(self) -> 'Table':
-        """Return a table that later writes do not change."""
+        """Return a copy that later writes do not change."""
         other = Table()
         other._rows = dict(self._rows)
         other._keys = list(self._keys)
         return other
 
     def get(self, key: str) -> platform.Row:
-        """Return the row, of revision 0 if it does not exist."""
+        """Return the row, with revision 0 if it does not exist."""
         return self._rows.get(key, platform.Row(key=key, revision=0, body=b''))
 
     def put(self, key: str, body: bytes) -> None:
         """Write one row."""
-        old = self.get(key)
-        if not old.revision:
+        current = self.get(key)
+        if not current.revision:
             bisect.insort(self._keys, key)
         self._rows[key] = platform.Row(
-            key=key, revision=old.revision + 1, body=body
+            key=key, revision=current.revision + 1, body=body
         )
 
     def page(self, prefix: str, after: str) -> Page:
-        """Return a page of rows with ``prefix`` and keys over ``after``."""
+        """Return a page of rows with ``prefix`` and keys above ``after``."""
         rows: list[platform.Row] = []
         size = 0
-        for key in self._matching(prefix, after):
+        for key in self._iterate_keys(prefix, after):
             if size >= PAGE_BYTES:
-                return Page(rows=tuple(rows), more=True)
+                return Page(rows=tuple(rows), has_more=True)
             row = self._rows[key]
             rows.append(row)
             size += len(row.body) + len(key)
-        return Page(rows=tuple(rows), more=False)
+        return Page(rows=tuple(rows), has_more=False)
 
-    def _matching(self, prefix: str, after: str) -> Iterator[str]:
+    def _iterate_keys(self, prefix: str, after: str) -> Iterator[str]:
         start = max(
             bisect.bisect_left(self._keys, prefix),
             bisect.bisect_right(self._keys, after),
         )
-        following = itertools.islice(self._keys, start, None)
+        remaining_keys = itertools.islice(self._keys, start, None)
         return itertools.takewhile(
-            lambda key: key.startswith(prefix), following
+            lambda key: key.startswith(prefix), remaining_keys
         )
 
 
 class Store:
-    """Everything that the platform keeps."""
+    """Complete state of the platform."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -114,8 +114,8 @@
                     f'not {condition.revision}'
                 )
         for write in writes:
-            old = self.table.get(write.key)
-            self._total_bytes += len(write.body) - len(old.body)
+            current = self.table.get(write.key)
+            self._total_bytes += len(write.body) - len(current.body)
             self.table.put(write.key, write.body)
         return None
 
@@ -124,8 +124,8 @@
         self._total_bytes += len(body) - len(self.objects.get(name, b''))
         self.objects[name] = body
 
-    def has_room(self, added_bytes: int) -> bool:
-        """Tell whether that many more bytes stay within the bounds."""
+    def has_capacity(self, added_bytes: int) -> bool:
+        """Return whether a new entry of this size stays within the limits."""
         entries = len(self.table) + len(self.objects)
         return (
             entries < MAX_ENTRIES
@@ -144,9 +144,9 @@
             return platform.VmList(revision=0, vms=())
         return self._lists[-1][1]
 
-    def list_at(self, moment: float) -> platform.VmList:
-        """Return the list as it was at ``moment``, as far as it is kept."""
+    def list_at(self, time: float) -> platform.VmList:
+        """Return the list in force at ``time``, empty if none is stored."""
         for since, vm_list in reversed(self._lists):
-            if since <= moment:
+            if since <= time:
                 return vm_list
         return platform.VmList(revision=0, vms=())
--- a/sardineproxy/standin/platform_thread.py
+++ b/sardineproxy/standin/platform_thread.py
@@ -13,12 +13,12 @@
 
 HOST = '127.0.0.1'
 
-#: Longest wait for the thread or an answer, in seconds.
+#: Longest wait for the thread or a response.
 TIMEOUT_S = 60
 
 
 class RunningPlatform:
-    """Address and control of a platform that runs in a thread."""
+    """Address and control client of a platform that runs in a thread."""
 
     def __init__(self, *, port: int) -> None:
         """Control the platform at ``port``."""
@@ -26,21 +26,23 @@
         self.port = port
 
     def control(self, name: str, document: dict[str, Any]) -> dict[str, Any]:
-        """POST to ``/control/NAME`` and return the answer."""
-        return self._ask('POST', f'/control/{name}', json.dumps(document))
+        """POST to ``/control/NAME`` and return the response."""
+        return self._request('POST', f'/control/{name}', json.dumps(document))
 
     def state(self) -> dict[str, Any]:
-        """Return the answer of ``/control/state``."""
-        return self._ask('GET', '/control/state', None)
+        """Return the response of ``/control/state``."""
+        return self._request('GET', '/control/state', None)
 
-    def _ask(self, method: str, path: str, body: str | None) -> dict[str, Any]:
+    def _request(
+        self, method: str, path: str, body: str | None
+    ) -> dict[str, Any]:
         conn = client.HTTPConnection(self.host, self.port, timeout=TIMEOUT_S)
         with contextlib.closing(conn):
             conn.request(method, path, body=body)
-            reply = conn.getresponse()
-            text = reply.read().decode()
-        if reply.status != 200:
-            raise ValueError(f'{path} answered {reply.status}: {text}')
+            response = conn.getresponse()
+            text = response.read().decode()
+        if response.status != 200:
+            raise ValueError(f'{path} returned {response.status}: {text}')
         return json.loads(text)
 
 
@@ -48,19 +50,19 @@
 def running(
     *, limits: platform_server.Limits | None = None
 ) -> Iterator[RunningPlatform]:
-    """Run a platform inside the context."""
-    opened: futures.Future[int] = futures.Future()
-    stopped = asyncio.Event()
+    """Run a platform within the context."""
+    port_opened: futures.Future[int] = futures.Future()
+    stop = asyncio.Event()
     loop = asyncio.new_event_loop()
-    serving = _serve(limits or platform_server.Limits(), opened, stopped)
+    serving = _serve(limits or platform_server.Limits(), port_opened, stop)
     thread = threading.Thread(
         target=_run_loop, args=(loop, serving), daemon=True
     )
     thread.start()
     try:
-        yield RunningPlatform(port=opened.result(TIMEOUT_S))
+        yield RunningPlatform(port=port_opened.result(TIMEOUT_S))
     finally:
-        loop.call_soon_threadsafe(stopped.set)
+        loop.call_soon_threadsafe(stop.set)
         thread.join(TIMEOUT_S)
 
 
@@ -73,8 +75,8 @@
 
 async def _serve(
     limits: platform_server.Limits,
-    opened: 'futures.Future[int]',
-    stopped: asyncio.Event,
+    port_opened: 'futures.Future[int]',
+    stop: asyncio.Event,
 ) -> None:
     server = platform_server.PlatformServer(
         clock=clock.SystemClock(), limits=limits
@@ -82,5 +84,5 @@
     app = server.application()
     platform_control.Control(server=server).add_routes(app)
     async with platform_server.serving(app, host=HOST, port=0) as port:
-        opened.set_result(port)
-        await stopped.wait()
+        port_opened.set_result(port)
+        await stop.wait()
--- a/sardineproxy/standin/relay_core.py
+++ b/sardineproxy/standin/relay_core.py
@@ -1,4 +1,4 @@
-"""Run stand-in relays: TCP connections that can be cut or silenced.
+"""Run stand-in relays: TCP proxies that simulate network faults.
 
 Control requests: ``POST /control/mode`` changes all relays of the process and
 ``POST /control/NAME/mode`` one of them; ``GET /control/state`` returns counts.
@@ -25,7 +25,7 @@
 
 
 def main(argv: list[str]) -> exit_status.ExitStatus:
-    """Relay connections until a signal to end arrives."""
+    """Relay connections until SIGTERM or SIGINT."""
     cfg = _define_flags()
     status = command_line.parse(cfg, argv, __doc__ or '')
     if status is not None:
@@ -74,15 +74,15 @@
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
     relays = _build_relays(targets)
-    numbers = await asyncio.gather(
+    port_numbers = await asyncio.gather(
         *(
             relay.listen(cfg.host, 0 if index else cfg.port)
             for index, relay in enumerate(relays.values())
         )
     )
-    ports = dict(zip(relays, numbers))
+    ports = dict(zip(relays, port_numbers))
     control = await loop.create_server(
-        web.Server(functools.partial(_control, relays), access_log=None),
+        web.Server(functools.partial(_handle_control, relays), access_log=None),
         cfg.host,
         0,
     )
@@ -101,7 +101,7 @@
     }
 
 
-async def _control(relays: Relays, req: web.BaseRequest) -> web.Response:
+async def _handle_control(relays: Relays, req: web.BaseRequest) -> web.Response:
     match (req.method, req.path.split('/')):
         case ('GET', ['', 'control', 'state']):
             return web.json_response(
--- a/sardineproxy/standin/relay_link.py
+++ b/sardineproxy/standin/relay_link.py
@@ -1,4 +1,4 @@
-"""One relayed connection: two pumps that obey the present mode."""
+"""One relayed connection, with one pump for each direction."""
 
 import asyncio
 import contextlib
@@ -7,44 +7,44 @@
 
 CHUNK_BYTES = 65_536
 
-#: Chunks that one direction holds before it stops reading.
-MAX_HELD_CHUNKS = 64
+#: Chunks that one direction queues before it stops reading.
+MAX_QUEUED_CHUNKS = 64
 MILLISECONDS_PER_SECOND = 1000
 
 
 class _Pump:
-    """Forwards one direction in order, each chunk when it is due."""
+    """Forwards one direction in order, each chunk after the set delay."""
 
     def __init__(
         self,
         *,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        side: relay_modes.Side,
+        destination: relay_modes.Side,
     ) -> None:
-        """Forward from ``reader`` to ``writer``, which leads to ``side``."""
+        """Forward from ``reader`` to ``writer`` on the ``destination`` side."""
         self._reader = reader
         self._writer = writer
-        self._side = side
-        self._held: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(
-            MAX_HELD_CHUNKS
+        self._destination = destination
+        self._queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(
+            MAX_QUEUED_CHUNKS
         )
-        self._changed = asyncio.Event()
+        self._setting_changed = asyncio.Event()
         self._setting = relay_modes.Setting()
-        self._ended = False
+        self._eof_sent = False
         self.forwarded_bytes = 0
 
     def apply(self, setting: relay_modes.Setting) -> None:
-        """Obey a new setting from now on."""
+        """Apply a new setting to all later traffic."""
         self._setting = setting
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._setting_changed.set()
+        self._setting_changed = asyncio.Event()
         if setting.mode is relay_modes.Mode.HALF_CLOSE:
-            if setting.towards is self._side:
-                self._end()
+            if setting.towards is self._destination:
+                self._send_eof()
 
     async def run(self) -> None:
-        """Forward until the end of the direction; raise on a reset."""
+        """Forward until end of file; raise ``OSError`` on a reset."""
         await asyncio.gather(self._read(), self._write())
 
     async def _read(self) -> None:
@@ -53,36 +53,36 @@
         while chunk:
             chunk = await self._reader.read(CHUNK_BYTES)
             delay_s = self._setting.delay_ms / MILLISECONDS_PER_SECOND
-            await self._held.put((loop.time() + delay_s, chunk))
+            await self._queue.put((loop.time() + delay_s, chunk))
 
     async def _write(self) -> None:
         loop = asyncio.get_running_loop()
         chunk = b'\n'
         while chunk:
-            due, chunk = await self._held.get()
-            await asyncio.sleep(due - loop.time())
+            due_at, chunk = await self._queue.get()
+            await asyncio.sleep(due_at - loop.time())
             while self._setting.mode is relay_modes.Mode.SILENT:
-                await self._changed.wait()
+                await self._setting_changed.wait()
             await self._forward(chunk)
 
     async def _forward(self, chunk: bytes) -> None:
-        if self._ended:
+        if self._eof_sent:
             return
         if not chunk:
-            self._end()
+            self._send_eof()
             return
         self._writer.write(chunk)
         self.forwarded_bytes += len(chunk)
         await self._writer.drain()
 
-    def _end(self) -> None:
-        self._ended = True
+    def _send_eof(self) -> None:
+        self._eof_sent = True
         with contextlib.suppress(OSError):
             self._writer.write_eof()
 
 
 class Link:
-    """A client's connection and the one that was made for it."""
+    """A client connection and its connection to the target."""
 
     def __init__(
         self,
@@ -97,23 +97,23 @@
             _Pump(
                 reader=client[0],
                 writer=target[1],
-                side=relay_modes.Side.TARGET,
+                destination=relay_modes.Side.TARGET,
             ),
             _Pump(
                 reader=target[0],
                 writer=client[1],
-                side=relay_modes.Side.CLIENT,
+                destination=relay_modes.Side.CLIENT,
             ),
         )
         self.apply(setting)
 
     @property
     def forwarded_bytes(self) -> int:
-        """Return the bytes that were forwarded both ways."""
+        """Return the bytes that were forwarded in both directions."""
         return sum(pump.forwarded_bytes for pump in self._pumps)
 
     def apply(self, setting: relay_modes.Setting) -> None:
-        """Obey a new setting from now on."""
+        """Apply a new setting to all later traffic."""
         for pump in self._pumps:
             pump.apply(setting)
         if setting.mode is relay_modes.Mode.CUT:
@@ -125,7 +125,7 @@
             endpoint_reset.reset(writer.transport)
 
     async def run(self) -> None:
-        """Relay until both directions ended or one side is reset."""
+        """Relay until both directions end or one side is reset."""
         pumps = [asyncio.create_task(pump.run()) for pump in self._pumps]
         try:
             await asyncio.gather(*pumps)
--- a/sardineproxy/standin/relay_modes.py
+++ b/sardineproxy/standin/relay_modes.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in relay can be told to show."""
+"""Fault modes of a stand-in relay."""
 
 import enum
 from typing import Annotated
@@ -7,20 +7,20 @@
 
 
 class Mode(enum.Enum):
-    """How a relay treats connections."""
+    """Treatment of connections by a relay."""
 
     PASS = 'pass'
 
     #: Reset open connections, and new ones as soon as they are accepted.
     CUT = 'cut'
 
-    #: Accept, and forward no byte and no end until the mode changes.
+    #: Accept, but forward neither data nor end of file until the mode changes.
     SILENT = 'silent'
 
-    #: Forward every byte ``delay_ms`` later, each way.
+    #: Forward every byte ``delay_ms`` later, in both directions.
     DELAY = 'delay'
 
-    #: Send an end towards one side, and still pass what that side sends.
+    #: Send end of file to one side; still forward what that side sends.
     HALF_CLOSE = 'half_close'
 
 
@@ -29,7 +29,7 @@
 
     ALL = 'all'
 
-    #: Connections that are open now; later ones keep the present mode.
+    #: Connections that are open now; later ones keep the former setting.
     OPEN = 'open'
 
 
@@ -48,10 +48,10 @@
     mode: Mode = Mode.PASS
     scope: Scope = Scope.ALL
 
-    #: Milliseconds by which ``delay`` holds bytes back.
+    #: Delay of data in the mode ``delay``.
     delay_ms: Annotated[
         float, pydantic.Field(ge=0, le=600_000, allow_inf_nan=False)
     ] = 0
 
-    #: Side that ``half_close`` sends an end to.
+    #: Side that receives end of file in the mode ``half_close``.
     towards: Side = Side.CLIENT
--- a/sardineproxy/standin/relay_server.py
+++ b/sardineproxy/standin/relay_server.py
@@ -1,12 +1,12 @@
-"""Relay of TCP connections to one IP number and port."""
+"""Relay of TCP connections to one target address."""
 
 import asyncio
 import contextlib
 
 from sardineproxy.standin import endpoint_reset, relay_link, relay_modes
 
-#: Longest wait for a connection to the target, in seconds.
-CONNECT_LIMIT_S = 10
+#: Time limit for a connection to the target.
+CONNECT_TIMEOUT_S = 10
 
 BACKLOG = 1024
 
@@ -24,21 +24,21 @@
         self._forwarded_bytes = 0
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept connections; return the port in use."""
+        """Start to accept connections; return the port."""
         server = await asyncio.start_server(
             self._serve, host, port, backlog=BACKLOG
         )
         return server.sockets[0].getsockname()[1]
 
     def apply(self, setting: relay_modes.Setting) -> None:
-        """Change open connections and, unless scoped, later ones."""
+        """Apply a setting to open connections and, per its scope, later ones."""
         if setting.scope is relay_modes.Scope.ALL:
             self._setting = setting
         for link in self._links.copy():
             link.apply(setting)
 
     def dump(self) -> dict[str, object]:
-        """Return the present setting and counts."""
+        """Return the current setting and counts."""
         open_bytes = sum(link.forwarded_bytes for link in self._links)
         return {
             'setting': self._setting.model_dump(mode='json'),
@@ -57,7 +57,7 @@
         try:
             target = await asyncio.wait_for(
                 asyncio.open_connection(self._host, self._port),
-                CONNECT_LIMIT_S,
+                CONNECT_TIMEOUT_S,
             )
         except (OSError, TimeoutError):
             endpoint_reset.reset(writer.transport)
--- a/tests/standin/test_endpoint.py
+++ b/tests/standin/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoints, started as real processes."""
+"""Tests of stand-in endpoints that run as real processes."""
 
 import asyncio
 import hashlib
@@ -10,7 +10,9 @@
 
 from sardineproxy.demo import deployment, parts
 
-URN = parts.EndpointSpec(name='urn', zone='sondrio')
+ENDPOINT = parts.EndpointSpec(name='urn', zone='sondrio')
+
+#: Mode, response status (None if the connection breaks), recorded starts.
 FAULTS = (
     ('fail', 500, 1),
     ('refuse', 503, 0),
@@ -34,80 +36,88 @@
 
 
 class EndpointTest(testtools.TestCase):
-    """The record and the faults are what the other tests rely on."""
+    """Guards against wrong records and faults, on which other tests rely."""
 
     def test_queue_is_first_come_and_bounded_by_slots(self) -> None:
-        """Guards against records that hide an over-filled endpoint."""
+        """Guards against records that hide more tasks than slots."""
         summary, starts, replies = asyncio.run(_run_five_on_one_slot())
         self.assertThat(summary['most_running'], matchers.Equals(1))
         self.assertThat(len(starts), matchers.Equals(5))
         arrivals = [start['arrival'] for start in starts]
         self.assertThat(arrivals, matchers.Equals(sorted(arrivals)))
-        for before, after in zip(starts, starts[1:]):
-            self.assertTrue(before['end'] <= after['start'])
+        for earlier, later in zip(starts, starts[1:]):
+            self.assertTrue(earlier['end'] <= later['start'])
         digest = hashlib.sha256(b'b').hexdigest()
         for number, (status, answer) in enumerate(replies):
             expected = {'task': f't{number}', 'body_sha256': digest}
             self.assertThat(status, matchers.Equals(200))
-            self.assertThat(answer, matchers.ContainsDict(_equal(expected)))
+            self.assertThat(
+                answer, matchers.ContainsDict(_match_values(expected))
+            )
 
     def test_faults(self) -> None:
-        """Guards against a fault mode that starts or answers wrongly."""
-        seen = asyncio.run(_try_faults())
-        self.assertThat(seen, matchers.Equals(list(FAULTS)))
+        """Guards against a mode that sends or records something else."""
+        results = asyncio.run(_run_fault_modes())
+        self.assertThat(results, matchers.Equals(list(FAULTS)))
 
     def test_silent_until_mode_changes(self) -> None:
-        """Guards against a silent endpoint that answers or hides its start."""
-        was_done, status = asyncio.run(_hold_one_request())
-        self.assertFalse(was_done)
+        """Guards against a silent endpoint that responds or records no start.
+
+        The blocked request fails with a reset when the mode changes.
+        """
+        was_answered, status = asyncio.run(_run_silent_request())
+        self.assertFalse(was_answered)
         self.assertIsNone(status)
 
     def test_connections_are_bounded(self) -> None:
-        """Guards against an endpoint that takes more than its connections."""
-        summary = asyncio.run(_overflow_connections())
+        """Guards against connections beyond the endpoint's limit."""
+        summary = asyncio.run(_exceed_connection_limit())
         self.assertThat(summary['refused_connections'], matchers.GreaterThan(0))
         self.assertThat(summary['most_running'], matchers.LessThan(3))
 
 
-def _equal(expected: dict[str, Any]) -> dict[str, Any]:
-    return {key: matchers.Equals(found) for key, found in expected.items()}
+def _match_values(expected: dict[str, Any]) -> dict[str, Any]:
+    return {
+        key: matchers.Equals(expected_value)
+        for key, expected_value in expected.items()
+    }
 
 
 async def _run_five_on_one_slot() -> Any:
     async with deployment.Deployment() as dep:
-        await dep.start_endpoints([URN], slots=1)
+        await dep.start_endpoints([ENDPOINT], slots=1)
         replies = await asyncio.gather(
             *(_post(dep, f't{number}', run_ms=20) for number in range(5))
         )
         return *await dep.read_record('urn'), replies
 
 
-async def _try_faults() -> list[tuple[str, int | None, int]]:
-    seen = []
+async def _run_fault_modes() -> list[tuple[str, int | None, int]]:
+    results = []
     async with deployment.Deployment() as dep:
-        await dep.start_endpoints([URN])
+        await dep.start_endpoints([ENDPOINT])
         for mode, _, _ in FAULTS:
             await dep.set_endpoint_mode('urn', mode)
             status, _ = await _post(dep, 'x')
             summary, _ = await dep.read_record('urn', clear=True)
-            seen.append((mode, status, summary['started']))
-    return seen
+            results.append((mode, status, summary['started']))
+    return results
 
 
-async def _hold_one_request() -> tuple[bool, int | None]:
+async def _run_silent_request() -> tuple[bool, int | None]:
     async with deployment.Deployment() as dep:
-        await dep.start_endpoints([URN])
+        await dep.start_endpoints([ENDPOINT])
         await dep.set_endpoint_mode('urn', 'silent')
-        held = asyncio.create_task(_post(dep, 'x'))
+        pending_request = asyncio.create_task(_post(dep, 'x'))
         while not (await dep.read_record('urn'))[1]:
             await asyncio.sleep(0.01)
-        was_done = held.done()
+        was_answered = pending_request.done()
         await dep.set_endpoint_mode('urn', 'normal')
-        return was_done, (await held)[0]
+        return was_answered, (await pending_request)[0]
 
 
-async def _overflow_connections() -> dict[str, int]:
+async def _exceed_connection_limit() -> dict[str, int]:
     async with deployment.Deployment() as dep:
-        await dep.start_endpoints([URN], connections=2)
+        await dep.start_endpoints([ENDPOINT], connections=2)
         await asyncio.gather(*(_post(dep, 'x', run_ms=300) for _ in range(6)))
         return (await dep.read_record('urn'))[0]
--- a/tests/standin/test_platform.py
+++ b/tests/standin/test_platform.py
@@ -1,4 +1,4 @@
-"""The stand-in platform shows the faults that it is told to show."""
+"""Tests of the stand-in platform: storage, rate limits and faults."""
 
 import contextlib
 import json
@@ -25,31 +25,37 @@
 
 
 class StoreTest(testtools.TestCase):
-    """Rows and lists are found as they were written."""
+    """Lists are found by time, and the size limit applies."""
 
-    def test_finds_the_list_of_a_moment(self):
+    def test_returns_the_list_in_force_at_a_time(self):
         store = platform_store.Store()
         for now in (10, 20):
             store.set_vms((), now=now)
-        revisions = [store.list_at(moment).revision for moment in (9, 10, 25)]
+        revisions = [store.list_at(time).revision for time in (9, 10, 25)]
         self.assertThat(revisions, matchers.Equals([0, 1, 2]))
 
-    def test_has_no_room_beyond_its_bounds(self):
+    def test_has_no_capacity_beyond_its_limit(self):
         store = platform_store.Store()
         store.put_object('a', bytes(1000))
-        left = platform_store.MAX_TOTAL_BYTES - 1000
-        rooms = store.has_room(left), store.has_room(left + 1)
-        self.assertThat(rooms, matchers.Equals((True, False)))
+        remaining = platform_store.MAX_TOTAL_BYTES - 1000
+        results = (
+            store.has_capacity(remaining),
+            store.has_capacity(remaining + 1),
+        )
+        self.assertThat(results, matchers.Equals((True, False)))
 
 
 class RateLimitTest(testtools.TestCase):
-    """Requests over the rate are refused until time passes."""
+    """The bucket refuses requests above the rate."""
 
     def test_refills_with_time(self):
         limit = platform_faults.RateLimit(per_s=2)
-        taken = [limit.take(now=now) for now in (0, 0, 0, 0.5, 0.5, 60, 60, 60)]
+        results = [
+            limit.try_acquire(now=now)
+            for now in (0, 0, 0, 0.5, 0.5, 60, 60, 60)
+        ]
         self.assertThat(
-            taken,
+            results,
             matchers.Equals(
                 [True, True, False, True, False, True, True, False]
             ),
@@ -57,16 +63,16 @@
 
 
 class ServerTest(testtools.TestCase):
-    """Faults show in the answers, and only as long as they are set."""
+    """Responses show the faults, and only as long as they are set."""
 
-    def test_answers_429_over_its_rates(self):
-        async def act(client):
+    def test_responds_with_429_above_its_rates(self):
+        async def send_requests(client):
             writes = [await client.put_object('a', b'') for _ in range(4)]
             return writes, await client.read_rows('')
 
         limits = platform_server.Limits(writes_per_s=0.01, reads_per_s=2000)
         with platform_thread.running(limits=limits) as running:
-            writes, read = samples.with_client(running, act)
+            writes, read = samples.with_client(running, send_requests)
             counts = running.state()['counts']
         self.assertThat(
             [outcome.is_ok() for outcome in writes],
@@ -76,12 +82,12 @@
         self.assertThat(counts['refused_writes'], matchers.Equals(3))
 
     @samples.with_platform
-    async def test_loses_only_answers_of_writes_that_took_effect(self, client):
+    async def test_drops_only_responses_of_committed_writes(self, client):
         self.platform.control('lose-answers', {'writes': 2})
-        never = store.Condition(key='a', revision=9)
+        unsatisfied = store.Condition(key='a', revision=9)
         outcomes = [
             await client.transact(conditions=conditions, writes=(write('a'),))
-            for conditions in ((never,), (), (), ())
+            for conditions in ((unsatisfied,), (), (), ())
         ]
         kinds = [
             outcome.err() and outcome.err().kind.value for outcome in outcomes
@@ -93,7 +99,7 @@
         self.assertThat(rows[0].revision, matchers.Equals(3))
 
     @samples.with_platform
-    async def test_refuses_requests_over_its_bounds(self, client):
+    async def test_refuses_transactions_above_its_limits(self, client):
         large = bytes(platform_store.MAX_ROW_BYTES + 1)
         for writes in (
             (),
@@ -102,18 +108,18 @@
             (write('a', large),),
             (write('a'),) * 65,
         ):
-            refused = await client.transact(conditions=(), writes=writes)
+            outcome = await client.transact(conditions=(), writes=writes)
             self.assertThat(
-                refused.unwrap_err().kind,
+                outcome.unwrap_err().kind,
                 matchers.Is(store.ErrorKind.INVALID),
             )
         self.assertThat(self.platform.state()['rows'], matchers.Equals(0))
 
 
 class ProgramTest(testtools.TestCase):
-    """The program tells its port and ends when it is asked to."""
+    """The program prints its port and exits on SIGTERM."""
 
-    def test_announces_its_port_and_ends_on_sigterm(self):
+    def test_announces_its_port_and_exits_on_sigterm(self):
         command = [sys.executable, '-m', 'sardineproxy', 'standin-platform']
         with subprocess.Popen(command, stdout=subprocess.PIPE) as child:
             with contextlib.ExitStack() as stack:
--- a/tests/standin/test_relay.py
+++ b/tests/standin/test_relay.py
@@ -1,4 +1,4 @@
-"""The stand-in relay, started as a real process, before an echo server."""
+"""Tests of the stand-in relay, as a real process before an echo server."""
 
 import asyncio
 import json
@@ -11,10 +11,10 @@
 from sardineproxy.demo import child, deployment, parts
 
 DELAY_MS = 100
-LIMIT_S = 30
+TIMEOUT_S = 30
 
 
-class _Bench:
+class _EchoRelay:
     """An echo server behind a relay."""
 
     def __init__(self, dep: deployment.Deployment, relay: child.Child) -> None:
@@ -28,9 +28,9 @@
             parts.HOST, self._relay.ports['relay']
         )
 
-    async def set_mode(self, mode: str, **more: object) -> None:
+    async def set_mode(self, mode: str, **extra: object) -> None:
         await self._dep.request(
-            'POST', self._url('mode'), {'mode': mode, **more}
+            'POST', self._url('mode'), {'mode': mode, **extra}
         )
 
     async def wait_until(self, **expected: int) -> None:
@@ -55,7 +55,7 @@
     writer.close()
 
 
-def _run(scenario: Callable[[_Bench], Awaitable[None]]) -> None:
+def _run_scenario(scenario: Callable[[_EchoRelay], Awaitable[None]]) -> None:
     async def run() -> None:
         server = await asyncio.start_server(_echo, parts.HOST, 0)
         port = server.sockets[0].getsockname()[1]
@@ -63,13 +63,13 @@
             relay = await dep.start_program(
                 'standin-relay', f'--target={parts.HOST}:{port}'
             )
-            async with asyncio.timeout(LIMIT_S):
-                await scenario(_Bench(dep, relay))
+            async with asyncio.timeout(TIMEOUT_S):
+                await scenario(_EchoRelay(dep, relay))
 
     asyncio.run(run())
 
 
-async def _exchange(
+async def _send_and_receive(
     conn: tuple[asyncio.StreamReader, asyncio.StreamWriter],
 ) -> bytes:
     conn[1].write(b'ab')
@@ -77,55 +77,59 @@
 
 
 class RelayTest(testtools.TestCase):
-    """Guards against network faults that tests believe in but do not get."""
-
-    def test_silence_holds_open_connections_only(self) -> None:
-        async def scenario(bench: _Bench) -> None:
-            silent = await bench.connect()
-            self.assertThat(await _exchange(silent), matchers.Equals(b'ab'))
-            await bench.set_mode('silent', scope='open')
-            held = asyncio.create_task(_exchange(silent))
-            fresh = await bench.connect()
-            self.assertThat(await _exchange(fresh), matchers.Equals(b'ab'))
-            self.assertFalse(held.done())
-            await bench.set_mode('pass')
-            self.assertThat(await held, matchers.Equals(b'ab'))
-
-        _run(scenario)
+    """Guards against simulated network faults that do not take effect."""
+
+    def test_scope_open_silences_only_open_connections(self) -> None:
+        async def scenario(echo_relay: _EchoRelay) -> None:
+            silent = await echo_relay.connect()
+            self.assertThat(
+                await _send_and_receive(silent), matchers.Equals(b'ab')
+            )
+            await echo_relay.set_mode('silent', scope='open')
+            pending = asyncio.create_task(_send_and_receive(silent))
+            new = await echo_relay.connect()
+            self.assertThat(
+                await _send_and_receive(new), matchers.Equals(b'ab')
+            )
+            self.assertFalse(pending.done())
+            await echo_relay.set_mode('pass')
+            self.assertThat(await pending, matchers.Equals(b'ab'))
+
+        _run_scenario(scenario)
 
     def test_cut_resets_open_and_new_connections(self) -> None:
-        async def scenario(bench: _Bench) -> None:
-            reader, writer = await bench.connect()
-            await _exchange((reader, writer))
-            await bench.set_mode('cut')
+        async def scenario(echo_relay: _EchoRelay) -> None:
+            reader, writer = await echo_relay.connect()
+            await _send_and_receive((reader, writer))
+            await echo_relay.set_mode('cut')
             with testtools.ExpectedException(ConnectionResetError):
                 await reader.read(1)
             # The reset of a new connection may arrive during the connect.
             with testtools.ExpectedException(ConnectionResetError):
-                fresh, _ = await bench.connect()
-                await fresh.read(1)
-            await bench.wait_until(open=0)
-
-        _run(scenario)
-
-    def test_delay_each_way(self) -> None:
-        async def scenario(bench: _Bench) -> None:
-            await bench.set_mode('delay', delay_ms=DELAY_MS)
-            conn = await bench.connect()
-            began = time.monotonic()
-            await _exchange(conn)
-            took_ms = (time.monotonic() - began) * 1000
+                new, _ = await echo_relay.connect()
+                await new.read(1)
+            await echo_relay.wait_until(open=0)
+
+        _run_scenario(scenario)
+
+    def test_delay_applies_to_both_directions(self) -> None:
+        async def scenario(echo_relay: _EchoRelay) -> None:
+            await echo_relay.set_mode('delay', delay_ms=DELAY_MS)
+            conn = await echo_relay.connect()
+            started_at = time.monotonic()
+            await _send_and_receive(conn)
+            took_ms = (time.monotonic() - started_at) * 1000
             self.assertThat(took_ms, matchers.GreaterThan(2 * DELAY_MS - 5))
 
-        _run(scenario)
+        _run_scenario(scenario)
 
     def test_half_close_ends_one_direction(self) -> None:
-        async def scenario(bench: _Bench) -> None:
-            reader, writer = await bench.connect()
-            await _exchange((reader, writer))
-            await bench.set_mode('half_close', towards='client')
+        async def scenario(echo_relay: _EchoRelay) -> None:
+            reader, writer = await echo_relay.connect()
+            await _send_and_receive((reader, writer))
+            await echo_relay.set_mode('half_close', towards='client')
             self.assertThat(await reader.read(1), matchers.Equals(b''))
             writer.write(b'still passed')
-            await bench.wait_until(open=1, forwarded_bytes=4 + 12)
+            await echo_relay.wait_until(open=1, forwarded_bytes=4 + 12)
 
-        _run(scenario)
+        _run_scenario(scenario)
