--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -1,4 +1,4 @@
-"""Steps that the scenarios share."""
+"""Fixture and steps that all scenarios share."""
 
 import signal
 from typing import Any, Iterator
@@ -13,18 +13,21 @@
 
 @pytest.fixture
 def world() -> Iterator[worlds.World]:
-    """Run a scenario; at its end the checker reads the endpoints' records."""
+    """Provide the state of a scenario; check its replies at the end."""
     scenario_world = worlds.World()
     try:
         yield scenario_world
-        check(scenario_world.run(scenario_world.check()), matchers.Equals([]))
+        assert_matches(
+            scenario_world.run(scenario_world.find_contradictions()),
+            matchers.Equals([]),
+        )
     finally:
         scenario_world.close()
 
 
-def check(found: Any, matcher: Any) -> None:
-    """Fail with the matcher's description unless it matches."""
-    testtools.TestCase('__init__').assertThat(found, matcher)
+def assert_matches(actual: Any, matcher: Any) -> None:
+    """Fail with the matcher's description unless ``actual`` matches."""
+    testtools.TestCase('__init__').assertThat(actual, matcher)
 
 
 @given(
@@ -57,21 +60,21 @@
 
 
 @when(parsers.parse('{count:d} lookups of {run_ms:d} ms are sent to entry-1'))
-def send_in_turn(world: worlds.World, count: int, run_ms: int) -> None:
+def send_lookups(world: worlds.World, count: int, run_ms: int) -> None:
     async def send() -> None:
         for number in range(count):
             label = f'lookup-{number}'
             await world.submit(label, 'entry-1', kind='lookup', run_ms=run_ms)
-            await world.last_reply(label)
+            await world.wait_for_reply(label)
 
     world.run(send())
 
 
 @when('every lookup has run')
-def check_lookups(world: worlds.World) -> None:
+def check_all_lookups_ran(world: worlds.World) -> None:
     for label in world.submissions:
-        reply = world.run(world.last_reply(label))
-        check(reply.document.get('verdict'), matchers.Equals('ran'))
+        reply = world.run(world.wait_for_reply(label))
+        assert_matches(reply.document.get('verdict'), matchers.Equals('ran'))
 
 
 @when(parsers.parse('"{label}" is sent again to {entry}'))
@@ -82,12 +85,12 @@
     world.run(send())
 
 
-@when(parsers.parse('{count:d} tasks of "{label}" have started'))
+@when(parsers.parse('at least {count:d} tasks of "{label}" have started'))
 def wait_for_starts(world: worlds.World, count: int, label: str) -> None:
-    async def holds() -> bool:
-        return await world.started(label) >= count
+    async def condition() -> bool:
+        return await world.count_started_tasks(label) >= count
 
-    world.run(world.until(holds))
+    world.run(world.wait_until(condition))
 
 
 @when(parsers.re(r'(?P<entry>entry-\d+) is (?P<action>[a-z ]+)'))
@@ -106,49 +109,59 @@
             raise ValueError(f'no such action: {action}')
 
 
-@when(parsers.parse('the endpoint {endpoint} shows the fault {mode}'))
+@when(parsers.parse('the endpoint {endpoint} has the fault mode {mode}'))
 def set_mode(world: worlds.World, endpoint: str, mode: str) -> None:
     world.run(world.deployment.set_endpoint_mode(endpoint, mode))
 
 
-@when(parsers.parse('every endpoint shows the fault {mode}'))
+@when(parsers.parse('every endpoint has the fault mode {mode}'))
 def set_all_modes(world: worlds.World, mode: str) -> None:
     for endpoint in world.deployment.endpoints:
         set_mode(world, endpoint, mode)
 
 
-@then(parsers.parse('"{label}" is answered with {status:d} and {verdict}'))
-def check_verdict(
+@then(
+    parsers.parse(
+        'the reply to "{label}" has status {status:d} and verdict {verdict}'
+    )
+)
+def check_reply(
     world: worlds.World, label: str, status: int, verdict: str
 ) -> None:
-    reply = world.run(world.last_reply(label))
-    check(
+    reply = world.run(world.wait_for_reply(label))
+    assert_matches(
         (reply.status, reply.document.get('verdict')),
         matchers.Equals((status, verdict)),
     )
 
 
-@then(parsers.parse('"{label}" is complete with {count:d} answers'))
+@then(parsers.parse('"{label}" is complete and all {count:d} tasks ran'))
 def check_complete(world: worlds.World, label: str, count: int) -> None:
-    reply = world.run(world.last_reply(label))
-    check(reply.document.get('state'), matchers.Equals('complete'))
-    ran = [task['verdict'] for task in reply.document['tasks']]
-    check(ran, matchers.Equals(['ran'] * count))
+    reply = world.run(world.wait_for_reply(label))
+    assert_matches(reply.document.get('state'), matchers.Equals('complete'))
+    verdicts = [task['verdict'] for task in reply.document['tasks']]
+    assert_matches(verdicts, matchers.Equals(['ran'] * count))
 
 
-@then(parsers.parse('"{label}" is marked failed with {count:d} verdicts'))
+@then(parsers.parse('"{label}" has failed and has {count:d} verdicts'))
 def check_failed(world: worlds.World, label: str, count: int) -> None:
-    reply = world.run(world.last_reply(label))
-    check(reply.document.get('state'), matchers.Equals('failed'))
-    check(reply.document['tasks'], matchers.HasLength(count))
+    reply = world.run(world.wait_for_reply(label))
+    assert_matches(reply.document.get('state'), matchers.Equals('failed'))
+    assert_matches(reply.document['tasks'], matchers.HasLength(count))
 
 
-@then(parsers.parse('{count:d} tasks of "{label}" have started in all'))
-def check_started(world: worlds.World, count: int, label: str) -> None:
-    check(world.run(world.started(label)), matchers.Equals(count))
+@then(parsers.parse('exactly {count:d} tasks of "{label}" have started'))
+def check_start_count(world: worlds.World, count: int, label: str) -> None:
+    assert_matches(
+        world.run(world.count_started_tasks(label)), matchers.Equals(count)
+    )
 
 
-@then(parsers.parse('asking {entry} about "{label}" gives {verdict} each time'))
+@then(
+    parsers.parse(
+        'repeated status queries for "{label}" at {entry} return {verdict}'
+    )
+)
 def check_status(
     world: worlds.World, entry: str, label: str, verdict: str
 ) -> None:
@@ -156,4 +169,4 @@
     path = f'{submission.path}/{submission.key}'
     for _ in range(2):
         reply = world.run(world.call(entry, 'GET', path))
-        check(reply.document.get('verdict'), matchers.Equals(verdict))
+        assert_matches(reply.document.get('verdict'), matchers.Equals(verdict))
--- a/tests/scenarios/features/back_ends.feature
+++ b/tests/scenarios/features/back_ends.feature
@@ -1,44 +1,44 @@
-Feature: Endpoints and entry VMs that die or freeze, alone and together
+Feature: Endpoints, entry VMs and the platform that crash or freeze
 
-  Scenario: A killed endpoint leaves its tasks at "may have run", the job failed
+  Scenario: Tasks at a killed endpoint get the verdict "may have run" and fail their job
     Given a zone with 1 entry VMs and 2 endpoints
     When a job "cuts" of 40 tasks of 500 ms is sent to entry-1
-    And 12 tasks of "cuts" have started
+    And at least 12 tasks of "cuts" have started
     And the process of endpoint-1 is killed
-    Then "cuts" is marked failed with 40 verdicts
+    Then "cuts" has failed and has 40 verdicts
     And some tasks of "cuts" have the verdict may_have_run
 
-  Scenario: A frozen endpoint gives a time-out, and nothing starts again after it
+  Scenario: A request that times out at a frozen endpoint is not started again
     Given a zone with 1 entry VMs and 1 endpoints
     When the process of endpoint-1 is frozen
     And a stamping "stamp" of 50 ms with a deadline of 1500 ms is sent to entry-1
-    Then "stamp" is answered with 504 and may_have_run
+    Then the reply to "stamp" has status 504 and verdict may_have_run
     When the process of endpoint-1 is resumed
-    Then asking entry-1 about "stamp" gives may_have_run each time
+    Then repeated status queries for "stamp" at entry-1 return may_have_run
 
-  Scenario: An entry VM killed during an outage of the platform is taken over
+  Scenario: The slots of an entry VM killed during a platform outage are taken over
     Given a zone with 2 entry VMs and 2 endpoints
-    When the platform of the deployment is down
+    When the platform is down
     And a job "first" of 60 tasks of 300 ms is sent to entry-1
-    And 5 tasks of "first" have started
+    And at least 5 tasks of "first" have started
     And entry-1 is killed
     And "first" is sent again to entry-2
-    Then "first" is answered with 503 and may_have_run
+    Then the reply to "first" has status 503 and verdict may_have_run
     When a job "second" of 40 tasks of 50 ms is sent to entry-2
-    Then "second" is complete with 40 answers
+    Then "second" is complete and all 40 tasks ran
 
-  Scenario: Entry VMs serve on while the platform's process is frozen
+  Scenario: Entry VMs continue to serve while the platform's process is frozen
     Given a zone with 2 entry VMs and 2 endpoints
     When the platform's process is frozen
     And a job "first" of 40 tasks of 50 ms is sent to entry-1
     And a stamping "stamp" of 50 ms is sent to entry-2
-    Then "first" is complete with 40 answers
-    And "stamp" is answered with 200 and ran
+    Then "first" is complete and all 40 tasks ran
+    And the reply to "stamp" has status 200 and verdict ran
     When the platform's process is resumed
-    Then asking entry-1 about "stamp" gives ran each time
+    Then repeated status queries for "stamp" at entry-1 return ran
 
-  Scenario: A job whose deadline passes while it waits says what did not run
+  Scenario: A job whose deadline passes in the queue reports which tasks did not run
     Given a zone with 1 entry VMs and 1 endpoints
     When a job "late" of 100 tasks of 300 ms with a deadline of 1500 ms is sent to entry-1
-    Then "late" is marked failed with 100 verdicts
+    Then "late" has failed and has 100 verdicts
     And some tasks of "late" have the verdict not_run
--- a/tests/scenarios/test_at_most_once.py
+++ b/tests/scenarios/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Duplicate starts and verdicts, with real processes killed and frozen."""
+"""Duplicate starts and verdicts when real processes crash or freeze."""
 
 import pytest_bdd
 from pytest_bdd import parsers, when
@@ -10,8 +10,8 @@
 
 @when(parsers.parse('{entry} owns all slots'))
 def wait_for_takeover(world: worlds.World, entry: str) -> None:
-    async def holds() -> bool:
-        owned = (await world.state(entry))['slots']['owned']
+    async def condition() -> bool:
+        owned = (await world.read_state(entry))['slots']['owned']
         return set(owned) == set(world.deployment.endpoints)
 
-    world.run(world.until(holds))
+    world.run(world.wait_until(condition))
--- a/tests/scenarios/test_back_ends.py
+++ b/tests/scenarios/test_back_ends.py
@@ -1,4 +1,4 @@
-"""Kills and freezes of endpoints, entry VMs and the platform."""
+"""Crashes and freezes of endpoints, entry VMs and the platform."""
 
 import signal
 
@@ -15,8 +15,8 @@
 
 @when(parsers.parse('the process of {endpoint} is killed'))
 def kill_endpoint(world: worlds.World, endpoint: str) -> None:
-    # Its record is lost with it; what it starts after this read is not seen.
-    world.run(world.keep_record(endpoint))
+    # The record is lost with the process; later starts are not recorded.
+    world.run(world.save_record(endpoint))
     world.run(world.endpoint_processes[endpoint].kill())
 
 
@@ -46,7 +46,7 @@
     platform_process(world).signal(signal.SIGCONT)
 
 
-@when('the platform of the deployment is down')
+@when('the platform is down')
 def stop_platform(world: worlds.World) -> None:
     world.run(world.deployment.set_platform_faults(down=True))
 
@@ -81,7 +81,7 @@
 
 
 @then(parsers.parse('some tasks of "{label}" have the verdict {verdict}'))
-def check_some(world: worlds.World, label: str, verdict: str) -> None:
-    reply = world.run(world.last_reply(label))
-    found = [task['verdict'] for task in reply.document['tasks']]
-    conftest.check(found, matchers.Contains(verdict))
+def check_any_verdict(world: worlds.World, label: str, verdict: str) -> None:
+    reply = world.run(world.wait_for_reply(label))
+    verdicts = [task['verdict'] for task in reply.document['tasks']]
+    conftest.assert_matches(verdicts, matchers.Contains(verdict))
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -1,4 +1,4 @@
-"""Versions under stale reads, lost answers, outages and racing operators."""
+"""Versions under stale reads, lost responses, outages and conflicts."""
 
 import asyncio
 import json
@@ -19,16 +19,16 @@
 POLL_INTERVAL_S = 2
 
 
-async def number_in_force(world: worlds.World, entry: str) -> int:
-    return (await world.state(entry))['config']['number']
+async def read_version(world: worlds.World, entry: str) -> int:
+    return (await world.read_state(entry))['config']['number']
 
 
 @when(parsers.parse('the operator applies weight {weight:d} on base {base:d}'))
-def apply(world: worlds.World, weight: int, base: int) -> None:
-    world.notes['status'] = world.run(_apply(world, weight, base))
+def apply_weight(world: worlds.World, weight: int, base: int) -> None:
+    world.shared['status'] = world.run(_run_apply(world, weight, base))
 
 
-async def _apply(world: worlds.World, weight: int, base: int) -> int:
+async def _run_apply(world: worlds.World, weight: int, base: int) -> int:
     digest = await world.deployment.hash_credential(worlds.CREDENTIAL)
     directory = world.deployment.directory / f'weight-{weight}'
     directory.mkdir(exist_ok=True)
@@ -53,37 +53,37 @@
         world.deployment.directory,
     )
     try:
-        await command.run('', timeout_s=worlds.WAIT_LIMIT_S)
+        await command.run('', timeout_s=worlds.WAIT_TIMEOUT_S)
     except child.ChildError:
         assert command.returncode is not None
         return command.returncode
     return 0
 
 
-@when('the platform loses the answer of the next write')
-def lose_answer(world: worlds.World) -> None:
+@when('the platform drops the response to the next write')
+def drop_next_response(world: worlds.World) -> None:
     world.run(world.deployment.set_platform_faults(lose_answers=1))
 
 
-@when(parsers.parse('the platform shows the fault {fault}'))
-def set_fault(world: worlds.World, fault: str) -> None:
+@when(parsers.parse('the platform has the fault {fault}'))
+def set_platform_fault(world: worlds.World, fault: str) -> None:
     world.run(world.deployment.set_platform_faults(**{fault: True}))
 
 
-@when(parsers.parse('{count:d} polls of the platform have passed'))
-def watch_versions(world: worlds.World, count: int) -> None:
-    seen: dict[str, list[int]] = {}
+@when(parsers.parse('{count:d} poll intervals have passed'))
+def poll_versions(world: worlds.World, count: int) -> None:
+    versions: dict[str, list[int]] = {}
 
-    async def watch() -> None:
-        end = time.monotonic() + count * POLL_INTERVAL_S
-        while time.monotonic() < end:
+    async def poll() -> None:
+        deadline = time.monotonic() + count * POLL_INTERVAL_S
+        while time.monotonic() < deadline:
             for entry in world.deployment.entries:
-                numbers = seen.setdefault(entry, [])
-                numbers.append(await number_in_force(world, entry))
-            await asyncio.sleep(worlds.POLL_S)
+                numbers = versions.setdefault(entry, [])
+                numbers.append(await read_version(world, entry))
+            await asyncio.sleep(worlds.POLL_INTERVAL_S)
 
-    world.run(watch())
-    world.notes['seen'] = seen
+    world.run(poll())
+    world.shared['versions'] = versions
 
 
 @when('entry-2 starts')
@@ -93,17 +93,17 @@
 
 
 @when('entry-2 starts without seeds')
-def start_alone(world: worlds.World) -> None:
-    others = dict(world.deployment.entries)
+def start_entry_without_seeds(world: worlds.World) -> None:
+    other_entries = dict(world.deployment.entries)
     world.deployment.entries.clear()
     start_entry(world)
-    world.deployment.entries.update(others)
+    world.deployment.entries.update(other_entries)
 
 
 @then(parsers.parse("the operator's exit status is {name}"))
-def check_status(world: worlds.World, name: str) -> None:
-    conftest.check(
-        exit_status.ExitStatus(world.notes['status']).name,
+def check_exit_status(world: worlds.World, name: str) -> None:
+    conftest.assert_matches(
+        exit_status.ExitStatus(world.shared['status']).name,
         matchers.Equals(name),
     )
 
@@ -115,33 +115,35 @@
     )
 )
 def check_in_force(world: worlds.World, number: int, limit_s: int) -> None:
-    async def holds() -> bool:
+    async def condition() -> bool:
         numbers = [
-            await number_in_force(world, entry)
+            await read_version(world, entry)
             for entry in world.deployment.entries
         ]
         return numbers == [number] * len(numbers)
 
-    begin = time.monotonic()
-    world.run(world.until(holds))
-    conftest.check(time.monotonic() - begin, matchers.LessThan(limit_s))
+    started_at = time.monotonic()
+    world.run(world.wait_until(condition))
+    conftest.assert_matches(
+        time.monotonic() - started_at, matchers.LessThan(limit_s)
+    )
 
 
-@then('no entry VM has ever shown a version lower than an earlier one')
+@then('the version has not decreased on any entry VM')
 def check_no_revert(world: worlds.World) -> None:
-    seen: dict[str, Any] = world.notes['seen']
-    for numbers in seen.values():
-        conftest.check(numbers, matchers.Equals(sorted(numbers)))
+    versions: dict[str, Any] = world.shared['versions']
+    for numbers in versions.values():
+        conftest.assert_matches(numbers, matchers.Equals(sorted(numbers)))
 
 
 @then(parsers.parse('entry-2 stays not ready for {seconds:d} seconds'))
 def check_not_ready(world: worlds.World, seconds: int) -> None:
-    async def watch() -> list[bool]:
+    async def poll() -> list[bool]:
         ready = []
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
-            ready.append((await world.state('entry-2'))['ready'])
-            await asyncio.sleep(worlds.POLL_S)
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            ready.append((await world.read_state('entry-2'))['ready'])
+            await asyncio.sleep(worlds.POLL_INTERVAL_S)
         return ready
 
-    conftest.check(any(world.run(watch())), matchers.Equals(False))
+    conftest.assert_matches(any(world.run(poll())), matchers.Equals(False))
--- a/tests/scenarios/test_leaving.py
+++ b/tests/scenarios/test_leaving.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of entry VMs, and endpoints that leave or refuse."""
+"""Graceful shutdown of entry VMs; endpoints that leave or refuse work."""
 
 import asyncio
 import itertools
@@ -14,12 +14,12 @@
 pytest_bdd.scenarios('features/leaving.feature')
 
 
-@when(parsers.parse('{entry} is not ready any more'))
-def wait_not_ready(world: worlds.World, entry: str) -> None:
-    async def holds() -> bool:
-        return not (await world.state(entry))['ready']
+@when(parsers.parse('{entry} is no longer ready'))
+def wait_until_not_ready(world: worlds.World, entry: str) -> None:
+    async def condition() -> bool:
+        return not (await world.read_state(entry))['ready']
 
-    world.run(world.until(holds))
+    world.run(world.wait_until(condition))
 
 
 @when(
@@ -27,34 +27,34 @@
         'a lookup "{label}" is refused by {entry} with {status:d} and {verdict}'
     )
 )
-def wait_refused(
+def wait_for_refusal(
     world: worlds.World, label: str, entry: str, status: int, verdict: str
 ) -> None:
     numbers = itertools.count()
 
-    async def holds() -> bool:
-        # Each try is a request of its own for the checker.
+    async def condition() -> bool:
+        # Each attempt has its own label, so that its reply is checked, too.
         name = f'{label}-{next(numbers)}'
         await world.submit(name, entry, kind='lookup', run_ms=10)
-        reply = await world.last_reply(name)
-        found = (reply.status, reply.document.get('verdict'))
-        return found == (status, verdict)
+        reply = await world.wait_for_reply(name)
+        actual = (reply.status, reply.document.get('verdict'))
+        return actual == (status, verdict)
 
-    world.run(world.until(holds))
+    world.run(world.wait_until(condition))
 
 
 @when(parsers.parse('the endpoint {endpoint} is listed as leaving'))
-def list_leaving(world: worlds.World, endpoint: str) -> None:
+def set_leaving(world: worlds.World, endpoint: str) -> None:
     world.run(world.deployment.set_vm_state(endpoint, 'leaving'))
 
 
-@when(parsers.parse('{seconds:d} seconds have passed for the list to be read'))
-def wait_for_list(world: worlds.World, seconds: int) -> None:
+@when(parsers.parse('{seconds:d} seconds have passed'))
+def wait(world: worlds.World, seconds: int) -> None:
     world.run(asyncio.sleep(seconds))
 
 
 @when(parsers.parse("the platform's list lags by {seconds:d} seconds"))
-def lag_list(world: worlds.World, seconds: int) -> None:
+def set_list_lag(world: worlds.World, seconds: int) -> None:
     world.run(world.deployment.set_platform_faults(list_lag_s=seconds))
 
 
@@ -63,24 +63,24 @@
     world.run(world.deployment.set_platform_faults(down=True))
 
 
-@then(parsers.parse('{entry} ends with the status {name}'))
-def check_end(world: worlds.World, entry: str, name: str) -> None:
+@then(parsers.parse('{entry} exits with status {name}'))
+def check_exit_status(world: worlds.World, entry: str, name: str) -> None:
     process = world.deployment.entries[entry].process
 
-    async def ended() -> bool:
+    async def has_exited() -> bool:
         return process.returncode is not None
 
-    world.run(world.until(ended))
+    world.run(world.wait_until(has_exited))
     assert process.returncode is not None
-    conftest.check(
+    conftest.assert_matches(
         exit_status.ExitStatus(process.returncode).name,
         matchers.Equals(name),
     )
 
 
 @then(parsers.parse('the endpoint {endpoint} has started no task of "{label}"'))
-def check_no_start(world: worlds.World, endpoint: str, label: str) -> None:
+def check_no_starts(world: worlds.World, endpoint: str, label: str) -> None:
     _, starts = world.run(world.deployment.read_record(endpoint))
     tasks = set(world.submissions[label].tasks)
-    found = [start['task'] for start in starts if start['task'] in tasks]
-    conftest.check(found, matchers.Equals([]))
+    started = [start['task'] for start in starts if start['task'] in tasks]
+    conftest.assert_matches(started, matchers.Equals([]))
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -1,4 +1,4 @@
-"""Bursts, waves of cancellations, holding limits and bad endpoints."""
+"""Bursts, cancellations, hold limits and failing endpoints."""
 
 import itertools
 
@@ -15,12 +15,16 @@
 
 
 @given(parsers.parse('a contract with a queue of {queue:d} and 20 ms tasks'))
-def start_small_queue(world: worlds.World, queue: int) -> None:
+def start_with_queue_limit(world: worlds.World, queue: int) -> None:
     world.run(world.start(zones=ONE_ZONE, queue=queue, max_job_tasks=queue))
 
 
-@given(parsers.parse('a contract that holds {hold:d} tasks at 2 entry VMs'))
-def start_small_hold(world: worlds.World, hold: int) -> None:
+@given(
+    parsers.parse(
+        'a contract with a hold limit of {hold:d} tasks and 2 entry VMs'
+    )
+)
+def start_with_hold_limit(world: worlds.World, hold: int) -> None:
     world.run(world.start(zones={'sondrio': (2, 2)}, hold=hold))
 
 
@@ -35,25 +39,27 @@
 
 
 @when(parsers.parse('"{label}" is cancelled at {entry}'))
-def cancel(world: worlds.World, label: str, entry: str) -> None:
+def cancel_submission(world: worlds.World, label: str, entry: str) -> None:
     submission = world.submissions[label]
     path = f'{submission.path}/{submission.key}'
     reply = world.run(world.call(entry, 'DELETE', path))
-    conftest.check(reply.status, matchers.LessThan(300))
+    conftest.assert_matches(reply.status, matchers.LessThan(300))
 
 
-@then(parsers.parse('at most {most:d} tasks of "{label}" have started in all'))
-def check_few_started(world: worlds.World, most: int, label: str) -> None:
+@then(parsers.parse('at most {max_count:d} tasks of "{label}" have started'))
+def check_max_starts(world: worlds.World, max_count: int, label: str) -> None:
     # 8 slots start 40 tasks a second; the rest of the job needs 40 s.
-    check = matchers.Not(matchers.GreaterThan(most))
-    conftest.check(world.run(world.started(label)), check)
+    matcher = matchers.Not(matchers.GreaterThan(max_count))
+    conftest.assert_matches(
+        world.run(world.count_started_tasks(label)), matcher
+    )
 
 
-@then('every lookup is answered, as ran or as not_run with Retry-After')
-def check_burst(world: worlds.World) -> None:
+@then('every lookup has the verdict ran, or not_run with retry_after_s')
+def check_burst_verdicts(world: worlds.World) -> None:
     for label in world.submissions:
-        document = world.run(world.last_reply(label)).document
-        conftest.check(
+        document = world.run(world.wait_for_reply(label)).document
+        conftest.assert_matches(
             (document.get('verdict'), bool(document.get('retry_after_s'))),
             matchers.MatchesAny(
                 matchers.Equals(('ran', False)),
@@ -63,17 +69,21 @@
 
 
 @then('at least one lookup was refused')
-def check_refused(world: worlds.World) -> None:
+def check_any_refused(world: worlds.World) -> None:
     verdicts = [
-        world.run(world.last_reply(label)).document['verdict']
+        world.run(world.wait_for_reply(label)).document['verdict']
         for label in world.submissions
     ]
-    conftest.check(verdicts, matchers.Contains('not_run'))
+    conftest.assert_matches(verdicts, matchers.Contains('not_run'))
 
 
-@then(parsers.parse('at most {most:d} tasks were at endpoints at once'))
-def check_held(world: worlds.World, most: int) -> None:
-    async def read() -> list[tuple[float, int]]:
+@then(
+    parsers.parse(
+        'at most {max_count:d} tasks were at endpoints at the same time'
+    )
+)
+def check_max_concurrency(world: worlds.World, max_count: int) -> None:
+    async def read_changes() -> list[tuple[float, int]]:
         changes = []
         for name in world.deployment.endpoints:
             _, starts = await world.deployment.read_record(name)
@@ -82,35 +92,41 @@
                 changes.append((start['end'], -1))
         return sorted(changes)
 
-    steps = (step for _, step in world.run(read()))
-    conftest.check(
-        max(itertools.accumulate(steps)),
-        matchers.Not(matchers.GreaterThan(most)),
+    changes_by_one = (step for _, step in world.run(read_changes()))
+    conftest.assert_matches(
+        max(itertools.accumulate(changes_by_one)),
+        matchers.Not(matchers.GreaterThan(max_count)),
     )
 
 
 @then(
-    parsers.parse('the endpoint {endpoint} has started at most {most:d} tasks')
+    parsers.parse(
+        'the endpoint {endpoint} has started at most {max_count:d} tasks'
+    )
 )
-def check_share(world: worlds.World, endpoint: str, most: int) -> None:
+def check_endpoint_starts(
+    world: worlds.World, endpoint: str, max_count: int
+) -> None:
     summary, _ = world.run(world.deployment.read_record(endpoint))
-    conftest.check(summary['started'], matchers.Not(matchers.GreaterThan(most)))
+    conftest.assert_matches(
+        summary['started'], matchers.Not(matchers.GreaterThan(max_count))
+    )
 
 
 @then(
     parsers.parse(
-        'a request for "{label}" with a wrong credential gives {status:d}'
+        'a status query for "{label}" with a wrong credential returns {status:d}'
     )
 )
 def check_credential(world: worlds.World, label: str, status: int) -> None:
     submission = world.submissions[label]
     path = f'{submission.path}/{submission.key}'
 
-    async def ask() -> int:
+    async def query() -> int:
         async with world.deployment.session.get(
             world.deployment.entries['entry-1'].url(path),
             headers={'Authorization': 'Bearer other-credential-2'},
         ) as reply:
             return reply.status
 
-    conftest.check(world.run(ask()), matchers.Equals(status))
+    conftest.assert_matches(world.run(query()), matchers.Equals(status))
--- a/tests/scenarios/test_partition.py
+++ b/tests/scenarios/test_partition.py
@@ -1,4 +1,4 @@
-"""Zones apart: peer streams run through relays that cut or go silent."""
+"""Network partitions: relays cut or silence the streams between peers."""
 
 from typing import Any
 
@@ -34,40 +34,40 @@
 
 
 @when(parsers.parse('the relays are set to {mode}'))
-def set_relays(world: worlds.World, mode: str) -> None:
-    _set_relays(world, {'mode': mode})
+def set_relay_mode(world: worlds.World, mode: str) -> None:
+    _set_relay_mode(world, {'mode': mode})
 
 
 @when('open relayed connections go silent')
-def silence_open(world: worlds.World) -> None:
-    _set_relays(world, {'mode': 'silent', 'scope': 'open'})
+def silence_open_connections(world: worlds.World) -> None:
+    _set_relay_mode(world, {'mode': 'silent', 'scope': 'open'})
 
 
-def _set_relays(world: worlds.World, setting: dict[str, Any]) -> None:
-    for control in world.notes['relay_controls']:
+def _set_relay_mode(world: worlds.World, setting: dict[str, Any]) -> None:
+    for port in world.shared['relay_controls']:
         world.run(
             world.deployment.request(
                 'POST',
-                f'http://{parts.HOST}:{control}/control/mode',
+                f'http://{parts.HOST}:{port}/control/mode',
                 setting,
             )
         )
 
 
-@when('the platform is set down')
+@when('the platform is down')
 def stop_platform(world: worlds.World) -> None:
     world.run(world.deployment.set_platform_faults(down=True))
 
 
 @when(parsers.parse('{entry} can reach its peers again'))
 def wait_for_peers(world: worlds.World, entry: str) -> None:
-    async def holds() -> bool:
-        return bool((await world.state(entry))['peers']['peers'])
+    async def condition() -> bool:
+        return bool((await world.read_state(entry))['peers']['peers'])
 
-    world.run(world.until(holds))
+    world.run(world.wait_until(condition))
 
 
 @then(parsers.parse('the verdict on "{label}" is not final'))
 def check_not_final(world: worlds.World, label: str) -> None:
-    reply = world.run(world.last_reply(label))
-    conftest.check(reply.document.get('final'), matchers.Equals(False))
+    reply = world.run(world.wait_for_reply(label))
+    conftest.assert_matches(reply.document.get('final'), matchers.Equals(False))
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -1,4 +1,4 @@
-"""A deployment of real processes, its callers, and the checker."""
+"""State of a scenario: real processes, submissions and their checks."""
 
 import asyncio
 import collections
@@ -11,11 +11,11 @@
 from sardineproxy.demo import child, deployment, parts
 
 CREDENTIAL = 'caller-credential-1'
-AUTHORIZATION = {'Authorization': f'Bearer {CREDENTIAL}'}
+AUTHORIZATION_HEADER = {'Authorization': f'Bearer {CREDENTIAL}'}
 
-#: Bound of each wait; only a failure reaches it, also on a busy machine.
-WAIT_LIMIT_S = 90
-POLL_S = 0.05
+#: Time limit of each wait, which only failures exceed, also on a loaded machine.
+WAIT_TIMEOUT_S = 90
+POLL_INTERVAL_S = 0.05
 
 CONTRACT = {
     'customer': 'desk',
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Reply:
-    """What a caller received; status 0 if the connection broke."""
+    """Reply to a caller; status 0 if the connection failed."""
 
     status: int
     document: dict[str, Any]
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Submission:
-    """One submission, its key and the exchanges that carry it."""
+    """Request or job with its key and the replies to each time it was sent."""
 
     path: str
     body: dict[str, Any]
@@ -47,23 +47,23 @@
 
 
 class World:
-    """Everything that one scenario starts; steps call it from outside."""
+    """State that the steps of one scenario share."""
 
     def __init__(self) -> None:
-        """Start the event loop."""
+        """Create an event loop and a deployment without processes."""
         self._runner = asyncio.Runner()
         self.deployment = deployment.Deployment(region='lombardia')
         self.submissions: dict[str, Submission] = {}
         self.endpoint_processes: dict[str, child.Child] = {}
-        self.notes: dict[str, Any] = {}
-        self._lost_starts: collections.Counter[str] = collections.Counter()
+        self.shared: dict[str, Any] = {}
+        self._starts_at_killed: collections.Counter[str] = collections.Counter()
 
-    def run(self, coro: Any) -> Any:
-        """Run a coroutine to its end."""
-        return self._runner.run(coro)
+    def run(self, coroutine: Any) -> Any:
+        """Run a coroutine until it completes."""
+        return self._runner.run(coroutine)
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.run(self.deployment.__aexit__(None, None, None))
         self._runner.close()
 
@@ -92,22 +92,24 @@
             [{**CONTRACT, **contract, 'credential_sha256': [digest]}]
         )
         await self.deployment.wait_ready()
-        await self.until(self._owns_all_slots)
+        await self.wait_until(self._owns_all_slots)
 
-    async def until(self, holds: Callable[[], Awaitable[bool]]) -> None:
-        """Wait until ``holds`` is true."""
-        async with asyncio.timeout(WAIT_LIMIT_S):
-            while not await holds():
-                await asyncio.sleep(POLL_S)
+    async def wait_until(
+        self, condition: Callable[[], Awaitable[bool]]
+    ) -> None:
+        """Wait until ``condition`` returns true."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not await condition():
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def state(self, entry: str) -> dict[str, Any]:
-        """Return the state dump of an entry VM."""
+    async def read_state(self, entry: str) -> dict[str, Any]:
+        """Return the document of ``/state`` of an entry VM."""
         url = self.deployment.entries[entry].admin_url('/state')
         async with self.deployment.session.get(url) as reply:
             return await reply.json()
 
-    async def mint(self, entry: str) -> str:
-        """Return a new key of ``entry``."""
+    async def create_key(self, entry: str) -> str:
+        """Return a new idempotency key from an entry VM."""
         reply = await self.call(entry, 'POST', '/v1/keys', {'count': 1})
         return reply.document['keys'][0]
 
@@ -119,29 +121,33 @@
         kind: str,
         count: int = 1,
         run_ms: int,
-        **more: Any,
+        **extra: Any,
     ) -> None:
-        """Begin a submission; its reply is awaited by a later step."""
+        """Send a new submission without waiting for its reply.
+
+        The kind is ``job``, ``lookup`` (an idempotent request) or ``stamping``
+        (one that is not idempotent).
+        """
         tasks = tuple(f'{label}-{index}' for index in range(count))
         documents = [
             _task(task, run_ms=run_ms, idempotent=kind == 'lookup')
             for task in tasks
         ]
-        keyed = kind != 'lookup'
+        needs_key = kind != 'lookup'
         submission = Submission(
             path='/v1/jobs' if kind == 'job' else '/v1/requests',
-            body={'tasks': documents, **more}
+            body={'tasks': documents, **extra}
             if kind == 'job'
-            else {**documents[0], **more},
+            else {**documents[0], **extra},
             tasks=tasks,
-            key=await self.mint(entry) if keyed else None,
+            key=await self.create_key(entry) if needs_key else None,
             replies=[],
         )
         self.submissions[label] = submission
         self.send(label, entry)
 
     def send(self, label: str, entry: str) -> None:
-        """Send a submission, again if it was sent before."""
+        """Send a submission, possibly not for the first time."""
         submission = self.submissions[label]
         submission.replies.append(
             asyncio.get_running_loop().create_task(
@@ -164,8 +170,8 @@
         *,
         key: str | None = None,
     ) -> Reply:
-        """Exchange one caller's request."""
-        headers = dict(AUTHORIZATION)
+        """Send one request as a caller and return the reply."""
+        headers = dict(AUTHORIZATION_HEADER)
         if key is not None:
             headers['Idempotency-Key'] = key
         url = self.deployment.entries[entry].url(path)
@@ -175,68 +181,76 @@
                 url,
                 json=body,
                 headers=headers,
-                timeout=aiohttp.ClientTimeout(total=WAIT_LIMIT_S),
+                timeout=aiohttp.ClientTimeout(total=WAIT_TIMEOUT_S),
             ) as reply:
                 return Reply(status=reply.status, document=await reply.json())
         except (aiohttp.ClientError, TimeoutError):
             return Reply(status=0, document={})
 
-    async def last_reply(self, label: str) -> Reply:
-        """Return the newest reply to a submission."""
-        async with asyncio.timeout(WAIT_LIMIT_S):
+    async def wait_for_reply(self, label: str) -> Reply:
+        """Wait for the reply to the last time a submission was sent."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             return await asyncio.shield(self.submissions[label].replies[-1])
 
-    async def starts(self) -> collections.Counter[str]:
-        """Return how often each task was started at any endpoint."""
-        counted = collections.Counter(self._lost_starts)
+    async def count_starts(self) -> collections.Counter[str]:
+        """Return the number of starts of each task at all endpoints."""
+        start_counts = collections.Counter(self._starts_at_killed)
         for name in self.deployment.endpoints:
-            if name not in self.notes.get('killed', ()):
+            if name not in self.shared.get('killed', ()):
                 _, starts = await self.deployment.read_record(name)
-                counted.update(start['task'] for start in starts)
-        return counted
+                start_counts.update(start['task'] for start in starts)
+        return start_counts
 
-    async def keep_record(self, endpoint: str) -> None:
-        """Keep the record of an endpoint that is about to be killed."""
+    async def save_record(self, endpoint: str) -> None:
+        """Save the record of an endpoint before it is killed."""
         _, starts = await self.deployment.read_record(endpoint)
-        self._lost_starts.update(start['task'] for start in starts)
-        self.notes.setdefault('killed', set()).add(endpoint)
-
-    async def started(self, label: str) -> int:
-        """Return how many tasks of a submission were started."""
-        counted = await self.starts()
-        return sum(counted[task] > 0 for task in self.submissions[label].tasks)
+        self._starts_at_killed.update(start['task'] for start in starts)
+        self.shared.setdefault('killed', set()).add(endpoint)
+
+    async def count_started_tasks(self, label: str) -> int:
+        """Return the number of tasks of a submission that were started."""
+        start_counts = await self.count_starts()
+        return sum(
+            start_counts[task] > 0 for task in self.submissions[label].tasks
+        )
 
-    async def check(self) -> list[str]:
-        """Return what the endpoints' records contradict, none if all holds."""
-        counted = await self.starts()
+    async def find_contradictions(self) -> list[str]:
+        """Return contradictions between replies and the endpoints' records."""
+        start_counts = await self.count_starts()
         # A killed endpoint may have started tasks after its record was read.
-        complete = not self.notes.get('killed')
+        records_complete = not self.shared.get('killed')
         faults = []
         for label, submission in self.submissions.items():
             if submission.key is not None:
-                faults += _doubled(label, submission, counted)
-            for sent in submission.replies:
-                if sent.done() and not sent.cancelled():
-                    faults += _contradictions(
-                        label, submission, sent.result(), counted, complete
+                faults += _find_duplicate_starts(
+                    label, submission, start_counts
+                )
+            for exchange in submission.replies:
+                if exchange.done() and not exchange.cancelled():
+                    faults += _find_contradictions(
+                        label,
+                        submission,
+                        exchange.result(),
+                        start_counts,
+                        records_complete,
                     )
         return faults
 
     async def _start_zone(
         self, zone: str, entries: int, endpoints: int
     ) -> None:
-        first = len(self.deployment.entries) + 1
-        second = len(self.deployment.endpoints) + 1
+        first_entry = len(self.deployment.entries) + 1
+        first_endpoint = len(self.deployment.endpoints) + 1
         await asyncio.gather(
             *(
                 self.deployment.start_entry(
                     parts.EntrySpec(name=f'entry-{number}', zone=zone)
                 )
-                for number in range(first, first + entries)
+                for number in range(first_entry, first_entry + entries)
             ),
             *(
                 self._start_endpoint(f'endpoint-{number}', zone)
-                for number in range(second, second + endpoints)
+                for number in range(first_endpoint, first_endpoint + endpoints)
             ),
         )
 
@@ -246,20 +260,20 @@
         self.endpoint_processes[name] = process
 
     async def _start_relays(self) -> None:
-        controls = []
+        control_ports = []
         for entry in self.deployment.entries.values():
             target = f'{parts.HOST}:{entry.process.ports["peers"]}'
             relay = await self.deployment.start_program(
                 'standin-relay', f'--target={target}'
             )
             entry.process.ports['peers'] = relay.ports['relay']
-            controls.append(relay.ports['control'])
-        self.notes['relay_controls'] = controls
+            control_ports.append(relay.ports['control'])
+        self.shared['relay_controls'] = control_ports
 
     async def _owns_all_slots(self) -> bool:
         owned: set[str] = set()
         for name in self.deployment.entries:
-            state = await self.state(name)
+            state = await self.read_state(name)
             owned.update(state['slots']['owned'])
         return owned == set(self.deployment.endpoints)
 
@@ -274,22 +288,22 @@
     }
 
 
-def _doubled(
-    label: str, submission: Submission, counted: collections.Counter[str]
+def _find_duplicate_starts(
+    label: str, submission: Submission, start_counts: collections.Counter[str]
 ) -> list[str]:
     return [
-        f'{label}: {task} started {counted[task]} times'
+        f'{label}: {task} was started {start_counts[task]} times'
         for task in submission.tasks
-        if counted[task] > 1
+        if start_counts[task] > 1
     ]
 
 
-def _contradictions(
+def _find_contradictions(
     label: str,
     submission: Submission,
     reply: Reply,
-    counted: collections.Counter[str],
-    complete: bool,
+    start_counts: collections.Counter[str],
+    records_complete: bool,
 ) -> list[str]:
     documents = reply.document.get('tasks')
     if not isinstance(documents, list):
@@ -297,14 +311,14 @@
     faults = []
     for task, document in zip(submission.tasks, documents, strict=True):
         verdict = document.get('verdict')
-        if verdict == 'not_run' and counted[task]:
-            faults.append(f'{label}: {task} is not_run but started')
-        if verdict == 'ran' and complete and not counted[task]:
-            faults.append(f'{label}: {task} ran but never started')
-        if verdict == 'ran' and _answered_task(document) != task:
-            faults.append(f'{label}: {task} got the answer of another task')
+        if verdict == 'not_run' and start_counts[task]:
+            faults.append(f'{label}: {task} is not_run but was started')
+        if verdict == 'ran' and records_complete and not start_counts[task]:
+            faults.append(f'{label}: {task} ran but was never started')
+        if verdict == 'ran' and _read_task_label(document) != task:
+            faults.append(f'{label}: {task} got the response to another task')
     return faults
 
 
-def _answered_task(document: dict[str, Any]) -> str | None:
+def _read_task_label(document: dict[str, Any]) -> str | None:
     return json.loads(document['body_text'])['task']
