--- a/sardineproxy/demo/controls.py
+++ b/sardineproxy/demo/controls.py
@@ -17,8 +17,8 @@
 ) -> str:
     """Send a request with a JSON body and return the response body."""
     try:
-        async with session.request(method, url, json=body) as reply:
-            status, text = reply.status, await reply.text()
+        async with session.request(method, url, json=body) as response:
+            status, text = response.status, await response.text()
     except (aiohttp.ClientError, TimeoutError) as exc:
         raise ControlError(f'{method} {url}: {exc!r}') from exc
     if status >= 400:
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -56,7 +56,9 @@
         self.submissions: dict[str, Submission] = {}
         self.endpoint_processes: dict[str, child.Child] = {}
         self.shared: dict[str, Any] = {}
-        self._starts_at_killed: collections.Counter[str] = collections.Counter()
+        self._starts_at_killed_endpoints: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     def run(self, coroutine: Any) -> Any:
         """Run a coroutine until it completes."""
@@ -194,7 +196,7 @@
 
     async def count_starts(self) -> collections.Counter[str]:
         """Return the number of starts of each task at all endpoints."""
-        start_counts = collections.Counter(self._starts_at_killed)
+        start_counts = collections.Counter(self._starts_at_killed_endpoints)
         for name in self.deployment.endpoints:
             if name not in self.shared.get('killed', ()):
                 _, starts = await self.deployment.read_record(name)
@@ -204,7 +206,9 @@
     async def save_record(self, endpoint: str) -> None:
         """Save the record of an endpoint before it is killed."""
         _, starts = await self.deployment.read_record(endpoint)
-        self._starts_at_killed.update(start['task'] for start in starts)
+        self._starts_at_killed_endpoints.update(
+            start['task'] for start in starts
+        )
         self.shared.setdefault('killed', set()).add(endpoint)
 
     async def count_started_tasks(self, label: str) -> int:
@@ -219,22 +223,22 @@
         start_counts = await self.count_starts()
         # A killed endpoint may have started tasks after its record was read.
         records_complete = not self.shared.get('killed')
-        faults = []
+        contradictions = []
         for label, submission in self.submissions.items():
             if submission.key is not None:
-                faults += _find_duplicate_starts(
+                contradictions += _find_duplicate_starts(
                     label, submission, start_counts
                 )
-            for exchange in submission.replies:
-                if exchange.done() and not exchange.cancelled():
-                    faults += _find_contradictions(
+            for reply_task in submission.replies:
+                if reply_task.done() and not reply_task.cancelled():
+                    contradictions += _find_contradictions(
                         label,
                         submission,
-                        exchange.result(),
+                        reply_task.result(),
                         start_counts,
                         records_complete,
                     )
-        return faults
+        return contradictions
 
     async def _start_zone(
         self, zone: str, entries: int, endpoints: int
@@ -308,16 +312,18 @@
     documents = reply.document.get('tasks')
     if not isinstance(documents, list):
         documents = [reply.document] * len(submission.tasks)
-    faults = []
+    contradictions = []
     for task, document in zip(submission.tasks, documents, strict=True):
         verdict = document.get('verdict')
         if verdict == 'not_run' and start_counts[task]:
-            faults.append(f'{label}: {task} is not_run but was started')
+            contradictions.append(f'{label}: {task} is not_run but was started')
         if verdict == 'ran' and records_complete and not start_counts[task]:
-            faults.append(f'{label}: {task} ran but was never started')
+            contradictions.append(f'{label}: {task} ran but was never started')
         if verdict == 'ran' and _read_task_label(document) != task:
-            faults.append(f'{label}: {task} got the response to another task')
-    return faults
+            contradictions.append(
+                f'{label}: {task} got the response to another task'
+            )
+    return contradictions
 
 
 def _read_task_label(document: dict[str, Any]) -> str | None:
--- a/tests/standin/test_endpoint.py
+++ b/tests/standin/test_endpoint.py
@@ -48,11 +48,11 @@
         for earlier, later in zip(starts, starts[1:]):
             self.assertTrue(earlier['end'] <= later['start'])
         digest = hashlib.sha256(b'b').hexdigest()
-        for number, (status, answer) in enumerate(replies):
+        for number, (status, body) in enumerate(replies):
             expected = {'task': f't{number}', 'body_sha256': digest}
             self.assertThat(status, matchers.Equals(200))
             self.assertThat(
-                answer, matchers.ContainsDict(_match_values(expected))
+                body, matchers.ContainsDict(_match_values(expected))
             )
 
     def test_faults(self) -> None:
