--- a/sardineproxy/process/components.py
+++ b/sardineproxy/process/components.py
@@ -57,8 +57,8 @@
     incarnation: ids.Incarnation
     metrics: metrics.Metrics
     directory: directory.VmDirectory
-    vm_list: listing.ListFollower
-    versions: follower.Follower
+    list_follower: listing.ListFollower
+    version_follower: follower.Follower
     slots: slots.SlotTable
     client: endpoint.EndpointClient
     dispatcher: dispatcher.Dispatcher
@@ -69,8 +69,8 @@
 class _DeferredForwarder:
     """Forwarder whose target is set after construction.
 
-    It breaks a dependency cycle: submissions forward through the peers, and
-    the peers pass forwarded payloads to the submissions.
+    It breaks a dependency cycle: submissions are forwarded through the peers,
+    and the peers pass forwarded payloads to the submissions.
     """
 
     def __init__(self) -> None:
@@ -111,7 +111,7 @@
     incarnation = ids.Incarnation(secrets.token_hex(INCARNATION_BYTES))
     registry = dependencies.registry
     vm_directory = directory.VmDirectory(seeds=_seeds(cfg))
-    vm_list = listing.ListFollower(
+    list_follower = listing.ListFollower(
         platform=dependencies.platform,
         directory=vm_directory,
         clock=dependencies.clock,
@@ -141,7 +141,7 @@
         cfg=dispatcher.Config(),
     )
     forwarder = _DeferredForwarder()
-    accepted = submissions.Submissions(
+    submission_service = submissions.Submissions(
         clock=dependencies.clock,
         rng=dependencies.rng,
         vm=ids.VmId(cfg.vm),
@@ -158,7 +158,7 @@
         forwarder=forwarder,
         metrics=registry,
     )
-    peer_streams = peers.Peers(
+    entry_peers = peers.Peers(
         clock=dependencies.clock,
         rng=dependencies.rng,
         vm=ids.VmId(cfg.vm),
@@ -167,25 +167,27 @@
         size=cfg.size,
         directory=vm_directory,
         slot_table=slot_table,
-        handler=accepted,
-        gossip=gossip.Gossip(versions=version_follower, vm_list=vm_list),
+        handler=submission_service,
+        gossip=gossip.Gossip(
+            version_follower=version_follower, list_follower=list_follower
+        ),
         metrics=registry,
         cfg=_peers_config(cfg.peering),
         connect=dependencies.connect,
         listen=dependencies.listen,
     )
-    forwarder.target = peer_streams
+    forwarder.target = entry_peers
     components = Components(
         incarnation=incarnation,
         metrics=registry,
         directory=vm_directory,
-        vm_list=vm_list,
-        versions=version_follower,
+        list_follower=list_follower,
+        version_follower=version_follower,
         slots=slot_table,
         client=client,
         dispatcher=task_dispatcher,
-        submissions=accepted,
-        peers=peer_streams,
+        submissions=submission_service,
+        peers=entry_peers,
     )
     _subscribe(components)
     return components
@@ -226,13 +228,15 @@
 
 
 def _subscribe(components: Components) -> None:
-    """Connect the events of components to their subscribers."""
-    components.versions.active_version.subscribe(
+    """Subscribe the components to each other's events."""
+    components.version_follower.active_version.subscribe(
         lambda version: _apply_version(components, version)
     )
     components.peers.live_vms.subscribe(components.submissions.set_live_vms)
     components.dispatcher.backlog.subscribe(components.peers.on_backlog)
-    components.slots.changed.subscribe(lambda _: components.dispatcher.wake())
+    components.slots.changed.subscribe(
+        lambda _: components.dispatcher.start_waiting_tasks()
+    )
 
 
 def _apply_version(
--- a/sardineproxy/process/entry.py
+++ b/sardineproxy/process/entry.py
@@ -32,8 +32,8 @@
         self._dependencies = dependencies
         self._session: aiohttp.ClientSession | None = None
         self._components: components.Components | None = None
-        self._callers: caller.Listener | None = None
-        self._admin: web.AppRunner | None = None
+        self._caller_listener: caller.Listener | None = None
+        self._admin_runner: web.AppRunner | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._is_draining = False
 
@@ -55,8 +55,8 @@
         except OSError as exc:
             return result.Err(f'cannot open a listener: {exc}.')
         self._tasks = [
-            asyncio.create_task(self._components.versions.run()),
-            asyncio.create_task(self._components.vm_list.run()),
+            asyncio.create_task(self._components.version_follower.run()),
+            asyncio.create_task(self._components.list_follower.run()),
         ]
         _LOG.info('Started.', extra={'vm': self._cfg.vm, 'ports': ports})
         return result.Ok(ports)
@@ -65,7 +65,7 @@
         """Return whether the load balancer may send new callers."""
         if self._is_draining or self._components is None:
             return False
-        return self._components.versions.number() > 0
+        return self._components.version_follower.number() > 0
 
     def state(self) -> dict[str, object]:
         """Return the state dump of all components."""
@@ -84,8 +84,8 @@
         return {
             **process_state,
             'incarnation': self._components.incarnation,
-            'config': self._components.versions.state(now=now),
-            'list_revision': self._components.vm_list.revision(),
+            'config': self._components.version_follower.state(now=now),
+            'list_revision': self._components.list_follower.revision(),
             'submissions': self._components.submissions.state(now=now),
             'dispatcher': self._components.dispatcher.state(now=now),
             'slots': self._components.slots.state(now=now),
@@ -107,14 +107,16 @@
             ):
                 await self._drain(self._components)
         except TimeoutError:
-            _LOG.warning('Graceful shutdown timed out.')
+            _LOG.warning(
+                'Graceful shutdown timed out; closing connections now.'
+            )
             if not self._has_drained:
                 status = exit_status.ExitStatus.ERROR
         try:
             async with asyncio.timeout(settings.CLOSE_TIMEOUT_S):
                 await self._close(self._components)
         except TimeoutError:
-            _LOG.warning('Closing connections timed out.')
+            _LOG.warning('Closing connections timed out; exiting.')
         _LOG.info('Ended.')
         return status
 
@@ -125,7 +127,7 @@
         components.submissions.drain()
         await components.submissions.wait_until_idle()
         self._has_drained = True
-        await components.peers.goodbye()
+        await components.peers.leave()
 
     def _connect_dependencies(self) -> components.Dependencies:
         if self._dependencies is not None:
@@ -143,7 +145,7 @@
 
     async def _open_listeners(self, components: components.Components) -> Ports:
         limits = caller.ConnectionLimits()
-        self._callers = await caller.start(
+        self._caller_listener = await caller.start(
             app=caller.build_app(
                 submissions=components.submissions,
                 limits=limits,
@@ -153,21 +155,21 @@
             host=self._cfg.callers.host,
             port=self._cfg.callers.port,
         )
-        self._admin = web.AppRunner(
+        self._admin_runner = web.AppRunner(
             admin.build_app(process=self, metrics=components.metrics),
             access_log=None,
         )
-        await self._admin.setup()
+        await self._admin_runner.setup()
         admin_site = web.TCPSite(
-            self._admin, self._cfg.admin.host, self._cfg.admin.port
+            self._admin_runner, self._cfg.admin.host, self._cfg.admin.port
         )
         await admin_site.start()
         await components.peers.start(
             host=self._cfg.peers.host, port=self._cfg.peers.port
         )
         return {
-            'callers': self._callers.port,
-            'admin': self._admin.addresses[0][1],
+            'callers': self._caller_listener.port,
+            'admin': self._admin_runner.addresses[0][1],
             'peers': components.peers.port,
         }
 
@@ -175,13 +177,13 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        if self._callers is not None:
-            await self._callers.close()
+        if self._caller_listener is not None:
+            await self._caller_listener.close()
         await components.peers.close()
         components.dispatcher.close()
         await components.client.close()
-        if self._admin is not None:
-            await self._admin.cleanup()
+        if self._admin_runner is not None:
+            await self._admin_runner.cleanup()
         if self._session is not None:
             await self._session.close()
 
--- a/sardineproxy/process/neighbors.py
+++ b/sardineproxy/process/neighbors.py
@@ -1,4 +1,4 @@
-"""Selection of the entry VMs to connect to, and of the VM that connects."""
+"""Selection of the entry VMs to connect to, and of the end that connects."""
 
 import dataclasses
 from typing import Container, Mapping
@@ -31,8 +31,8 @@
     def count_live(self, connected: Container[ids.VmId]) -> int:
         """Return the estimated number of other live VMs.
 
-        A chosen VM without a stream counts as dead, unless no chosen VM of
-        its zone has one: the zone may then be partitioned and still serve.
+        A chosen VM without a stream counts as failed, unless no chosen VM of
+        its zone has one: the zone may then be partitioned but still serve.
         """
         reachable_zones = {
             self.listed[vm].zone for vm in self.chosen if vm in connected
@@ -71,8 +71,10 @@
         for entry in listing.vms
         if entry.role is platform.VmRole.ENTRY
     }
-    others = {name: entry for name, entry in entry_vms.items() if name != vm}
-    chosen = {name: vm < name for name in others if others[name].zone == zone}
+    other_vms = {name: entry for name, entry in entry_vms.items() if name != vm}
+    chosen = {
+        name: vm < name for name in other_vms if other_vms[name].zone == zone
+    }
     zones: dict[ids.ZoneId, list[ids.VmId]] = {}
     for name, entry in entry_vms.items():
         if entry.is_live or entry.zone == zone:
@@ -85,4 +87,4 @@
                 :peers_per_zone
             ]
             chosen[name] = vm < name or vm not in chosen_by_peer
-    return Neighbors(listed=others, chosen=chosen)
+    return Neighbors(listed=other_vms, chosen=chosen)
