--- a/sardineproxy/demo/deployment.py
+++ b/sardineproxy/demo/deployment.py
@@ -40,7 +40,7 @@
         #: Whether a new entry process gets the running ones as seeds.
         self.use_seeds = True
         self.platform: child.Child | None = None
-        self._states: dict[str, str] = {}
+        self._vm_states: dict[str, str] = {}
         self.endpoints: dict[str, parts.Endpoint] = {}
         self.entries: dict[str, parts.Entry] = {}
 
@@ -116,7 +116,7 @@
 
     async def set_vm_state(self, name: str, state: str) -> None:
         """Set the listed state of a VM to ``live`` or ``leaving``."""
-        self._states[name] = state
+        self._vm_states[name] = state
         await self.register()
 
     async def set_platform_faults(self, **faults: Any) -> None:
@@ -143,8 +143,8 @@
         lines = (await self.request('GET', url)).splitlines()
         if clear:
             await self.request('DELETE', url)
-        first, *starts = (json.loads(line) for line in lines)
-        return first['summary'], starts
+        summary_line, *starts = (json.loads(line) for line in lines)
+        return summary_line['summary'], starts
 
     async def hash_credential(self, credential: str) -> str:
         """Return the hash of a credential for use in a contract."""
@@ -216,7 +216,7 @@
         return [
             {
                 **vm.render_vm(),
-                'state': self._states.get(vm.name, 'live'),
+                'state': self._vm_states.get(vm.name, 'live'),
                 'region': self._region,
                 'host': HOST,
             }
--- a/sardineproxy/standin/platform_control.py
+++ b/sardineproxy/standin/platform_control.py
@@ -13,33 +13,33 @@
 MAX_LAG_S = 3600
 
 
-class _Model(pydantic.BaseModel):
+class _RequestModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='forbid', strict=True, frozen=True)
 
 
-class _Down(_Model):
+class _Down(_RequestModel):
     down: bool
 
 
-class _Slow(_Model):
+class _Slow(_RequestModel):
     ms: Annotated[float, pydantic.Field(ge=0, le=platform_faults.MAX_SLOW_MS)]
 
 
-class _StaleReads(_Model):
+class _StaleReads(_RequestModel):
     stale: bool
 
 
-class _ListLag(_Model):
+class _ListLag(_RequestModel):
     seconds: Annotated[float, pydantic.Field(ge=0, le=MAX_LAG_S)]
 
 
-class _LoseAnswers(_Model):
+class _LoseAnswers(_RequestModel):
     writes: Annotated[
         int, pydantic.Field(ge=0, le=platform_faults.MAX_LOST_ANSWERS)
     ]
 
 
-class _Vms(_Model):
+class _Vms(_RequestModel):
     vms: list[dict[str, Any]]
 
 
--- a/sardineproxy/standin/platform_server.py
+++ b/sardineproxy/standin/platform_server.py
@@ -34,21 +34,21 @@
     reads_per_s: float = 2000
 
 
-class _Model(pydantic.BaseModel):
+class _RequestModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='forbid', strict=True, frozen=True)
 
 
-class _Condition(_Model):
+class _Condition(_RequestModel):
     key: Key
     revision: Annotated[int, pydantic.Field(ge=0)]
 
 
-class _Write(_Model):
+class _Write(_RequestModel):
     key: Key
     body_base64: Annotated[pydantic.Base64Bytes, pydantic.Strict(False)]
 
 
-class _Transaction(_Model):
+class _Transaction(_RequestModel):
     conditions: Annotated[
         list[_Condition], pydantic.Field(max_length=MAX_ROWS_IN_TRANSACTION)
     ]
@@ -67,19 +67,23 @@
         self.faults = platform_faults.Faults()
         self.counts: collections.Counter[str] = collections.Counter()
         self._clock = clock
-        self._writes = platform_faults.RateLimit(per_s=limits.writes_per_s)
-        self._reads = platform_faults.RateLimit(per_s=limits.reads_per_s)
+        self._write_limit = platform_faults.RateLimit(per_s=limits.writes_per_s)
+        self._read_limit = platform_faults.RateLimit(per_s=limits.reads_per_s)
 
     def application(self) -> web.Application:
         """Return the application with the routes of the services."""
         app = web.Application(client_max_size=MAX_REQUEST_BYTES)
         app.add_routes(
             [
-                web.get('/v1/rows', self._read(self._get_rows)),
-                web.post('/v1/transactions', self._write(self._transact)),
-                web.get('/v1/objects/{name:.+}', self._read(self._get_object)),
-                web.put('/v1/objects/{name:.+}', self._write(self._put_object)),
-                web.get('/v1/vms', self._read(self._get_vms)),
+                web.get('/v1/rows', self._wrap_read(self._get_rows)),
+                web.post('/v1/transactions', self._wrap_write(self._transact)),
+                web.get(
+                    '/v1/objects/{name:.+}', self._wrap_read(self._get_object)
+                ),
+                web.put(
+                    '/v1/objects/{name:.+}', self._wrap_write(self._put_object)
+                ),
+                web.get('/v1/vms', self._wrap_read(self._get_vms)),
             ]
         )
         return app
@@ -88,22 +92,22 @@
         """Return the server's monotonic time in seconds."""
         return self._clock.now()
 
-    def _read(self, handler: Handler) -> Handler:
+    def _wrap_read(self, handler: Handler) -> Handler:
         return functools.partial(self._handle_read, handler)
 
-    def _write(self, handler: Handler) -> Handler:
+    def _wrap_write(self, handler: Handler) -> Handler:
         return functools.partial(self._handle_write, handler)
 
     async def _handle_read(
         self, handler: Handler, req: web.Request
     ) -> web.StreamResponse:
-        refusal = await self._admit(self._reads, 'reads')
+        refusal = await self._admit(self._read_limit, 'reads')
         return refusal or await handler(req)
 
     async def _handle_write(
         self, handler: Handler, req: web.Request
     ) -> web.StreamResponse:
-        refusal = await self._admit(self._writes, 'writes')
+        refusal = await self._admit(self._write_limit, 'writes')
         if refusal:
             return refusal
         response = await handler(req)
--- a/sardineproxy/standin/platform_store.py
+++ b/sardineproxy/standin/platform_store.py
@@ -125,7 +125,7 @@
         self.objects[name] = body
 
     def has_capacity(self, added_bytes: int) -> bool:
-        """Return whether a new entry of this size stays within the limits."""
+        """Return whether a write of this size stays within the limits."""
         entries = len(self.table) + len(self.objects)
         return (
             entries < MAX_ENTRIES
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -68,7 +68,7 @@
         worker: workers.Worker,
         work_of: WorkOf,
         lease_s: float = 1.0,
-        speed: float = 1.0,
+        run_time_factor: float = 1.0,
         clock_rate: float = 1.0,
         clock_start_ms: int = 1_000_000,
         started_at: float = 0,
@@ -82,7 +82,7 @@
         self.is_up = True
         self._work_of = work_of
         self._lease_ms = int(lease_s * _MS_PER_S)
-        self._speed = speed
+        self._run_time_factor = run_time_factor
         self._clock_rate = clock_rate
         self._clock_start_ms = clock_start_ms
         self._started_at = started_at
@@ -170,7 +170,7 @@
         if order.expires_ms <= self.clock_ms(now):
             return _refused(workers.Refusal.EXPIRED)
         self._mark_unacked_if_expired(now)
-        self._extend(order.expires_ms, now)
+        self._extend_lease(order.expires_ms, now)
         running = self._running.get(order.task)
         if running is not None:
             if running.record.run == order.run:
@@ -203,7 +203,7 @@
             return _refused(workers.Refusal.FENCED)
         self._mark_unacked_if_expired(now)
         if poll.expires_ms is not None:
-            self._extend(poll.expires_ms, now)
+            self._extend_lease(poll.expires_ms, now)
         self._finished_runs = [
             finished
             for finished in self._finished_runs
@@ -258,7 +258,7 @@
         self._fence = fence
         return True
 
-    def _extend(self, expires_ms: int, now: float) -> None:
+    def _extend_lease(self, expires_ms: int, now: float) -> None:
         latest_ms = self.clock_ms(now) + self._lease_ms
         self._lease_end_ms = max(self._lease_end_ms, min(expires_ms, latest_ms))
 
@@ -294,7 +294,7 @@
             record=record,
             completes_at=None
             if work.result is None
-            else now + work.work_s * self._speed,
+            else now + work.work_s * self._run_time_factor,
             result=work.result or workers.RunResult.DONE,
         )
 
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -14,7 +14,7 @@
 #: Interval at which a worker writes its list entry, in seconds.
 ENTRY_INTERVAL_S = 1.5
 
-#: Run times of tasks on a worker of speed 1, in seconds.
+#: Run times of tasks with a run time factor of 1, in seconds.
 RUN_TIMES_S = (0.06, 0.2, 0.9)
 
 SERVICE = ids.ServiceId('service')
@@ -46,7 +46,7 @@
                 name, zone=ids.ZoneId(zone), service=SERVICE, started_ms=1000
             ),
             work_of=self._work_of,
-            speed=rng.choice((0.6, 1.0, 1.4)),
+            run_time_factor=rng.choice((0.6, 1.0, 1.4)),
             clock_rate=rng.uniform(0.98, 1),
             started_at=clock.now(),
         )
