--- a/sardineproxy/bench/phases.py
+++ b/sardineproxy/bench/phases.py
@@ -131,9 +131,9 @@
     dep = ctx.fleet.dep
     endpoint_names = list(dep.endpoints)
     await asyncio.gather(
-        dep.set_faults(down=True),
+        dep.set_platform_faults(down=True),
         *(
-            dep.set_mode(endpoint_names[index], mode)
+            dep.set_endpoint_mode(endpoint_names[index], mode)
             for index, mode in ENDPOINT_FAULTS
         ),
     )
@@ -141,9 +141,9 @@
         _, samples = await _offer_to_entries(ctx, submissions)
     finally:
         await asyncio.gather(
-            dep.set_faults(down=False),
+            dep.set_platform_faults(down=False),
             *(
-                dep.set_mode(endpoint_names[index], 'normal')
+                dep.set_endpoint_mode(endpoint_names[index], 'normal')
                 for index, _ in ENDPOINT_FAULTS
             ),
         )
--- a/sardineproxy/bench/senders.py
+++ b/sardineproxy/bench/senders.py
@@ -57,7 +57,7 @@
         key = self._keys[route].pop() if submission.needs_key else ''
         try:
             _, body = await self._callers[route].post(
-                caller.JOBS if submission.is_job else caller.SINGLES,
+                caller.JOBS_PATH if submission.is_job else caller.REQUESTS_PATH,
                 self._bodies[submission.label],
                 key=key,
             )
@@ -71,12 +71,14 @@
         """Check the results of all tasks."""
         if isinstance(reply, str):
             return driver.Outcome(correct_tasks=0, error=reply)
-        return _check_reply(submission, caller.parse(reply))
+        return _check_reply(submission, caller.parse_object(reply))
 
     async def _create_keys(self, route: _Route, count: int) -> None:
         batches = await asyncio.gather(
             *(
-                self._callers[route].mint(min(KEYS_PER_BATCH, count - first))
+                self._callers[route].create_keys(
+                    min(KEYS_PER_BATCH, count - first)
+                )
                 for first in range(0, count, KEYS_PER_BATCH)
             )
         )
--- a/tests/bench/test_demo.py
+++ b/tests/bench/test_demo.py
@@ -23,7 +23,10 @@
         for task_result, expected in (
             ({'verdict': 'not_run', 'code': 'late'}, 'verdict not_run (late)'),
             ({'verdict': 'ran', 'status': 500}, 'status 500'),
-            ({'verdict': 'ran', 'status': 200, 'body_text': '{"'}, 'not whole'),
+            (
+                {'verdict': 'ran', 'status': 200, 'body_text': '{"'},
+                'not valid JSON',
+            ),
             (
                 {'verdict': 'ran', 'status': 200, 'body_text': other_task_body},
                 'another',
@@ -38,4 +41,4 @@
     def test_reports_job_with_missing_results(self) -> None:
         job_reply = {'state': 'complete', 'tasks': []}
         error = tasks.find_job_fault((TASK,), job_reply)
-        self.assertThat(error, matchers.Equals('0 answers for 1 tasks'))
+        self.assertThat(error, matchers.Equals('0 outcomes for 1 tasks'))
--- a/tests/process/shards/test_scheduler.py
+++ b/tests/process/shards/test_scheduler.py
@@ -33,7 +33,7 @@
             rig.is_leadership_confirmed = False
             await asyncio.sleep(3)
             record = samples.only_item(rig.records())
-            self.assertIs(workers.RunResult.LEASE_EXPIRED, record.how)
+            self.assertIs(workers.RunResult.LEASE_EXPIRED, record.result)
             rig.is_leadership_confirmed = True
             await asyncio.sleep(1)
             self.assertEqual(2, len(rig.records()))
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -47,7 +47,7 @@
     return completed / max(1, len(jobs))
 
 
-def _records(fleet: fleet.Fleet) -> list[worker_model.Record]:
+def _records(fleet: fleet.Fleet) -> list[worker_model.RunRecord]:
     return [
         record
         for worker in fleet.all_workers()
@@ -62,20 +62,20 @@
     payload other than its job's.
     """
     for worker in fleet.all_workers():
-        yield from worker.model.complaints
+        yield from worker.model.violations
         for task, payload in worker.server.payloads.items():
             job = task.partition('.')[0]
             job_record = fleet.trace.jobs.get(job)
             if job_record is None or job_record.payload != payload:
                 yield f'{task} was started with the payload {payload!r}'
     records = _records(fleet)
-    yield from run_checks.find_doubles(records)
-    yield from run_checks.find_repeats(
+    yield from run_checks.find_overlapping_runs(records)
+    yield from run_checks.find_runs_after_success(
         [record for record in records if _is_stored(fleet, record)]
     )
 
 
-def _is_stored(fleet: fleet.Fleet, record: worker_model.Record) -> bool:
+def _is_stored(fleet: fleet.Fleet, record: worker_model.RunRecord) -> bool:
     job = fleet.trace.jobs.get(record.task.partition('.')[0])
     return job is not None and job.is_stored
 
@@ -87,7 +87,7 @@
     for record in _records(fleet):
         job = record.task.partition('.')[0]
         started.setdefault(job, set()).add(record.task)
-        if record.how is workers.RunResult.DONE:
+        if record.result is workers.RunResult.DONE:
             done.setdefault(job, set()).add(record.task)
     for job, attempts in fleet.trace.attempts.items():
         statuses = {attempt.status for attempt in attempts}
@@ -106,7 +106,7 @@
     """Check that accepted jobs are stored and report their tasks' results."""
     done: dict[str, set[str]] = {}
     for record in _records(fleet):
-        if record.how is workers.RunResult.DONE:
+        if record.result is workers.RunResult.DONE:
             job = record.task.partition('.')[0]
             done.setdefault(job, set()).add(record.task)
     for name, job_record in fleet.trace.jobs.items():
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -194,7 +194,7 @@
         self._fleet.store.delay_s = 0
 
     async def _store_history_lost(self, duration_s: float) -> None:
-        self._fleet.rows.forget_history()
+        self._fleet.rows.truncate_history()
 
     # Connections.
 
--- a/tests/soak/worker.py
+++ b/tests/soak/worker.py
@@ -14,7 +14,7 @@
 #: Interval at which a worker writes its list entry, in seconds.
 ENTRY_INTERVAL_S = 1.5
 
-#: Run times of tasks on a worker of speed 1, in seconds.
+#: Run times of tasks with a run time factor of 1, in seconds.
 RUN_TIMES_S = (0.06, 0.2, 0.9)
 
 SERVICE = ids.ServiceId('service')
@@ -46,9 +46,9 @@
                 name, zone=ids.ZoneId(zone), service=SERVICE, started_ms=1000
             ),
             work_of=self._work_of,
-            speed=rng.choice((0.6, 1.0, 1.4)),
+            run_time_factor=rng.choice((0.6, 1.0, 1.4)),
             clock_rate=rng.uniform(0.98, 1),
-            born_at=clock.now(),
+            started_at=clock.now(),
         )
         self.server = worker_server.WorkerServer(model=self.model, clock=clock)
         self.relay: relay_server.Relay
@@ -91,11 +91,11 @@
             await asyncio.sleep(ENTRY_INTERVAL_S)
 
     def _work_of(self, task: workers.TaskName, run: int) -> worker_model.Work:
-        how: workers.RunResult | None = workers.RunResult.DONE
+        result: workers.RunResult | None = workers.RunResult.DONE
         if self.hangs:
-            how = None
+            result = None
         elif self.fails:
-            how = workers.RunResult.FAILED
+            result = workers.RunResult.FAILED
         return worker_model.Work(
             resources=jobs.Resources(
                 millicores=samples.TASK_MILLICORES, memory_mb=64, gpus=0
@@ -103,5 +103,5 @@
             work_s=0.01
             if self.fails
             else random.Random(task).choice(RUN_TIMES_S),
-            how=how,
+            result=result,
         )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -37,16 +37,16 @@
         self,
         task: str = TASK,
         started_at: float = 10,
-        how: workers.RunResult = workers.RunResult.DONE,
+        result: workers.RunResult = workers.RunResult.DONE,
     ) -> None:
         self.model.records.append(
-            worker_model.Record(
+            worker_model.RunRecord(
                 task=workers.TaskName(task),
                 run=len(self.model.records) + 1,
                 worker='w0',
                 started_at=started_at,
                 ended_at=started_at + 0.2,
-                how=how,
+                result=result,
                 resources=samples.make_worker().capacity,
             )
         )
@@ -133,7 +133,7 @@
 
     def test_completed_job_without_all_tasks_is_reported(self) -> None:
         fleet = _Fleet()
-        fleet.worker.add_run(how=workers.RunResult.STOPPED)
+        fleet.worker.add_run(result=workers.RunResult.STOPPED)
         fleet.add_attempt()
         self.assertThat(fleet.violations()[0], matchers.Contains('completed'))
 
