--- a/sardineproxy/bench/driver.py
+++ b/sardineproxy/bench/driver.py
@@ -41,9 +41,9 @@
 
     @property
     def is_counted(self) -> bool:
-        """True if the response time enters the figures.
+        """True if the response time is included in the figures.
 
-        It does for correct replies and for submissions without a reply.
+        It is for correct replies and for submissions without a reply.
         """
         return self.outcome.error in {None, UNANSWERED}
 
@@ -71,9 +71,9 @@
 class Driver:
     """Offers the load of one phase.
 
-    Replies are checked after the phase and the cyclic garbage collector is
-    off during it, because each of them delayed arrivals by tens of
-    milliseconds.
+    Replies are checked after the phase, and the cyclic garbage collector is
+    off during it, because checks and collections each delayed arrivals by tens
+    of milliseconds.
     """
 
     def __init__(self, *, clock: clocks.Clock, sender: Sender) -> None:
--- a/sardineproxy/bench/floor.py
+++ b/sardineproxy/bench/floor.py
@@ -1,4 +1,4 @@
-"""Lower bounds of this machine: round trip and CPU time of the libraries."""
+"""Measured lower bounds: the round trip and the CPU time of the libraries."""
 
 import asyncio
 import dataclasses
--- a/sardineproxy/bench/ratios.py
+++ b/sardineproxy/bench/ratios.py
@@ -27,8 +27,9 @@
     """Print the ratios of counted samples and the number of the others.
 
     ``ideals`` has the ideal response times, with the round trip, by the label
-    of the first task of each submission. An unanswered submission counts with
-    the time for which the driver waited, so its true ratio is at least that.
+    of the first task of each submission. The response time of an unanswered
+    submission is the time for which the driver waited, so its ratio is a lower
+    bound.
     """
     counted_samples = [sample for sample in samples if sample.is_counted]
     for customer in (
--- a/sardineproxy/bench/slopes_contract.py
+++ b/sardineproxy/bench/slopes_contract.py
@@ -139,8 +139,8 @@
     """Return the CPU time to apply a change of one of ``count`` contracts.
 
     Covers the follower and its subscribers: limits, weights and shares. Also
-    covers the share of each customer's holding limit, which is computed on
-    use.
+    covers the share of each customer's concurrency limit, which is computed
+    on use.
     """
     entry_components = _build_components()
     first_version = _make_snapshot(count)
@@ -199,12 +199,12 @@
         )
     )
 
-    def apply_payload() -> components.Components:  # noqa: WPS430
+    def apply_payloads() -> components.Components:  # noqa: WPS430
         for payload in payloads:
             entry_components.version_follower.offer(payload)
         return entry_components
 
-    return slopes_fit.measure_heap_bytes(apply_payload)
+    return slopes_fit.measure_heap_bytes(apply_payloads)
 
 
 def _build_with_change() -> tuple[components.Components, bytes]:
@@ -222,8 +222,8 @@
 def _build_components() -> components.Components:
     """Return the components of an entry process in a full-size deployment.
 
-    Customers' concurrency limits are divided among all zones and the entry VMs
-    of the own zone.
+    Customers' concurrency limits are divided among all zones and, in the zone
+    of the entry process, among its entry VMs.
     """
     entry_components = components.build(
         cfg=slopes_samples.make_entry_settings(),
--- a/sardineproxy/bench/slopes_task.py
+++ b/sardineproxy/bench/slopes_task.py
@@ -35,8 +35,8 @@
     2 * OWNED_ENDPOINTS * slopes_samples.SLOTS_PER_ENDPOINT
 )
 
-#: Larger than the other counts, because the dispatcher holds only some of these
-#: tasks at once.
+#: Larger than ``TASK_COUNTS``, because not all of these tasks are in the
+#: dispatcher at the same time.
 STEADY_TASK_COUNTS = (2000, 6000)
 CUSTOMER_COUNT = 370
 REPLY_BYTES = 300
--- a/sardineproxy/bench/workload.py
+++ b/sardineproxy/bench/workload.py
@@ -25,7 +25,7 @@
 #: Fraction of all tasks that belong to jobs.
 JOB_FRACTION = 0.5
 
-#: Fraction of single requests that must not run twice, so they carry a key.
+#: Fraction of tasks that are not idempotent; such single requests carry a key.
 NON_IDEMPOTENT_FRACTION = 0.2
 
 
--- a/sardineproxy/demo/core.py
+++ b/sardineproxy/demo/core.py
@@ -111,7 +111,7 @@
     zones = ', '.join(zone for zone, _ in ZONES)
     print(
         f'{len(dep.entries)} entry VMs and {len(dep.endpoints)} endpoints are '
-        f'ready in the zones {zones}; contract version 1 is in force.'
+        f'ready in the zones {zones}; contract version 1 is active.'
     )
 
 
@@ -189,14 +189,14 @@
 
 
 def _print_reply(title: str, started_at: float, reply: caller.Reply) -> None:
-    took_ms = 1000 * (time.monotonic() - started_at)
+    elapsed_ms = 1000 * (time.monotonic() - started_at)
     document = reply.document
     outcome = (
         document.get('state')
         or document.get('verdict')
         or document.get('code', 'no verdict')
     )
-    print(f'{title}: {outcome}, HTTP {reply.status}, {took_ms:.0f} ms')
+    print(f'{title}: {outcome}, HTTP {reply.status}, {elapsed_ms:.0f} ms')
 
 
 async def _check_records(
@@ -215,8 +215,8 @@
             f'{summary["started"]} tasks, at most {summary["most_running"]} '
             f'of {endpoint.slots} slots busy'
         )
-    once = sum(starts.get(task.label) == 1 for task in expected)
-    print(f'{once} of {len(expected)} tasks were started exactly once.')
+    started_once = sum(starts.get(task.label) == 1 for task in expected)
+    print(f'{started_once} of {len(expected)} tasks were started exactly once.')
     return [
         f'{task.label} was started {starts.get(task.label, 0)} times'
         for task in expected
--- a/sardineproxy/demo/processes.py
+++ b/sardineproxy/demo/processes.py
@@ -27,7 +27,7 @@
 
 
 class Processes:
-    """Asynchronous context that owns processes and a temporary directory.
+    """Asynchronous context manager of processes and a temporary directory.
 
     Every process is stopped on exit from the context, also after an error.
     """
--- a/sardineproxy/standin/endpoint_core.py
+++ b/sardineproxy/standin/endpoint_core.py
@@ -42,7 +42,7 @@
 def _define_flags() -> flags.FlagValues:
     cfg = command_line.new_flags()
     flags.DEFINE_string(
-        'host', '127.0.0.1', 'IP number to listen on.', flag_values=cfg
+        'host', '127.0.0.1', 'IP address to listen on.', flag_values=cfg
     )
     flags.DEFINE_integer(
         'port',
--- a/sardineproxy/standin/endpoint_record.py
+++ b/sardineproxy/standin/endpoint_record.py
@@ -5,7 +5,7 @@
 import json
 from typing import AsyncIterator
 
-#: Starts that are stored; further ones are only counted.
+#: Limit of the stored starts; further ones are only counted.
 MAX_STARTS = 1_000_000
 LINES_PER_CHUNK = 200
 
--- a/sardineproxy/standin/platform_core.py
+++ b/sardineproxy/standin/platform_core.py
@@ -20,7 +20,7 @@
   /control/down          {"down": true}     respond with 503 to all requests
   /control/slow          {"ms": 500}        delay each request
   /control/stale-reads   {"stale": true}    reads that are not strict return the
-                                            rows of now until {"stale": false}
+                                            current rows until {"stale": false}
   /control/list-lag      {"seconds": 5}     return the VM list of 5 s ago
   /control/lose-answers  {"writes": 2}      commit the next 2 writes and close
                                             the connection without a response
@@ -33,7 +33,7 @@
     """Return the program's flags."""
     cfg = flags.FlagValues()
     flags.DEFINE_string(
-        'host', '127.0.0.1', 'IP number to listen on.', flag_values=cfg
+        'host', '127.0.0.1', 'IP address to listen on.', flag_values=cfg
     )
     flags.DEFINE_integer(
         'port',
@@ -46,14 +46,14 @@
     flags.DEFINE_float(
         'writes_per_s',
         300,
-        'Writes a second; further ones get status 429.',
+        'Writes per second; further ones get status 429.',
         lower_bound=0,
         flag_values=cfg,
     )
     flags.DEFINE_float(
         'reads_per_s',
         2000,
-        'Reads a second; further ones get status 429.',
+        'Reads per second; further ones get status 429.',
         lower_bound=0,
         flag_values=cfg,
     )
--- a/sardineproxy/standin/relay_core.py
+++ b/sardineproxy/standin/relay_core.py
@@ -45,7 +45,7 @@
 def _define_flags() -> flags.FlagValues:
     cfg = command_line.new_flags()
     flags.DEFINE_string(
-        'host', '127.0.0.1', 'IP number to listen on.', flag_values=cfg
+        'host', '127.0.0.1', 'IP address to listen on.', flag_values=cfg
     )
     flags.DEFINE_integer(
         'port', 0, 'Port of the first relay.', 0, MAX_PORT, flag_values=cfg
@@ -53,7 +53,7 @@
     flags.DEFINE_list(
         'target',
         None,
-        'IP number and port to relay to, such as 127.0.0.1:4711; with several '
+        'IP address and port to relay to, such as 127.0.0.1:4711; with several '
         'the relays are named relay-1, relay-2 ...',
         flag_values=cfg,
     )
--- a/sardineproxy/standin/row_store.py
+++ b/sardineproxy/standin/row_store.py
@@ -8,7 +8,7 @@
 
 from sardineproxy.process import store
 
-#: Most rows in one page.
+#: Maximum number of rows in one page.
 PAGE_ROWS = 500
 
 
@@ -28,7 +28,7 @@
     rows: tuple[store.Row, ...]
 
 
-#: Most conditions, writes and removals in one transaction.
+#: Maximum number of conditions, writes and removals in one transaction.
 MAX_ENTRIES = 100
 
 #: Part and key of a row; the key starts with the table's name and a slash.
--- a/sardineproxy/standin/run_checks.py
+++ b/sardineproxy/standin/run_checks.py
@@ -9,7 +9,7 @@
 
 
 def find_overlapping_runs(records: list[worker_model.RunRecord]) -> list[str]:
-    """Return a sentence for each two overlapping runs of a task."""
+    """Return a sentence for each run that overlaps the task's previous run."""
     violations = []
     by_task: dict[workers.TaskName, list[worker_model.RunRecord]] = {}
     for record in records:
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -12,7 +12,7 @@
 
 _MS_PER_S = 1000
 
-#: Most finished runs in one report.
+#: Maximum number of finished runs in one report.
 MAX_FINISHED_RUNS = 500
 
 
@@ -49,13 +49,15 @@
     """Resources, duration and result of one run."""
 
     resources: jobs.Resources
+
+    #: Duration of the run on a worker whose run time factor is 1.
     work_s: float
 
     #: Result of the run if nothing stops it; None if it never ends by itself.
     result: workers.RunResult | None = workers.RunResult.DONE
 
 
-#: Returns the work of one run of a task.
+#: Returns the work of a run, given the task and the number of the run.
 WorkOf = Callable[[workers.TaskName, int], Work]
 
 
--- a/tests/bench/fakes.py
+++ b/tests/bench/fakes.py
@@ -103,9 +103,9 @@
             f'http://{vm.host}:{vm.port}{task["path"]}',
             headers={**task['headers'], 'X-Run-Ms': str(run_ms)},
             data=task.get('body_text', ''),
-        ) as reply:
-            text = await reply.text()
-        return {'verdict': 'ran', 'status': reply.status, 'body_text': text}
+        ) as response:
+            text = await response.text()
+        return {'verdict': 'ran', 'status': response.status, 'body_text': text}
 
     async def _handle_readyz(self, _: web.Request) -> web.Response:
         return web.Response()
--- a/tests/scenarios/test_back_ends.py
+++ b/tests/scenarios/test_back_ends.py
@@ -15,7 +15,8 @@
 
 @when(parsers.parse('the process of {endpoint} is killed'))
 def kill_endpoint(world: worlds.World, endpoint: str) -> None:
-    # The record is lost with the process; later starts are not recorded.
+    # The record is lost with the process, so it is saved first; tasks that start
+    # after that are not counted.
     world.run(world.save_record(endpoint))
     world.run(world.endpoint_processes[endpoint].kill())
 
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -92,9 +92,9 @@
                 changes.append((start['end'], -1))
         return sorted(changes)
 
-    changes_by_one = (step for _, step in world.run(read_changes()))
+    deltas = (delta for _, delta in world.run(read_changes()))
     conftest.assert_matches(
-        max(itertools.accumulate(changes_by_one)),
+        max(itertools.accumulate(deltas)),
         matchers.Not(matchers.GreaterThan(max_count)),
     )
 
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -13,7 +13,7 @@
 CREDENTIAL = 'caller-credential-1'
 AUTHORIZATION_HEADER = {'Authorization': f'Bearer {CREDENTIAL}'}
 
-#: Time limit of each wait, which only failures exceed, also on a loaded machine.
+#: Time limit of each wait; only a failure exceeds it, even on a loaded machine.
 WAIT_TIMEOUT_S = 90
 POLL_INTERVAL_S = 0.05
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Submission:
-    """Request or job with its key and the replies to each time it was sent."""
+    """Request or job with its key and one reply for each time it was sent."""
 
     path: str
     body: dict[str, Any]
@@ -107,8 +107,8 @@
     async def read_state(self, entry: str) -> dict[str, Any]:
         """Return the document of ``/state`` of an entry VM."""
         url = self.deployment.entries[entry].admin_url('/state')
-        async with self.deployment.session.get(url) as reply:
-            return await reply.json()
+        async with self.deployment.session.get(url) as response:
+            return await response.json()
 
     async def create_key(self, entry: str) -> str:
         """Return a new idempotency key from an entry VM."""
--- a/tests/standin/test_endpoint.py
+++ b/tests/standin/test_endpoint.py
@@ -29,8 +29,10 @@
     url = f'http://{parts.HOST}:{dep.endpoints["urn"].port}/x'
     headers = {'X-Task': task, 'X-Run-Ms': str(run_ms)}
     try:
-        async with dep.session.post(url, headers=headers, data=b'b') as reply:
-            return reply.status, await reply.json()
+        async with dep.session.post(
+            url, headers=headers, data=b'b'
+        ) as response:
+            return response.status, await response.json()
     except aiohttp.ClientError:
         return None, {}
 
@@ -39,8 +41,11 @@
     """Guards against wrong records and faults, on which other tests rely."""
 
     def test_queue_is_first_come_and_bounded_by_slots(self) -> None:
-        """Guards against records that hide more tasks than slots."""
-        summary, starts, replies = asyncio.run(_run_five_on_one_slot())
+        """Guards against more tasks at once than slots, or starts out of order.
+
+        Five requests arrive at the same time at an endpoint with one slot.
+        """
+        summary, starts, responses = asyncio.run(_run_five_on_one_slot())
         self.assertThat(summary['most_running'], matchers.Equals(1))
         self.assertThat(len(starts), matchers.Equals(5))
         arrivals = [start['arrival'] for start in starts]
@@ -48,7 +53,7 @@
         for earlier, later in zip(starts, starts[1:]):
             self.assertTrue(earlier['end'] <= later['start'])
         digest = hashlib.sha256(b'b').hexdigest()
-        for number, (status, body) in enumerate(replies):
+        for number, (status, body) in enumerate(responses):
             expected = {'task': f't{number}', 'body_sha256': digest}
             self.assertThat(status, matchers.Equals(200))
             self.assertThat(
@@ -56,7 +61,7 @@
             )
 
     def test_faults(self) -> None:
-        """Guards against a mode that sends or records something else."""
+        """Guards against a mode whose response or record differs from FAULTS."""
         results = asyncio.run(_run_fault_modes())
         self.assertThat(results, matchers.Equals(list(FAULTS)))
 
@@ -65,8 +70,8 @@
 
         The blocked request fails with a reset when the mode changes.
         """
-        was_answered, status = asyncio.run(_run_silent_request())
-        self.assertFalse(was_answered)
+        had_response, status = asyncio.run(_run_silent_request())
+        self.assertFalse(had_response)
         self.assertIsNone(status)
 
     def test_connections_are_bounded(self) -> None:
@@ -86,10 +91,10 @@
 async def _run_five_on_one_slot() -> Any:
     async with deployment.Deployment() as dep:
         await dep.start_endpoints([ENDPOINT], slots=1)
-        replies = await asyncio.gather(
+        responses = await asyncio.gather(
             *(_post(dep, f't{number}', run_ms=20) for number in range(5))
         )
-        return *await dep.read_record('urn'), replies
+        return *await dep.read_record('urn'), responses
 
 
 async def _run_fault_modes() -> list[tuple[str, int | None, int]]:
@@ -111,9 +116,9 @@
         pending_request = asyncio.create_task(_post(dep, 'x'))
         while not (await dep.read_record('urn'))[1]:
             await asyncio.sleep(0.01)
-        was_answered = pending_request.done()
+        had_response = pending_request.done()
         await dep.set_endpoint_mode('urn', 'normal')
-        return was_answered, (await pending_request)[0]
+        return had_response, (await pending_request)[0]
 
 
 async def _exceed_connection_limit() -> dict[str, int]:
--- a/tests/standin/test_platform.py
+++ b/tests/standin/test_platform.py
@@ -25,7 +25,7 @@
 
 
 class StoreTest(testtools.TestCase):
-    """Lists are found by time, and the size limit applies."""
+    """VM lists are stored with their times, and the size limit applies."""
 
     def test_returns_the_list_in_force_at_a_time(self):
         store = platform_store.Store()
@@ -63,7 +63,7 @@
 
 
 class ServerTest(testtools.TestCase):
-    """Responses show the faults, and only as long as they are set."""
+    """Requests beyond a limit are refused; only set faults take effect."""
 
     def test_responds_with_429_above_its_rates(self):
         async def send_requests(client):
--- a/tests/standin/test_relay.py
+++ b/tests/standin/test_relay.py
@@ -118,8 +118,8 @@
             conn = await echo_relay.connect()
             started_at = time.monotonic()
             await _send_and_receive(conn)
-            took_ms = (time.monotonic() - started_at) * 1000
-            self.assertThat(took_ms, matchers.GreaterThan(2 * DELAY_MS - 5))
+            elapsed_ms = (time.monotonic() - started_at) * 1000
+            self.assertThat(elapsed_ms, matchers.GreaterThan(2 * DELAY_MS - 5))
 
         _run_scenario(scenario)
 
