--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -77,7 +77,7 @@
             self._tokens.get(vm, {}).pop(shard, None)
 
     def pending_jobs(self, route: ids.RouteId) -> int:
-        """Return how many stored jobs of a route are pending at other VMs."""
+        """Return how many stored jobs of a route are unstarted at other VMs."""
         return sum(
             count
             for vm_counts in self._pending_jobs.values()
--- a/sardineproxy/process/membership/table_follower.py
+++ b/sardineproxy/process/membership/table_follower.py
@@ -10,8 +10,8 @@
 from sardineproxy import clock, logs
 from sardineproxy.process import metrics, store
 
-#: Minimum and maximum back-off after a failed call, in seconds. All entry VMs
-#: share the store's rate limits, so the back-off is exponential.
+#: Minimum and maximum backoff after a failed call, in seconds. All entry VMs
+#: share the store's rate limits, so the backoff is exponential.
 BACK_OFF_MIN_S = 0.1
 BACK_OFF_MAX_S = 1.0
 
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -18,7 +18,8 @@
 CLAIM_DELAY_S = 0.05
 
 #: Additional delay of every further candidate, in seconds. The candidates
-#: are the reachable VMs of the shard's zone, or all reachable VMs without them.
+#: are the reachable VMs of the shard's zone, or all reachable VMs if the zone
+#: has none.
 CANDIDATE_STEP_S = 0.25
 
 #: Time without a leader, but with reachable workers, after which VMs of other
@@ -204,9 +205,9 @@
     ) -> bool:
         """Return whether the claim row of a led shard should be rewritten.
 
-        This is the case after a takeover without the store, after a change of
-        successors, and, as a heartbeat to other zones, while no other VM is
-        connected.
+        This is the case after a takeover without the store and after a change
+        of successors. While no other VM is connected, periodic rewrites are a
+        heartbeat to other zones.
         """
         claim = self._registry.claims.get(shard)
         if now < self._retry_at.get(shard, 0):
--- a/sardineproxy/process/node/job_intake.py
+++ b/sardineproxy/process/node/job_intake.py
@@ -1,4 +1,4 @@
-"""Handles clients' jobs at one node, from arrival to response."""
+"""Handles clients' jobs at one node, from arrival to reply."""
 
 from sardineproxy import clock, ids, logs
 from sardineproxy.process import metrics
@@ -86,9 +86,9 @@
     async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
-        """Return the state of a stored job, or cancel the job.
+        """Return a stored job's state, after cancelling it if ``cancel``.
 
-        Waits at most ``wait_s`` seconds for the response.
+        Waits at most ``wait_s`` seconds for the reply.
         """
         now = self._clock.now()
         reply = await self._job_service.query(job, wait_s, cancel=cancel)
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -326,7 +326,7 @@
         return self._feeds.last_response_at()
 
     def is_worker_list_available(self) -> bool:
-        """Return whether the store can currently read the list of workers."""
+        """Return whether the store currently serves the list of workers."""
         return self._feeds.is_worker_list_available()
 
     def is_isolated(self) -> bool:
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -69,15 +69,15 @@
     unknown = set(document).difference(_SECTIONS)
     if unknown:
         return result.Err(f'{min(unknown)}: unknown section')
-    workers = _parse_section(
+    calls = _parse_section(
         times.CallTiming, document.get('workers', {}), 'workers'
     )
-    if isinstance(workers, result.Err):
-        return workers
+    if isinstance(calls, result.Err):
+        return calls
     shard = _parse_section(times.ShardTiming, document.get('cell', {}), 'cell')
     if isinstance(shard, result.Err):
         return shard
-    shard_timing = dataclasses.replace(shard.ok_value, calls=workers.ok_value)
+    shard_timing = dataclasses.replace(shard.ok_value, calls=calls.ok_value)
     return result.Ok(Policy(shard=shard_timing))
 
 
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -201,7 +201,7 @@
     async def query_job(
         self, job: ids.JobId, wait_s: float, *, cancel: bool
     ) -> job_manager.JobReply:
-        """Return the state of a stored job, or cancel it."""
+        """Return a stored job's state, after cancelling it if ``cancel``."""
         return await self._node.job_intake.query(job, wait_s, cancel=cancel)
 
     def count_unstarted(self, route: routes.Route) -> int:
--- a/sardineproxy/process/shards/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -8,7 +8,8 @@
 #: attributed to the worker. One in 500 tasks fails through its own fault.
 SUSPECT_FAILED_JOBS = 2
 
-#: Shortest and longest ejection of a worker after failures, in seconds.
+#: Shortest and longest ejection of a worker after failed runs, a refused order
+#: or a stalled run, in seconds.
 EJECTION_MIN_S = 0.5
 EJECTION_MAX_S = 4.0
 
--- a/sardineproxy/process/shards/ledger.py
+++ b/sardineproxy/process/shards/ledger.py
@@ -53,7 +53,7 @@
         return run if run is not None and run.number == run_number else None
 
     def count_tasks(self, batch: runs.Batch) -> int:
-        """Return how many tasks of a batch may run on the worker."""
+        """Return the number of a batch's tasks with possible runs here."""
         prefix = batch.task_prefix
         started_count = sum(
             run.batch.key == batch.key for run in self.runs.values()
--- a/sardineproxy/process/shards/poller.py
+++ b/sardineproxy/process/shards/poller.py
@@ -1,4 +1,4 @@
-"""Polls one worker as long as runs may exist on it.
+"""Polls one worker, continuously only while runs may exist on it.
 
 A poll returns the results of runs, extends the lease of those that are still
 active, and confirms the worker's state after a call without a response.
@@ -174,7 +174,7 @@
                 return
 
     async def _pause_while_unacked(self) -> None:
-        """Pause before a poll that the worker would answer at once.
+        """Pause before a poll to which the worker would respond at once.
 
         The worker does not wait for a new result while it lists an
         unacknowledged one.
@@ -206,12 +206,12 @@
         if is_extendable and self._lease.has_clock:
             if has_unstopped_runs or self._ledger.unrequested:
                 expires_ms = self._lease.extend(now)
-        answer_at_once = self.is_unconfirmed or self._ledger.is_empty
+        respond_at_once = self.is_unconfirmed or self._ledger.is_empty
         return workers.Poll(
             fence=self._agent.fence,
             acked=self._reconciler.unacked.acked_through,
             expires_ms=expires_ms,
-            wait_s=0 if answer_at_once else self._cfg.look_wait_s,
+            wait_s=0 if respond_at_once else self._cfg.look_wait_s,
         )
 
     async def _handle_response(
--- a/sardineproxy/process/shards/reconciler.py
+++ b/sardineproxy/process/shards/reconciler.py
@@ -111,7 +111,10 @@
     def _track_progress(
         self, run: runs.Run, percent: float, now: float
     ) -> None:
-        """Stop a run without progress; its task restarts on another worker."""
+        """Record progress, or stop a run that makes none.
+
+        The worker is ejected then, so that the task restarts on another one.
+        """
         if percent > run.percent or not run.progress_at:
             run.percent = percent
             run.progress_at = now
--- a/sardineproxy/process/shards/scheduler.py
+++ b/sardineproxy/process/shards/scheduler.py
@@ -200,7 +200,11 @@
         chosen.start(run, now)
 
     def _decline_or_drop(self, batch: runs.Batch, now: float) -> None:
-        """Decline or drop a batch whose tasks cannot complete on time."""
+        """Decline or drop a batch whose tasks have waited too long.
+
+        It is declined if it cannot complete on time and no run of it may have
+        started, and dropped if its result would be of no use.
+        """
         if batch.stored:
             return
         if not batch.started and now > self._latest_start(batch):
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -39,7 +39,7 @@
         """Return when leadership of a shard was last confirmed.
 
         Local time, in seconds. Leadership is confirmed when the store
-        answers, or while all possible successors are reachable.
+        responds, or while all possible successors are reachable.
         """
 
 
@@ -119,8 +119,8 @@
     ) -> None:
         """Apply the newest list of the shard's workers.
 
-        ``complete`` means that the list is at least as new as the one that
-        the previous leader used.
+        ``complete`` means that the list is certain to contain every worker
+        that the previous leader may have used.
         """
         if complete:
             self._takeover.is_worker_list_complete = True
@@ -303,7 +303,7 @@
         return has_waited or not self._context.is_worker_list_available()
 
     def _update_confirmation(self, now: float) -> None:
-        """Let leases of stored jobs' runs expire if leadership is uncertain.
+        """Let leases of stored jobs' runs expire if leadership is unconfirmed.
 
         Another leader may exist then, and it starts the runs elsewhere even
         if their worker does not respond.
--- a/sardineproxy/process/shards/stored_results.py
+++ b/sardineproxy/process/shards/stored_results.py
@@ -96,7 +96,7 @@
     def send_unclaimed(self, now: float) -> None:
         """Send unclaimed results to the responsible job managers.
 
-        A manager answers with ``ResultsStored`` once it has stored them, or if
+        A manager replies with ``ResultsStored`` once it has stored them, or if
         the job is not stored.
         """
         for worker_agent in self._agents.values():
@@ -111,7 +111,11 @@
                     manager.send(_make_run_ended(self._shard, finished_run))
 
     def is_abandoned(self, batch: runs.Batch, now: float) -> bool:
-        """Return whether no coordinator will claim a detached batch."""
+        """Return whether a detached batch was not submitted again in time.
+
+        For a stored job, the time counts from the loading of its home shard's
+        jobs at the earliest.
+        """
         since = batch.orphaned_at
         if batch.stored:
             manager = self._job_managers.find_manager(batch.job)
--- a/sardineproxy/process/shards/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -47,8 +47,8 @@
     standstill_share: float = 0.05
 
     #: Pause between polls of a worker that lists results which are not stored
-    #: yet, because it answers such polls at once. A commit takes about this
-    #: long.
+    #: yet, because it responds to such polls at once. A commit takes about
+    #: this long.
     held_pause_s: float = 0.025
 
     #: Pause before a poll that only acknowledges results.
@@ -71,7 +71,7 @@
     list_wait_s: float = 0.7
 
     #: A new leader waits this long for reports of all workers before it
-    #: answers coordinators that resume their jobs.
+    #: replies to coordinators that resume their jobs.
     sync_s: float = 0.3
 
     #: Runs of a previous leader that no coordinator resumes are stopped after
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -119,8 +119,8 @@
         #: True once the job has ended and its final state is being stored.
         self.is_finishing = False
 
-        #: Resolves once the final state is stored (True), or once another
-        #: leader writes the table (False).
+        #: Resolves once the final state is stored (True), or once the attempt
+        #: to store it shows that another leader writes the table (False).
         self.finished: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
@@ -341,7 +341,10 @@
             )
 
     def _store_progress(self) -> None:
-        """Store new results, then acknowledge them to the workers."""
+        """Store new results, then acknowledge them to the workers.
+
+        Once all tasks are done, the commit of the final state does this.
+        """
         if not self._unacknowledged or not (
             self._open_tasks or self._waiting_steps
         ):
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -26,7 +26,8 @@
 
 #: Time in seconds that a query for a running job waits for its completion.
 #: Clients query at the expected end of a job, and again a quarter of a second
-#: later; the result of a run arrives up to one poll interval after its end.
+#: later; the result of a run arrives up to one pause between polls after its
+#: end.
 RUNNING_QUERY_WAIT_S = 0.04
 
 #: Time in seconds that a query waits while the final state of the job is
--- a/sardineproxy/process/stored_jobs/job_service.py
+++ b/sardineproxy/process/stored_jobs/job_service.py
@@ -101,7 +101,7 @@
     async def query(
         self, job: ids.JobId, wait_s: float, *, cancel: bool = False
     ) -> job_manager.JobReply:
-        """Return the state of a job, or cancel it first if ``cancel``."""
+        """Return the state of a job, after cancelling it if ``cancel``."""
         return await self._request_from_leader(
             job,
             wait_s,
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -81,7 +81,7 @@
     async def open(self) -> tuple[store.Row, ...] | None:
         """Become the only writer and return all rows.
 
-        Retries until the store answers. Returns None if a newer leader
+        Retries until the store responds. Returns None if a newer leader
         writes the table.
         """
         while not self.is_superseded:
--- a/tests/process/membership/test_leaders.py
+++ b/tests/process/membership/test_leaders.py
@@ -62,7 +62,7 @@
         self.assertEqual({SHARD: FIRST}, change.lost_shards)
 
     def test_shard_with_a_higher_own_token_stays(self) -> None:
-        """Guards against giving up a shard to its former leader.
+        """Guards against stepping down because of an outdated report.
 
         A former leader reports the shard until it learns of the takeover.
         """
--- a/tests/process/node/test_claiming.py
+++ b/tests/process/node/test_claiming.py
@@ -206,10 +206,10 @@
             rig = Rig(make_member('a'))
             rig.register(make_member('b'))
             await rig.claim()
-            successor = Rig(make_member('c'), rig.store)
-            successor.store.is_down = True
-            await successor.claim()
-            self.assertEqual([], successor.tokens)
+            other_process = Rig(make_member('c'), rig.store)
+            other_process.store.is_down = True
+            await other_process.claim()
+            self.assertEqual([], other_process.tokens)
 
         run(scenario)
 
--- a/tests/process/shards/test_agent.py
+++ b/tests/process/shards/test_agent.py
@@ -264,7 +264,10 @@
         samples.with_rig(scenario)
 
     def test_idle_worker_is_not_polled(self) -> None:
-        """Guards against needless polls, each of which has a cost."""
+        """Guards against needless polls, each of which has a cost.
+
+        An idle worker is polled only every 15 s, to read its clock.
+        """
 
         async def scenario(rig: samples.Rig) -> None:
             await rig.lead_and_sync()
--- a/tests/process/shards/test_shard.py
+++ b/tests/process/shards/test_shard.py
@@ -1,4 +1,4 @@
-"""Queue, placement, handover and takeover of a shard."""
+"""Queue, placement, list of workers and takeover of a shard."""
 
 import asyncio
 
