--- a/sardineproxy/connection/caller_connection.py
+++ b/sardineproxy/connection/caller_connection.py
@@ -73,7 +73,7 @@
 )
 
 Body = result.Result[bytes, problems.Problem]
-_log = logs.get_logger('caller')
+_LOG = logs.get_logger('caller')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -255,8 +255,8 @@
             problem = _MALFORMED_HTTP
         else:
             problem = _INTERNAL_ERROR
-            _log.error('Request handler raised an exception.', exc_info=exc)
-        _log.info('Request failed.', extra={'code': problem.code})
+            _LOG.error('Request handler raised an exception.', exc_info=exc)
+        _LOG.info('Request failed.', extra={'code': problem.code})
         if request.writer.output_size > 0:
             raise ConnectionError('the response has been sent in part')
         resp = render(documents.render_problem(_for_unread_key(problem)))
--- a/sardineproxy/connection/codec.py
+++ b/sardineproxy/connection/codec.py
@@ -114,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Envelope:
-    """A message and the header number of its frame."""
+    """A message and the number in the header of its frame."""
 
     message: Any
     header: int
--- a/sardineproxy/connection/deadlines.py
+++ b/sardineproxy/connection/deadlines.py
@@ -38,7 +38,10 @@
         self._timer_handle: asyncio.TimerHandle | None = None
 
     def start(self, *, timeout_s: float) -> Deadline:
-        """Cancel the current task after ``timeout_s`` if it is still open."""
+        """Start a deadline that cancels the current task after ``timeout_s``.
+
+        It stays open until ``finish`` closes it.
+        """
         loop = asyncio.get_running_loop()
         task = asyncio.current_task()
         assert task is not None
@@ -55,7 +58,7 @@
         return deadline
 
     def finish(self, deadline: Deadline) -> bool:
-        """Close the deadline; return whether only it cancelled the task.
+        """Close the deadline; return whether it alone cancelled the task.
 
         If so, a ``CancelledError`` in the coroutine is a timeout. If the task
         was cancelled from elsewhere too, the error has to be raised again.
--- a/sardineproxy/connection/endpoint.py
+++ b/sardineproxy/connection/endpoint.py
@@ -320,7 +320,7 @@
 
 @functools.lru_cache(maxsize=512)
 def _parse_header_name(raw_name: bytes) -> tuple[str, str, bool]:
-    """Return the name, its lower case, and if it is a control header."""
+    """Return the name, its lower case, and whether it is a control header."""
     name = raw_name.decode('latin-1')
     lowered = name.lower()
     return name, lowered, lowered in _CONTROL_HEADERS
--- a/sardineproxy/connection/peer.py
+++ b/sardineproxy/connection/peer.py
@@ -25,7 +25,7 @@
     Awaitable[tuple[asyncio.StreamReader, asyncio.StreamWriter]],
 ]
 
-_log = logs.get_logger('peer')
+_LOG = logs.get_logger('peer')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -114,7 +114,7 @@
         frame_type = type(frame).__name__
         encoded = frames.encode(frame, free_slots=self._ctx.count_free_slots())
         if isinstance(encoded, result.Err):
-            _log.error('Frame dropped: %s.', encoded.err_value)
+            _LOG.error('Frame dropped: %s.', encoded.err_value)
             return False
         if self._writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort('peer reads too slowly')
@@ -137,7 +137,7 @@
     def abort(self, cause: str) -> None:
         """Close without sending queued frames; pending reads end."""
         if not self._writer.is_closing():
-            _log.info('Peer stream closed: %s.', cause)
+            _LOG.info('Peer stream closed: %s.', cause)
         self._writer.transport.abort()
 
     def close(self) -> None:
--- a/sardineproxy/deployment.py
+++ b/sardineproxy/deployment.py
@@ -1,4 +1,4 @@
-"""Deployment of a dispatch process: addresses, limits and time bounds."""
+"""Settings of an entry VM: addresses, time bounds and CPU share."""
 
 import dataclasses
 
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -60,8 +60,8 @@
         seeds=_decode_seeds(document),
         store=fields.parse_address(fields.get_string(store, 'address')),
         bounds=_decode_bounds(fields.get_object(document, 'bounds')),
-        # The VM has the share ``cpu_share`` of a single core that is ``cores``
-        # times as fast as one core.
+        # ``cpu_share`` is a share of one core, which is ``cores`` times as
+        # fast as a standard core.
         cores=fields.get_number(limits, 'cpu_share')
         * fields.get_number(limits, 'cores'),
     )
--- a/sardineproxy/platform/store_http.py
+++ b/sardineproxy/platform/store_http.py
@@ -13,7 +13,7 @@
 
 #: Timeout of a call, in seconds, in addition to the time for which a feed may
 #: wait for changes. The slowest store that the platform specifies takes 95
-#: times 4 ms.
+#: times 4 ms for a call.
 RESPONSE_TIMEOUT_S = 0.6
 
 #: Maximum number of rows that the store returns in one page.
--- a/sardineproxy/request/coordinator.py
+++ b/sardineproxy/request/coordinator.py
@@ -59,7 +59,7 @@
         self._clock = clock
         self._deadline = deadline - RESPONSE_MARGIN_S
         self._events: asyncio.Queue[Event] = asyncio.Queue()
-        self._open = open_tasks.OpenTasks(
+        self._open_tasks = open_tasks.OpenTasks(
             job=job,
             route=route,
             router=router,
@@ -74,7 +74,10 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether a task has started or may have started."""
+        """Return whether a task may have started, as far as this VM knows.
+
+        A running task counts only once its leader reports a result or is lost.
+        """
         return self._may_have_run
 
     def post_event(self, event: Event) -> None:
@@ -94,11 +97,11 @@
         try:
             return await self._run(default_shard)
         finally:
-            self._open.withdraw()
+            self._open_tasks.withdraw()
 
     async def _run(self, default_shard: ids.ShardId) -> jobs.Outcome:
         self._start_ready_steps(default_shard)
-        while self._open:
+        while self._open_tasks:
             remaining_s = self._deadline - self._clock.now()
             try:
                 async with asyncio.timeout(self._event_timeout_s(remaining_s)):
@@ -112,12 +115,12 @@
         return jobs.Completed()
 
     def _event_timeout_s(self, remaining_s: float) -> float:
-        if self._open.has_unassigned():
+        if self._open_tasks.has_unassigned():
             return min(remaining_s, LEADER_WAIT_S)
         return remaining_s
 
     def _timeout_cause(self) -> str:
-        if self._open.has_unassigned():
+        if self._open_tasks.has_unassigned():
             return 'no shard leader before the timeout'
         return 'deadline passed'
 
@@ -129,12 +132,14 @@
                 continue
             self._waiting_steps.discard(step_index)
             tasks = open_tasks.new_tasks(self.job, step_index, default_shard)
-            self._open.add(tasks)
-            self._open.send(tasks, pinned=False, job_started=self._job_started)
+            self._open_tasks.add(tasks)
+            self._open_tasks.send(
+                tasks, pinned=False, job_started=self._job_started
+            )
 
     @property
     def _job_started(self) -> bool:
-        """Return whether a task may have started that is no longer open."""
+        """Return whether a task may have started, not just been submitted."""
         return self._may_have_run or bool(self._done_steps)
 
     def _handle_event(self, event: Event) -> jobs.Outcome | None:
@@ -147,20 +152,20 @@
             case open_tasks.LeaderLost():
                 self._handle_leader_lost(event)
             case open_tasks.LeaderFound(shard=shard):
-                self._open.resume(shard, job_started=self._job_started)
+                self._open_tasks.resume(shard, job_started=self._job_started)
             case Stalled():
                 return jobs.GivenUp(detail='process was stalled')
         return None
 
     def _handle_result(self, ended: messages.RunEnded) -> jobs.Outcome | None:
-        task = self._open.get((ended.step, ended.index))
+        task = self._open_tasks.get((ended.step, ended.index))
         if task is None or task.shard != ended.shard:
             return None
         self._may_have_run = True
         task.next_run = max(task.next_run, ended.run + 1)
         match jobs.TaskResult(ended.result):
             case jobs.TaskResult.DONE:
-                if self._open.close(task.key):
+                if self._open_tasks.close(task.key):
                     self._done_steps.add(ended.step)
                 return None
             case jobs.TaskResult.FAILED:
@@ -178,7 +183,9 @@
                 detail=f'task {task.index} failed {task.failures} times'
             )
         task.resumed = False
-        self._open.send([task], pinned=True, job_started=self._job_started)
+        self._open_tasks.send(
+            [task], pinned=True, job_started=self._job_started
+        )
         return None
 
     def _handle_declined(
@@ -189,7 +196,7 @@
         They move to the shard that the leader suggested. Tasks that have been
         moved before return to the default shard, unless it declined them.
         """
-        tasks = self._open.in_shard(
+        tasks = self._open_tasks.in_shard(
             declined.step, declined.indices, declined.shard
         )
         if not tasks:
@@ -199,12 +206,14 @@
         ):
             suggested = ids.ShardId(declined.suggested_shard)
             if self._router.leader_link(suggested) is not None:
-                self._open.move(tasks, suggested, job_started=self._job_started)
+                self._open_tasks.move(
+                    tasks, suggested, job_started=self._job_started
+                )
                 return None
         elif any(task.was_moved for task in tasks):
             default_shard = self._router.default_shard()
             if default_shard is not None and default_shard != declined.shard:
-                self._open.move(
+                self._open_tasks.move(
                     tasks, default_shard, job_started=self._job_started
                 )
                 return None
@@ -216,7 +225,7 @@
         """Return ``NotRun`` if no task can have started, else ``GivenUp``."""
         for task in tasks:
             task.leader = None
-        all_declined = len(tasks) == len(self._open)
+        all_declined = len(tasks) == len(self._open_tasks)
         if all_declined and not self._job_started:
             return jobs.NotRun(
                 detail=declined.cause, retry_after_s=declined.retry_after_s
@@ -224,7 +233,7 @@
         return jobs.GivenUp(detail=f'some tasks declined: {declined.cause}')
 
     def _handle_leader_lost(self, lost: open_tasks.LeaderLost) -> None:
-        unassigned = self._open.unassign(lost)
+        unassigned = self._open_tasks.unassign(lost)
         if unassigned:
             self._may_have_run = True
             _LOG.info(
@@ -237,4 +246,4 @@
                     'longest_wait_s': LEADER_WAIT_S,
                 },
             )
-        self._open.resume(lost.shard, job_started=self._job_started)
+        self._open_tasks.resume(lost.shard, job_started=self._job_started)
--- a/sardineproxy/request/fair_queue.py
+++ b/sardineproxy/request/fair_queue.py
@@ -114,7 +114,7 @@
         """Create a queue without tasks."""
         self._cfg = cfg or Config()
 
-        #: Flows of all customers so far; read-only for other modules.
+        #: Flows by customer; read-only for other modules.
         self.flows: dict[ids.CustomerId, flows.Flow] = {}
 
         #: Number of all waiting tasks; read-only for other modules.
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -56,7 +56,7 @@
     count: int
     resources: Resources
 
-    #: Rough estimate of a task's run time by the client, in seconds.
+    #: The client's rough estimate of a task's run time, in seconds.
     estimate_s: float
 
     #: Indices of earlier steps whose tasks must all be done first.
--- a/sardineproxy/request/open_tasks.py
+++ b/sardineproxy/request/open_tasks.py
@@ -1,6 +1,6 @@
 """Open tasks of one job, and the shard leaders that they are assigned to.
 
-Only the side that coordinates the job (coordinator or stored-job manager)
+Only the side that coordinates the job (coordinator or job manager)
 moves a task to another shard, so that a task never has runs in two shards.
 """
 
--- a/sardineproxy/request/records.py
+++ b/sardineproxy/request/records.py
@@ -5,7 +5,7 @@
 tombstones without the reply; evicting a tombstone early voids all older keys
 of the same customer that have no record. Eviction starts with the customer
 that has the most records, reply bytes or tombstones, depending on the exceeded
-limit, so that no customer can evict the entries of another.
+limit, so that no customer can evict the entries of one that has fewer.
 """
 
 import asyncio
--- a/sardineproxy/request/retries.py
+++ b/sardineproxy/request/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget, back-off and the rules for what is retried."""
+"""Retry budget, backoff and the rules for what is retried."""
 
 import dataclasses
 import random
--- a/sardineproxy/request/runner.py
+++ b/sardineproxy/request/runner.py
@@ -31,7 +31,7 @@
         #: Requests that may be retried; cancelled ones are removed.
         self._retriable: set[ids.RequestId] = set()
 
-        #: Events that end the back-off of a cancelled request early.
+        #: Events that end the backoff of a cancelled request early.
         self._cancel_events: dict[ids.RequestId, asyncio.Event] = {}
 
     async def run_single(self, *, task: work.Task) -> work.Outcome:
@@ -93,7 +93,7 @@
     async def _wait_to_retry(
         self, task: work.Task, outcome: work.Outcome, attempts: int
     ) -> bool:
-        """Wait for the back-off; return whether another attempt may start."""
+        """Wait for the backoff; return whether another attempt may start."""
         if attempts >= self._budget.cfg.max_attempts:
             return False
         if task.request_id not in self._retriable:
--- a/sardineproxy/version/contract_files.py
+++ b/sardineproxy/version/contract_files.py
@@ -94,7 +94,7 @@
         return result.Err(tuple(errors))
     errors.extend(
         f'{name}: {error}'
-        for error in contracts.find_unsatisfiable_limits(contract)
+        for error in contracts.find_contradictory_limits(contract)
     )
     return result.Err(tuple(errors)) if errors else result.Ok(contract)
 
--- a/sardineproxy/version/contracts.py
+++ b/sardineproxy/version/contracts.py
@@ -59,12 +59,13 @@
     max_deadline_ms: Annotated[int, pydantic.Field(ge=1, le=600_000)] = 120_000
 
 
-def find_unsatisfiable_limits(contract: Contract) -> tuple[str, ...]:
-    """Return one error for each limit that no request can satisfy."""
+def find_contradictory_limits(contract: Contract) -> tuple[str, ...]:
+    """Return one error for each limit that contradicts another one."""
     max_job_tasks = contract.max_job_tasks
     errors = [
         f'{name}: found {found}; expected at least max_job_tasks, '
-        f'{max_job_tasks}, as no job of that size would be admitted.'
+        f'{max_job_tasks}, as a job of that size would be admitted only '
+        'while the customer is idle.'
         for name, found in (
             ('submit_burst', contract.submit_burst),
             ('queue', contract.queue),
--- a/sardineproxy/version/polling.py
+++ b/sardineproxy/version/polling.py
@@ -1,4 +1,4 @@
-"""Intervals, back-off and timeouts of polling the platform."""
+"""Intervals, backoff and timeouts of polling the platform."""
 
 import asyncio
 import dataclasses
@@ -19,7 +19,7 @@
 
     A version must be active on all VMs within 8 s, even if the open connection
     to the platform no longer responds: a poll interval, the timeout of the
-    poll, the first back-off and a second poll take about 6 s together.
+    poll, the first backoff and a second poll take about 6 s together.
     """
 
     poll_s: float = 2
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -104,7 +104,7 @@
 
     @hypothesis.given(strategies.binary(max_size=40))
     @examples.settings()
-    def test_any_bytes_are_an_error_or_a_worker(self, body: bytes) -> None:
+    def test_random_bytes_are_an_error(self, body: bytes) -> None:
         """Guards against an entry whose contents terminate the process."""
         decoded = worker_entries.decode(
             store.Row(key='servers/i-1', revision=1, body=body)
--- a/tests/request/test_retries.py
+++ b/tests/request/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget and the back-off."""
+"""Tests of the retry budget and the backoff."""
 
 import random
 
--- a/tests/version/test_contract_files.py
+++ b/tests/version/test_contract_files.py
@@ -36,12 +36,13 @@
     (
         {'submit_burst': 1699},
         'submit_burst: found 1699; expected at least max_job_tasks, 1700, '
-        'as no job of that size would be admitted.',
+        'as a job of that size would be admitted only while the customer is '
+        'idle.',
     ),
     (
         {'queue': 10},
-        'queue: found 10; expected at least max_job_tasks, 1700, as no '
-        'job of that size would be admitted.',
+        'queue: found 10; expected at least max_job_tasks, 1700, as a '
+        'job of that size would be admitted only while the customer is idle.',
     ),
     (
         {'default_deadline_ms': 2, 'max_deadline_ms': 1},
