--- a/deploy/make_variant.py
+++ b/deploy/make_variant.py
@@ -1,4 +1,6 @@
-"""Writes a variant of a site file, for tests, in which all jobs are stored.
+"""Writes a variant of a site file for tests, with stored jobs only.
+
+Jobs that the site file marks with ``loose = true`` are not stored.
 
     python3 deploy/make_variant.py SITE.toml COPY.toml [STEPS]
 
--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -124,8 +124,8 @@
     ) -> bool:
         """Return whether the backlog is large or old.
 
-        It is large if more than ``max_waiting`` tasks wait, and old if tasks
-        have waited for ``min_backlog_age_s``.
+        It is large if more than ``max_waiting`` tasks wait, and old if it has
+        lasted for ``min_backlog_age_s``.
         """
         waiting = sum(demand.waiting for demand in self.customers(now))
         if waiting > max_waiting:
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -38,8 +38,8 @@
         default_factory=fair_queue.Config
     )
 
-    #: Delay in seconds before blocked customers are tried again. These could
-    #: use none of the free slots.
+    #: Delay in seconds before blocked customers, which could use none of the
+    #: free slots, are tried again.
     blocked_retry_s: float = 0.05
 
     #: Shortest interval between items of the backlog stream, in seconds.
@@ -132,7 +132,10 @@
         return outcome
 
     def cancel(self, *, request_id: ids.RequestId) -> None:
-        """Refuse the waiting tasks of a request as cancelled."""
+        """Refuse the waiting tasks of a request as cancelled.
+
+        Tasks that have a slot but are not sent yet are refused, too.
+        """
         for entry in self._queue.cancel(request_id):
             self._refuse(entry, _cancelled())
 
@@ -161,7 +164,7 @@
         )
 
     def start_waiting_tasks(self) -> None:
-        """Start waiting tasks after a change of the slot table."""
+        """Start all waiting tasks that can use a free slot."""
         if self._queue.waiting:
             now = self._clock.now()
             self._matcher.match_all(now=now)
--- a/sardineproxy/process/gossip.py
+++ b/sardineproxy/process/gossip.py
@@ -5,7 +5,7 @@
 
 
 class Gossip:
-    """Combines the version follower and the VM list for peer streams."""
+    """Implements ``config_exchange.Gossip`` with the two followers."""
 
     def __init__(
         self,
--- a/sardineproxy/process/health.py
+++ b/sardineproxy/process/health.py
@@ -20,7 +20,7 @@
 #: Shortest run time used in estimates, in seconds; keeps logarithms finite.
 MIN_RUN_S = 1e-6
 
-_log = logs.get_logger('dispatch')
+_LOG = logs.get_logger('dispatch')
 
 
 class Health:  # noqa: WPS214
@@ -206,7 +206,7 @@
         request_id: ids.RequestId,
         now: float,
     ) -> None:
-        """Eject an endpoint that was unreachable or responded 503."""
+        """Eject an endpoint that was unreachable or responded with 503."""
         estimate = self._estimates.get(endpoint)
         if estimate is None:
             return
@@ -339,7 +339,7 @@
         self._ejected[endpoint] = estimate
         self.ranks.pop(endpoint, None)
         estimate.renew_ejection(cfg=self._cfg, rng=self._rng, now=now)
-        _log.warning(
+        _LOG.warning(
             'Endpoint ejected after failures.', extra={'endpoint': endpoint}
         )
 
@@ -357,7 +357,7 @@
         estimate.readmitted_at = now
         estimate.running_probes = 0
         self._ejected.pop(endpoint, None)
-        _log.info(
+        _LOG.info(
             'Endpoint responded after its ejection; returned to service.',
             extra={'endpoint': endpoint},
         )
--- a/sardineproxy/process/health_estimates.py
+++ b/sardineproxy/process/health_estimates.py
@@ -15,7 +15,7 @@
 #: so that noise in the estimates does not send all tasks to one endpoint.
 SCORE_STEP = 1.1
 
-#: Number of requests whose failures and successes are tracked.
+#: Maximum number of requests whose failures and successes are tracked.
 MAX_TRACKED_REQUESTS = 1024
 
 _RANKS_PER_LOG_UNIT = 1 / math.log(SCORE_STEP)
@@ -45,8 +45,8 @@
     jitter: float = 0.25
 
     #: Time on probation in seconds after which a task that may not be retried
-    #: may be used as a probe. Such a task fails if the probe fails, so that
-    #: idempotent tasks are preferred while other endpoints are in service.
+    #: may be used as a probe. Such a task fails if the probe fails, so only
+    #: idempotent tasks probe earlier, unless no other endpoint is in service.
     unsafe_probe_after_s: float = 10
 
     #: Time in service after which the length of ejections is reset to the
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -1,7 +1,7 @@
 """Matching of waiting tasks to free slots.
 
-Between two events no waiting task can use a free slot. After the release of one
-slot it is therefore enough to start a single task.
+Once an event has been handled, no waiting task can use a free slot. After the
+release of one slot it is therefore enough to start a single task.
 """
 
 import dataclasses
@@ -122,7 +122,7 @@
             self._queue.schedule(skipped)
 
     def report_stragglers(self, *, now: float) -> None:
-        """Report tasks that run for too long to the health estimates."""
+        """Record stragglers in the health estimates of their endpoints."""
         starts_by_endpoint: dict[ids.EndpointId, list[float]] = {}
         for placement in self.running.values():
             limit_s = self._health.straggler_after_s(
--- a/sardineproxy/process/metrics.py
+++ b/sardineproxy/process/metrics.py
@@ -8,7 +8,7 @@
 MAX_MICROSECONDS = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
 MICROSECONDS_PER_SECOND = 1_000_000
-QUANTILES = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 Labels = tuple[tuple[str, str], ...]
 
@@ -62,7 +62,7 @@
 def _render_summary(
     name: str, labels: Labels, durations: histogram.HdrHistogram
 ) -> Iterator[str]:
-    for percentile in QUANTILES:
+    for percentile in PERCENTILES:
         quantile = (('quantile', f'{percentile / 100:g}'),)
         micros = durations.get_value_at_percentile(percentile)
         yield 'sardineproxy_{name}{labels} {seconds:.6f}'.format(
--- a/sardineproxy/process/ownership.py
+++ b/sardineproxy/process/ownership.py
@@ -50,12 +50,12 @@
         return self._views.pending_announcements(settled=self.settled)
 
     def drop_owned(self) -> None:
-        """Release all slots until the peers confirm a view again."""
+        """Drop the ownership of all slots until a view is confirmed again."""
         self._views.drop_owned()
         self._table.set_owned({})
 
     def leave(self) -> None:
-        """Release all slots permanently."""
+        """Drop the ownership of all slots permanently."""
         self._views.leave()
         self._table.set_owned({})
 
--- a/sardineproxy/process/peer_events.py
+++ b/sardineproxy/process/peer_events.py
@@ -15,7 +15,7 @@
 )
 from sardineproxy.request import forwarding
 
-_log = logs.get_logger('peer')
+_LOG = logs.get_logger('peer')
 
 
 class PeerEvents:
@@ -118,7 +118,7 @@
             frames.ForwardReply(number=forward.number, payload=reply)
         )
         if not sent:
-            _log.info(
+            _LOG.info(
                 'Reply to a forward from peer %s dropped: stream is closed.',
                 stream.hello.vm,
             )
--- a/sardineproxy/process/peers.py
+++ b/sardineproxy/process/peers.py
@@ -29,7 +29,7 @@
 
 Gossip = config_exchange.Gossip
 
-_log = logs.get_logger('peer')
+_LOG = logs.get_logger('peer')
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -139,7 +139,7 @@
         self._ticker = asyncio.create_task(self._run_ticks())
 
     async def leave(self) -> None:
-        """Release all slots and send Goodbye to the peers.
+        """Drop the ownership of all slots and send Goodbye to the peers.
 
         Waits until no task runs on the slots, here or at borrowers, but at
         most for ``max_task_s``.
@@ -286,7 +286,7 @@
         last = self._last_tick_at
         self._last_tick_at = now
         if last is not None and now - last >= self._cfg.stream.peer_silent_s:
-            _log.warning(
+            _LOG.warning(
                 'Event loop stalled for %.1f s; dropping owned slots and '
                 'closing all peer streams.',
                 now - last,
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -347,7 +347,7 @@
         rows = tuple(_to_row(row) for row in document['rows'])
         has_more = document['more']
     except (KeyError, TypeError, ValueError):
-        return _invalid('response of the platform is no valid page of rows')
+        return _invalid('response of the platform is not a valid page of rows')
     keys = [after, *(row.key for row in rows)]
     is_sorted = all(low < high for low, high in zip(keys, keys[1:]))
     has_prefix = all(row.key.startswith(prefix) for row in rows)
--- a/sardineproxy/process/routing.py
+++ b/sardineproxy/process/routing.py
@@ -8,7 +8,8 @@
 from sardineproxy.request import flows, work
 
 #: A task that was interrupted by its deadline counts as a failure of the
-#: endpoint only if it ran for this multiple of the customer's mean run time.
+#: endpoint only if it ran for at least this multiple of the customer's mean run
+#: time.
 DEADLINE_FAILURE_FACTOR = 2
 
 #: Rank of endpoints that are not in service; larger than all other ranks.
--- a/sardineproxy/process/settings.py
+++ b/sardineproxy/process/settings.py
@@ -18,7 +18,7 @@
 #: Part of the shutdown limit reserved for closing connections, in seconds.
 CLOSE_TIMEOUT_S = 2
 
-#: Minimum difference of the limit and the notice of a shutdown, in seconds.
+#: Minimum time between the notice and the limit of a shutdown, in seconds.
 MIN_SHUTDOWN_S = 3
 
 
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
-    """The right to run one task at an endpoint until it is released."""
+    """Permission to run one task at an endpoint, until its release."""
 
     number: int
     endpoint: ids.EndpointId
@@ -203,7 +203,7 @@
     def is_usage_within(
         self, owned: Mapping[ids.EndpointId, int], division: LimitDivision
     ) -> bool:
-        """Return whether used and lent slots fit into another ownership.
+        """Return whether used and lent slots are within another ownership.
 
         Checks both the slots of each endpoint and the shares of the limits.
         """
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -28,7 +28,7 @@
 BACK_OFF_MIN_S = 0.1
 BACK_OFF_MAX_S = 2
 
-_log = logs.get_logger('peer')
+_LOG = logs.get_logger('peer')
 
 
 class StreamEvents(Protocol):
@@ -201,7 +201,7 @@
                 stream, expected=neighbor.vm
             )
         except (OSError, TimeoutError) as exc:
-            _log.info(
+            _LOG.info(
                 'Cannot connect to peer %s: %s.',
                 neighbor.vm,
                 type(exc).__name__,
@@ -264,7 +264,7 @@
 
     def _reject(self, stream: peer.Stream, cause: str) -> None:
         self._ctx.metrics.count('peer_streams_rejected_total')
-        _log.warning('Peer stream rejected: %s.', cause)
+        _LOG.warning('Peer stream rejected: %s.', cause)
         stream.abort(cause)
 
     def _register(self, stream: peer.Stream) -> bool:
@@ -277,7 +277,7 @@
             old.abort('replaced by a newer stream')
             self._unregister(old)
         self.by_vm[hello.vm] = stream
-        _log.info('Stream to peer %s opened.', hello.vm)
+        _LOG.info('Stream to peer %s opened.', hello.vm)
         self._events.stream_opened(stream)
         return True
 
--- a/sardineproxy/process/views.py
+++ b/sardineproxy/process/views.py
@@ -99,8 +99,8 @@
         self._peers: dict[ids.VmId, _MemberPeer] = {}
 
         #: Times since which processes of the zone have been absent, that is,
-        #: without a stream. Processes that are no longer listed are removed
-        #: after the grace period.
+        #: without a stream. Processes that are no longer listed as live are
+        #: removed after the grace period.
         self._absent_since: dict[ids.VmId, float] = {}
 
         #: Processes without a stream that had sent Goodbye. They do not count
@@ -166,7 +166,7 @@
         self._is_outdated = True
 
     def drop_owned(self) -> None:
-        """Release all slots until the peers confirm a view again."""
+        """Drop the ownership of all slots until a view is confirmed again."""
         self.owned = {}
         self._epoch += 1
         self.confirmed = False
@@ -174,7 +174,8 @@
     def update_candidate(self, now: float) -> bool:
         """Compute the candidate view; return whether it has changed.
 
-        Slots that are not owned in the new candidate are released.
+        The ownership of slots that the new candidate does not assign to this
+        process is dropped.
         """
         self._update_absent(now)
         if not self._is_outdated:
@@ -288,9 +289,10 @@
         )
 
     def _update_absent(self, now: float) -> None:
-        """Add live processes without a stream, and remove unlisted ones.
+        """Add live processes without a stream.
 
-        The latter are removed after the grace period.
+        Processes that are no longer listed as live are removed after the grace
+        period.
         """
         live_sizes = self._live_sizes
         self._departed_vms.intersection_update(live_sizes)
--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the modules of the same name."""
+"""Tests of the modules in ``sardineproxy.process``."""
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -76,7 +76,7 @@
         self.assertEqual(1, sum(self.table.lend(X, 5).values()))
         self.assertIs(None, self.acquire(E2))
 
-    def test_slot_released_in_use_is_still_used_when_owned_again(self) -> None:
+    def test_slot_stays_in_use_when_its_ownership_changes(self) -> None:
         """Guards against usage counts that are lost with the ownership.
 
         A view removes an endpoint with a running task, and a later view adds
--- a/tests/process/test_views.py
+++ b/tests/process/test_views.py
@@ -180,8 +180,9 @@
     def test_announcements_in_transit_confirm_nothing(self) -> None:
         """Guards against two owners after outdated confirmations.
 
-        A returns to its previous view before it receives the announcements of
-        the newer view of B and C.
+        All members change from the view of ``a`` and ``b`` to that of ``b`` and
+        ``c``. ``a`` returns to the former view before the announcements of the
+        others reach it.
         """
         zone = _confirmed_zone()
         zone.set_listing(2, 'ab', 'abc')
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -119,7 +119,7 @@
         await self._kill_and_restart(self._choose_vm(), duration_s)
 
     async def _kill_leader(self, duration_s: float) -> None:
-        """Kill the VM that wrote the newest claim."""
+        """Kill the VM that holds the newest claim of a shard."""
         claims = self._fleet.rows.read('sardineproxy', start='cell/').rows
         newest = max(
             (row for row in claims if row.key.startswith('sardineproxy/cell/')),
@@ -128,6 +128,7 @@
         )
         if newest is None or newest.body is None:
             return
+        # The first list in a claim is its owner, a VM and an incarnation.
         for entry_vm in self._fleet.vms.values():
             if f'"{entry_vm.name}"'.encode() in newest.body.split(b']')[0]:
                 await self._kill_and_restart(entry_vm, duration_s)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Deployment of one run: store, workers, entry VMs and the operator."""
+"""Deployment of one run: store, workers, entry VMs and configuration."""
 
 import asyncio
 import json
@@ -97,7 +97,11 @@
     def pick_vm(
         self, zone: str, rng: random.Random, excluded: vm.Vm | None = None
     ) -> vm.Vm:
-        """Return a VM to which a load balancer would connect a client."""
+        """Return a VM to which a load balancer would connect a client.
+
+        All VMs of a zone are used if fewer than half are ready. Clients of a
+        zone without ready VMs connect to ready VMs of other zones, if any.
+        """
         zone_vms = [
             entry_vm for entry_vm in self.vms.values() if entry_vm.zone == zone
         ]
--- a/tests/soak/trace.py
+++ b/tests/soak/trace.py
@@ -13,7 +13,7 @@
     vm: str
     sent_at: float
 
-    #: Time limit of the reply, or time until the client disconnects.
+    #: Timeout for the reply, or time until the client disconnects.
     wait_s: float
     ended_at: float = math.inf
 
--- a/tests/soak/vm.py
+++ b/tests/soak/vm.py
@@ -64,6 +64,8 @@
         self.front = relay_server.Relay(host=host, port=self.front_port)
         self.links = relay_server.Relay(host=host, port=self.control_port)
         self.store = relay_server.Relay(host=store.host, port=store.port)
+
+        #: Ports of the relays on 127.0.0.1, by relay name.
         self.ports: dict[str, int] = {}
 
         #: Number of starts of the process.
