--- a/sardineproxy/process/shards/fencing.py
+++ b/sardineproxy/process/shards/fencing.py
@@ -3,7 +3,7 @@
 A worker refuses an order whose fence is lower than the highest one that it
 has seen. A fence combines the epoch of the claim, the rank of the leader
 among the claim's successors (0 for the claim's own leader), and a counter
-that the leader keeps per worker.
+that the leader maintains per worker.
 """
 
 import dataclasses
--- a/sardineproxy/process/shards/health.py
+++ b/sardineproxy/process/shards/health.py
@@ -15,10 +15,10 @@
 
 #: Smallest weight of one run time in the speed estimate; it is larger for the
 #: first runs. Clients' estimates are off by a factor of 1.5 (standard
-#: deviation), so that a single one proves little.
+#: deviation), so that a single run time is weak evidence.
 SPEED_WEIGHT = 0.05
 
-#: Number of run times that weigh as much as the prior speed of 1.
+#: Weight of the prior speed of 1 in the speed estimate, in run times.
 PRIOR_WEIGHT = 4
 
 #: A run that takes this many times as long as expected is sufficient evidence
--- a/sardineproxy/process/shards/runs.py
+++ b/sardineproxy/process/shards/runs.py
@@ -113,7 +113,7 @@
     link: link.Link | None
 
     #: Local time at which the link was lost, in seconds.
-    orphaned_at: float = 0
+    detached_at: float = 0
 
     #: Expected run time on a worker of speed 1, in seconds.
     expected_s: float
--- a/sardineproxy/process/shards/shard.py
+++ b/sardineproxy/process/shards/shard.py
@@ -120,7 +120,7 @@
         """Apply the newest list of the shard's workers.
 
         ``complete`` means that the list is certain to contain every worker
-        that the previous leader may have used.
+        that the former leader may have used.
         """
         if complete:
             self._takeover.is_worker_list_complete = True
@@ -167,7 +167,7 @@
         for batch in self._backlog.all():
             if batch.link is lost_link:
                 batch.link = None
-                batch.orphaned_at = now
+                batch.detached_at = now
         self._stored_results.release_claims(lost_link)
         self._takeover.discard(lost_link)
 
@@ -337,7 +337,7 @@
                 worker_agent.abandon()
 
     def _add(self, worker: workers.Worker) -> None:
-        added = agent.Agent(
+        worker_agent = agent.Agent(
             worker=worker,
             token=self.token,
             api=self._api,
@@ -347,8 +347,8 @@
             cfg=self._cfg.calls,
             fence_count=self._former_fence_counts.pop(worker.worker, -1) + 1,
         )
-        self._agents[worker.worker] = added
-        added.open()
+        self._agents[worker.worker] = worker_agent
+        worker_agent.open()
 
     def _reattach_stored(
         self,
@@ -382,7 +382,7 @@
     def _resume(
         self, source: link.Link, message: messages.Submit, now: float
     ) -> None:
-        """Adopt the runs that a previous leader started for a coordinator."""
+        """Adopt the runs that a former leader started for a coordinator."""
         batch = self._make_batch(source, message, now)
         tasks = self._stored_results.send_listed(batch, source, message)
         unstarted = self._takeover.resume(batch, tasks, now)
--- a/sardineproxy/process/shards/stored_results.py
+++ b/sardineproxy/process/shards/stored_results.py
@@ -116,13 +116,13 @@
         For a stored job, the time counts from the loading of its home shard's
         jobs at the earliest.
         """
-        since = batch.orphaned_at
+        waiting_since = batch.detached_at
         if batch.stored:
             manager = self._job_managers.find_manager(batch.job)
             if manager is None:
                 return False
-            since = max(since, manager.since)
-        return now >= since + self._cfg.orphan_s
+            waiting_since = max(waiting_since, manager.since)
+        return now >= waiting_since + self._cfg.orphan_s
 
     def _claims_valid_from(
         self, task: workers.TaskName, now: float
@@ -136,8 +136,10 @@
         manager = self._job_managers.find_manager(job)
         if manager is None or self._takeover.has_deferred(job):
             return None
-        since = max(manager.since, self._leader_since)
-        return manager.since if now >= since + self._cfg.adopt_s else None
+        waiting_since = max(manager.since, self._leader_since)
+        return (
+            manager.since if now >= waiting_since + self._cfg.adopt_s else None
+        )
 
 
 _TASK_RESULTS = types.MappingProxyType(
--- a/sardineproxy/process/shards/takeover.py
+++ b/sardineproxy/process/shards/takeover.py
@@ -1,6 +1,6 @@
 """Takeover of a shard's runs by a new leader.
 
-Runs that the previous leader started continue. Coordinators submit their
+Runs that the former leader started continue. Coordinators submit their
 tasks again to resume them; runs that no coordinator resumes are stopped.
 """
 
@@ -31,7 +31,7 @@
 
 
 class Takeover:
-    """Adopts the runs that the previous leader started."""
+    """Adopts the runs that the former leader started."""
 
     def __init__(
         self,
@@ -48,17 +48,17 @@
         self._leader_since = leader_since
         self._deferred: list[DeferredSubmit] = []
 
-        #: True once all workers are listed that the previous leader may have
+        #: True once all workers are listed that the former leader may have
         #: used.
         self.is_worker_list_complete = False
 
-        #: True while runs of the previous leader may be resumed.
+        #: True while runs of the former leader may be resumed.
         self.accepts_resumes = True
 
     def must_defer(self, message: messages.Submit, now: float) -> bool:
         """Return whether a submission must wait for reports of workers.
 
-        A stored job waits until every run of the previous leader is either
+        A stored job waits until every run of the former leader is either
         reported or has certainly ended.
         """
         if self.are_all_runs_reported():
--- a/sardineproxy/process/shards/times.py
+++ b/sardineproxy/process/shards/times.py
@@ -66,19 +66,19 @@
 
     calls: CallTiming = CallTiming()
 
-    #: A new leader waits this long for a new list of workers. Calls to the
+    #: Longest wait of a new leader for a new list of workers. Calls to the
     #: store time out after 0.6 s.
     list_wait_s: float = 0.7
 
-    #: A new leader waits this long for reports of all workers before it
-    #: replies to coordinators that resume their jobs.
+    #: Longest wait of a new leader for reports of all workers before it
+    #: replies to coordinators that resume jobs that are not stored.
     sync_s: float = 0.3
 
-    #: Runs of a previous leader that no coordinator resumes are stopped after
+    #: Runs of a former leader that no coordinator resumes are stopped after
     #: this time.
     adopt_s: float = 0.5
 
-    #: After this time no run of a previous leader exists on a worker that has
+    #: After this time no run of a former leader exists on a worker that has
     #: not reported. An isolated leader stops extending leases after
     #: ``unconfirmed_s``, and they last for 1 s, or 1.02 s on a slow clock.
     former_runs_s: float = 3.5
--- a/sardineproxy/process/shards/workers.py
+++ b/sardineproxy/process/shards/workers.py
@@ -39,7 +39,7 @@
 
 
 class Refusal(enum.Enum):
-    """Reason why a worker refused an order."""
+    """Reason why a worker refused an order or a poll."""
 
     #: The worker has seen a higher fence.
     FENCED = 'fenced'
@@ -86,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """The order was not executed."""
+    """The worker refused the order or poll and did not execute it."""
 
     reason: Refusal
     detail: str = ''
@@ -94,7 +94,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unanswered:
-    """No response; the order may have been executed, or may be later."""
+    """No response; the call may have been executed, or may be later."""
 
     #: True if no connection was established, so that nothing was sent.
     unsent: bool
@@ -162,8 +162,8 @@
     #: Results up to this position are acknowledged; the worker drops them.
     acked: int
 
-    #: New end of the lease on the worker's clock, None to keep the current
-    #: one.
+    #: New end of the lease on the worker's clock, None to leave it
+    #: unchanged.
     expires_ms: int | None
 
     #: Longest wait of the worker for a new result, in seconds.
--- a/sardineproxy/process/stored_jobs/execution.py
+++ b/sardineproxy/process/stored_jobs/execution.py
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CancelRequested:
-    """The client asked to cancel the job."""
+    """A client's request to cancel the job."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -86,7 +86,7 @@
     ) -> None:
         """Create the execution of a job that is already stored.
 
-        ``resumed`` means that a previous leader of the home shard may have
+        ``resumed`` means that a former leader of the home shard may have
         sent tasks of the job. ``start`` sends the first tasks.
         """
         self._resumed = resumed
@@ -178,7 +178,7 @@
         return records.JobState.QUEUED
 
     async def _run(self) -> records.JobState | None:
-        """Return the final state, None if another leader has the job."""
+        """Return the final state, None if another leader took over the job."""
         while self._open_tasks or self._waiting_steps:
             event = await self._events.get()
             self._refresh_route()
@@ -276,7 +276,7 @@
         return self._record_failure(key, ended.run)
 
     def _record_success(self, key: open_tasks.TaskKey) -> None:
-        """Record a success, also of a task that a previous leader sent."""
+        """Record a success, also of a task that a former leader sent."""
         self._progress.record_success(key)
         if self._open_tasks.get(key) is not None and self._open_tasks.close(
             key
@@ -311,8 +311,8 @@
     def _handle_declined(self, declined: messages.Declined) -> None:
         """Move declined tasks to the suggested shard, else to the home shard.
 
-        The new shard is stored before the tasks are sent, because the next
-        leader has to look for their runs there.
+        The new shard is stored before the tasks are sent, so that the next
+        leader resumes them in that shard.
         """
         tasks = self._open_tasks.in_shard(
             declined.step, declined.indices, declined.shard
--- a/sardineproxy/process/stored_jobs/job_manager.py
+++ b/sardineproxy/process/stored_jobs/job_manager.py
@@ -34,7 +34,8 @@
 #: being stored. A commit takes 16 ms, so the reply usually has the new state.
 FINISHING_QUERY_WAIT_S = 0.1
 
-#: Time in seconds that final states are kept beyond their retention.
+#: Delay in seconds from the end of the retention of a final state until its
+#: row may be removed.
 CLEANUP_SLACK_S = 10.0
 
 #: Interval of the removal of expired final states, in seconds.
@@ -81,7 +82,7 @@
     ) -> None:
         """Create a manager without jobs; ``start`` loads the stored ones.
 
-        States of ended jobs are kept for ``retention_s`` seconds.
+        States of ended jobs are retained for at least ``retention_s`` seconds.
         """
         self.shard = table.shard
         self._table = table
--- a/sardineproxy/process/stored_jobs/job_table.py
+++ b/sardineproxy/process/stored_jobs/job_table.py
@@ -89,7 +89,7 @@
             if outcome is _Outcome.SUPERSEDED:
                 self._mark_superseded()
             if outcome is _Outcome.DONE:
-                # The previous leader can no longer write, so this read sees
+                # The former leader can no longer write, so this read sees
                 # all its changes.
                 rows = await self._rows.read()
                 if rows is not None:
--- a/sardineproxy/process/stored_jobs/records.py
+++ b/sardineproxy/process/stored_jobs/records.py
@@ -177,7 +177,9 @@
 def _unpack(body: bytes) -> list[Any]:
     row_items = msgpack.unpackb(body)
     if not isinstance(row_items, list) or row_items[:1] != [FORMAT_VERSION]:
-        raise ValueError('unsupported format version')
+        raise ValueError(
+            f'expected an array starting with format version {FORMAT_VERSION}'
+        )
     return row_items[1:]
 
 
--- a/sardineproxy/request/admission.py
+++ b/sardineproxy/request/admission.py
@@ -155,7 +155,7 @@
         )
         refusal = check_limits(admitted=admitted) or self._charge(
             contract=contract,
-            tasks=len(admitted.document.tasks),
+            task_count=len(admitted.document.tasks),
             waiting=waiting,
             now=now,
         )
@@ -177,18 +177,18 @@
         self,
         *,
         contract: contracts.Contract,
-        tasks: int,
+        task_count: int,
         waiting: int,
         now: float,
     ) -> problems.Problem | None:
-        """Spend ``tasks`` tokens, or return the refusal.
+        """Spend one token per task, or return the refusal.
 
         A submission larger than the bucket or the queue is admitted when the
         bucket is full and the queue is empty; otherwise a job of
         ``max_job_tasks`` could never be admitted. The number of tokens then
         becomes negative.
         """
-        if waiting and waiting + tasks > contract.queue:
+        if waiting and waiting + task_count > contract.queue:
             return problems.refusal(
                 code='queue_full',
                 status=429,
@@ -198,7 +198,7 @@
                 ),
                 retry_after_s=RETRY_AFTER_S,
             )
-        wait_s = self._spend_tokens(contract, tasks, now)
+        wait_s = self._spend_tokens(contract, task_count, now)
         if wait_s > 0:
             return problems.refusal(
                 code='rate_limited',
@@ -212,7 +212,7 @@
         return None
 
     def _spend_tokens(
-        self, contract: contracts.Contract, tasks: int, now: float
+        self, contract: contracts.Contract, task_count: int, now: float
     ) -> float:
         """Spend tokens and return 0, or return the seconds to wait."""
         rate = contract.submit_per_s / self._live_vms
@@ -224,10 +224,10 @@
         refill = max(0, now - bucket.refilled_at) * rate
         bucket.tokens = min(capacity, bucket.tokens + refill)
         bucket.refilled_at = now
-        missing_tokens = min(tasks, capacity) - bucket.tokens
+        missing_tokens = min(task_count, capacity) - bucket.tokens
         if missing_tokens > 0:
             return missing_tokens / rate
-        bucket.tokens -= tasks
+        bucket.tokens -= task_count
         return 0
 
 
@@ -236,13 +236,13 @@
     contract, document = admitted.contract, admitted.document
     if not admitted.submission.keyed and not document.tasks[0].idempotent:
         return key_required()
-    tasks = len(document.tasks)
-    if tasks > contract.max_job_tasks:
+    task_count = len(document.tasks)
+    if task_count > contract.max_job_tasks:
         return problems.refusal(
             code='job_too_large',
             status=413,
             detail=(
-                f'The job has {tasks} tasks, the contract allows '
+                f'The job has {task_count} tasks, the contract allows '
                 f'{contract.max_job_tasks}.'
             ),
         )
--- a/sardineproxy/request/forwarding.py
+++ b/sardineproxy/request/forwarding.py
@@ -23,6 +23,7 @@
     """The issuing process was not reached, or its VM is not listed."""
 
 
+#: The names of these classes are values of a metric label.
 Reply = Replied | Gone | Unreachable
 
 
--- a/sardineproxy/request/jobs.py
+++ b/sardineproxy/request/jobs.py
@@ -99,10 +99,12 @@
 
     DONE = 'done'
 
-    #: A run failed, and its worker is not suspected of causing failures.
+    #: A run failed. Unless the job is stored, failed runs on a worker that is
+    #: suspected of causing failures are repeated and not reported.
     FAILED = 'failed'
 
-    #: The task can no longer end before the deadline and was abandoned.
+    #: The leader abandoned the task: its result would be of no use, or the
+    #: task may still run on a worker that has not reported to a new leader.
     LATE = 'late'
 
     #: Another coordinator submitted the same job.
@@ -138,4 +140,5 @@
     detail: str
 
 
+#: The names of these classes are values of a metric label and of a log field.
 Outcome = Completed | Failed | NotRun | GivenUp
--- a/sardineproxy/request/keys.py
+++ b/sardineproxy/request/keys.py
@@ -211,7 +211,7 @@
 def without_issuer_verdict(
     problem: problems.Problem, key_text: str | None
 ) -> problems.Problem:
-    """Return the problem as a process states it that did not ask the issuer.
+    """Return the problem without a verdict that only the issuer can state.
 
     Only the issuer of a well-formed key can state that its work did not run.
     """
--- a/sardineproxy/request/submissions.py
+++ b/sardineproxy/request/submissions.py
@@ -248,7 +248,7 @@
     ) -> documents.Reply:
         """Refuse a submission whose body was not read.
 
-        A key that is still new gets a tombstone with the problem.
+        A tombstone with the problem is added for a key that is still new.
         """
         key = keys.parse(key_text) if key_text else None
         if key is not None:
--- a/tests/process/shards/test_model.py
+++ b/tests/process/shards/test_model.py
@@ -181,10 +181,10 @@
         model = self.rng.choice(list(self.rig.models.values()))
         match kind:
             case 'takeover':
-                old = self.leader
+                former_leader = self.leader
                 self.take_over()
                 for vm in self.vms:
-                    vm.break_link(old)
+                    vm.break_link(former_leader)
             case 'unnoticed takeover':
                 self.take_over()
             case 'cut':
@@ -291,7 +291,7 @@
     def test_no_double_run_and_no_run_over_capacity(
         self, seed: int, fault_share: float, events: list[tuple[float, str]]
     ) -> None:
-        """Guards against violations under any combination of faults."""
+        """Guards against double runs and overloaded workers under faults."""
 
         async def main() -> tuple[list[str], Simulation]:
             simulation = await simulate(seed, fault_share, events)
--- a/tests/process/stored_jobs/cluster.py
+++ b/tests/process/stored_jobs/cluster.py
@@ -98,12 +98,12 @@
         if self.rng.random() < self.fault_share:
             self._apply_later(changes)
             return _error(store.ErrorKind.UNKNOWN)
-        done = self.rows.transact(**changes)
+        outcome = self.rows.transact(**changes)
         if self.rng.random() < self.fault_share:
             return _error(store.ErrorKind.UNKNOWN)
-        if isinstance(done, row_store.Conflict):
+        if isinstance(outcome, row_store.Conflict):
             return _error(store.ErrorKind.CONFLICT)
-        return result.Ok(done)
+        return result.Ok(outcome)
 
     async def _is_reachable(self) -> bool:
         self.calls += 1
--- a/tests/request/test_documents.py
+++ b/tests/request/test_documents.py
@@ -55,8 +55,8 @@
     def test_too_many_members_are_refused(self) -> None:
         """Guards against a body that blocks the event loop for seconds."""
         task = json.dumps(fakes.TASK)
-        many = {f'X{count}': 'x' for count in range(65)}
-        problem = parse(**fakes.TASK, headers=many).unwrap_err()
+        headers = {f'X{count}': 'x' for count in range(65)}
+        problem = parse(**fakes.TASK, headers=headers).unwrap_err()
         self.assertThat(problem.detail, matchers.Contains('more than 64'))
         for body, expected in (
             ('{"tasks": [%s1]}' % ('1,' * 131_072), 'more than 131072'),
--- a/tests/request/test_submissions.py
+++ b/tests/request/test_submissions.py
@@ -201,9 +201,9 @@
 
     async def test_key_with_another_body_is_refused(self) -> None:
         first = await self.submit()
-        other = await self.submit(body={**TASK, 'path': '/other'})
-        self.assert_problem(other, 'key_reused', 'may_have_run', True)
-        self.assertEqual(422, other[0])
+        refused = await self.submit(body={**TASK, 'path': '/other'})
+        self.assert_problem(refused, 'key_reused', 'may_have_run', True)
+        self.assertEqual(422, refused[0])
         self.assertEqual(first, await self.submit())
         job = await self.submit_job()
         self.assert_problem(job, 'key_reused', 'may_have_run', True)
@@ -237,6 +237,7 @@
         self.assertThat(self.runner.starts, matchers.HasLength(1))
 
     async def test_malformed_missing_and_expired_keys(self) -> None:
+        """Guards against work that starts without a valid key."""
         reply = await self.submit(key_text='my-key')
         self.assert_problem(reply, 'malformed_key', 'not_run', True)
         idempotent = {'key_text': None, 'body': {**TASK, 'idempotent': True}}
