--- a/sardineproxy/process/borrowing.py
+++ b/sardineproxy/process/borrowing.py
@@ -302,15 +302,17 @@
                 -lender.free_slots,
             )
         )
-        half_of_own = sum(self._table.owned.values()) // 2
-        min_slots = min(missing_total, self._cfg.min_loan_slots, half_of_own)
-        sufficient = [
+        half_of_own_slots = sum(self._table.owned.values()) // 2
+        min_slots = min(
+            missing_total, self._cfg.min_loan_slots, half_of_own_slots
+        )
+        lenders_with_enough = [
             lender for lender in available if lender.free_slots >= min_slots
         ]
         return [
             *(
                 (lender, lender.free_slots)
-                for lender in sufficient or available[:1]
+                for lender in lenders_with_enough or available[:1]
             ),
             *(
                 (lender, MAX_PROBE_REQUEST_SLOTS)
@@ -391,8 +393,8 @@
         weight_sum = sum(claims[key][0] for key in unfilled)
         round_total = remaining
         for key in unfilled:
-            fair = max(1, int(round_total * claims[key][0] / weight_sum))
-            increase = min(fair, remaining, claims[key][1] - shares[key])
+            fair_share = max(1, int(round_total * claims[key][0] / weight_sum))
+            increase = min(fair_share, remaining, claims[key][1] - shares[key])
             shares[key] += increase
             remaining -= increase
     return shares
--- a/sardineproxy/process/cli.py
+++ b/sardineproxy/process/cli.py
@@ -32,11 +32,11 @@
 def parse(argv: list[str]) -> result.Result[Arguments | command_line.Help, str]:
     """Parse the command line; an error is one sentence."""
     values = _define_flags()
-    help_requested = command_line.parse_flags(values, argv, USAGE)
-    if isinstance(help_requested, result.Err):
-        return help_requested
-    if help_requested.ok_value is not None:
-        return result.Ok(help_requested.ok_value)
+    parsed = command_line.parse_flags(values, argv, USAGE)
+    if isinstance(parsed, result.Err):
+        return parsed
+    if parsed.ok_value is not None:
+        return result.Ok(parsed.ok_value)
     if not values.settings:
         return result.Err('--settings FILE is required; see --help.')
     return result.Ok(
--- a/sardineproxy/process/dispatcher.py
+++ b/sardineproxy/process/dispatcher.py
@@ -88,7 +88,7 @@
             health=health,
         )
         self._timer = dispatch_timing.EarliestTimer(self._on_timer)
-        self._next_housekeeping = -math.inf
+        self._next_housekeeping_at = -math.inf
         self._backlog = dispatch_timing.DemandStream(
             measure=self.demand, interval_s=self._cfg.backlog_interval_s
         )
@@ -335,15 +335,15 @@
         now = self._clock.now()
         for entry in self._queue.expire(now=now):
             self._refuse(entry, endpoint_conn.deadline_passed())
-        if now >= self._next_housekeeping:
-            self._next_housekeeping = now + self._cfg.housekeeping_s
+        if now >= self._next_housekeeping_at:
+            self._next_housekeeping_at = now + self._cfg.housekeeping_s
             self._matcher.report_stragglers(now=now)
             self._health.decay_unused(now=now)
         self.start_waiting_tasks()
         if not self._queue.waiting and not self._matcher.running:
             return
         for fire_at in (
-            self._next_housekeeping,
+            self._next_housekeeping_at,
             self._queue.next_deadline(),
             self._health.next_probe_at(now=now),
         ):
--- a/sardineproxy/process/listing.py
+++ b/sardineproxy/process/listing.py
@@ -26,6 +26,7 @@
 #: Compresses a list to about a tenth of its size; higher levels gain little.
 _COMPRESSION_LEVEL = 6
 
+#: Length of the longest text of an IPv6 address.
 _MAX_HOST_CHARS = 45
 
 _LOG = logs.get_logger('listing')
@@ -108,14 +109,19 @@
 def decode(payload: bytes) -> result.Result[platform.VmList, str]:
     """Decode an encoded list within the size limits."""
     if len(payload) > MAX_PAYLOAD_BYTES:
-        return result.Err(f'payload of {len(payload)} bytes is too large')
-    inflater = zlib.decompressobj()
+        return result.Err(
+            f'payload of {len(payload)} bytes exceeds {MAX_PAYLOAD_BYTES} bytes'
+        )
+    decompressor = zlib.decompressobj()
     try:
-        text = inflater.decompress(payload, MAX_LIST_BYTES).decode()
+        text = decompressor.decompress(payload, MAX_LIST_BYTES).decode()
     except (zlib.error, UnicodeDecodeError) as exc:
         return result.Err(f'payload is not compressed text: {exc}')
-    if not inflater.eof:
-        return result.Err('payload is truncated or too large when decompressed')
+    if not decompressor.eof:
+        return result.Err(
+            'payload is truncated, or too large when decompressed '
+            f'(over {MAX_LIST_BYTES} bytes)'
+        )
     return json_text.parse_object(
         text, max_bytes=MAX_LIST_BYTES, comments=False
     ).and_then(from_document)
@@ -138,7 +144,7 @@
         self._directory = directory
         self._clock = clock
         self._schedule = polling.PollSchedule(rng=rng, cfg=cfg)
-        self._last_read: float | None = None
+        self._last_read_at: float | None = None
         self._last_error: str | None = None
         self._encoded: tuple[int, bytes] | None = None
 
@@ -154,7 +160,7 @@
         error = await self._schedule.run_with_timeout(self._poll())
         self._last_error = None if error is None else error.detail
         if error is None:
-            self._last_read = self._clock.now()
+            self._last_read_at = self._clock.now()
         elif not failures_before:
             _LOG.warning(
                 'Polling the VM list from the platform failed: %s.',
@@ -188,7 +194,9 @@
         return {
             'revision': self.revision(),
             'vms': len(self._directory.newest.vms),
-            'age_s': None if self._last_read is None else now - self._last_read,
+            'age_s': None
+            if self._last_read_at is None
+            else now - self._last_read_at,
             'platform_error': self._last_error,
         }
 
--- a/sardineproxy/process/matching.py
+++ b/sardineproxy/process/matching.py
@@ -97,13 +97,13 @@
         was_blocked = self.blocked.pop(flow.customer, None) is not None
         if was_blocked:
             self._queue.schedule(flow)
-        started = self._match_one(now)
-        if started is None and self.blocked:
+        started_flow = self._match_one(now)
+        if started_flow is None and self.blocked:
             self._unblock_all()
-            started = self._match_one(now)
+            started_flow = self._match_one(now)
         # The customer was blocked by a limit of its own, which may have kept
         # it from slots other than the released one.
-        if was_blocked and started is not flow and flow.is_backlogged:
+        if was_blocked and started_flow is not flow and flow.is_backlogged:
             if self._start_next(flow, now):
                 self._queue.schedule(flow)
 
--- a/sardineproxy/process/membership/leaders.py
+++ b/sardineproxy/process/membership/leaders.py
@@ -29,6 +29,7 @@
     def __init__(self, *, own_vm: ids.VmId) -> None:
         """Create an instance in which no shard has a leader."""
         self._own_vm = own_vm
+
         #: Latest fencing tokens that each VM has reported.
         self._tokens: dict[
             ids.VmId, dict[ids.ShardId, fencing.FencingToken]
@@ -37,7 +38,7 @@
         #: Leader of each shard.
         self.by_shard: dict[ids.ShardId, ids.VmId] = {}
 
-        #: Free capacity of each shard.
+        #: Free capacities of shards, as reported by other VMs.
         self.capacities = shard_capacities.ShardCapacities()
 
         #: Leaders that have loaded the stored jobs of their shards.
@@ -95,9 +96,9 @@
         highest = self._highest_tokens()
         lost_shards: dict[ids.ShardId, ids.VmId] = {}
         for shard, token in own_tokens.items():
-            remote = highest.get(shard)
-            if remote is not None and remote[0] > token:
-                lost_shards[shard] = remote[1]
+            remote_holder = highest.get(shard)
+            if remote_holder is not None and remote_holder[0] > token:
+                lost_shards[shard] = remote_holder[1]
             else:
                 highest[shard] = (token, self._own_vm)
         former_leaders = self.by_shard
--- a/sardineproxy/process/membership/links.py
+++ b/sardineproxy/process/membership/links.py
@@ -48,7 +48,7 @@
 
 #: Age at which an unneeded link is closed, in seconds. The peer may need it
 #: already, if it has learned of a new leader earlier than this VM.
-UNUSED_LINK_AGE_S = 5.0
+UNNEEDED_LINK_AGE_S = 5.0
 
 _LOG = logs.get_logger('link')
 
@@ -184,7 +184,7 @@
     def set_needed_vms(self, vms: Collection[ids.VmId]) -> None:
         """Set the VMs that need a link.
 
-        Links to other VMs are closed at the age ``UNUSED_LINK_AGE_S``.
+        Links to other VMs are closed at the age ``UNNEEDED_LINK_AGE_S``.
         """
         self._needed_vms = vms
 
@@ -222,7 +222,7 @@
         return (
             self._needed_vms is not None
             and open_link.peer.vm not in self._needed_vms
-            and now - open_link.opened_at >= UNUSED_LINK_AGE_S
+            and now - open_link.opened_at >= UNNEEDED_LINK_AGE_S
         )
 
     def _is_missing(self, target: _Target) -> bool:
--- a/sardineproxy/process/neighbors.py
+++ b/sardineproxy/process/neighbors.py
@@ -75,15 +75,15 @@
     chosen = {
         name: vm < name for name in other_vms if other_vms[name].zone == zone
     }
-    zones: dict[ids.ZoneId, list[ids.VmId]] = {}
+    vms_by_zone: dict[ids.ZoneId, list[ids.VmId]] = {}
     for name, entry in entry_vms.items():
         if entry.is_live or entry.zone == zone:
-            zones.setdefault(entry.zone, []).append(name)
-    for other_zone, names in zones.items():
+            vms_by_zone.setdefault(entry.zone, []).append(name)
+    for other_zone, names in vms_by_zone.items():
         if other_zone == zone:
             continue
         for name in rendezvous.rank(vm, names)[:peers_per_zone]:
-            chosen_by_peer = rendezvous.rank(name, zones.get(zone, []))[
+            chosen_by_peer = rendezvous.rank(name, vms_by_zone.get(zone, []))[
                 :peers_per_zone
             ]
             chosen[name] = vm < name or vm not in chosen_by_peer
--- a/sardineproxy/process/node/claiming.py
+++ b/sardineproxy/process/node/claiming.py
@@ -178,7 +178,7 @@
         claim = self._registry.claims.get(shard)
         return [] if claim is None else [vm for vm, _ in claim.heirs]
 
-    def is_candidate(self) -> bool:
+    def is_among_first_candidates(self) -> bool:
         """Return whether this VM is among the first candidates of its zone."""
         first_candidates = self._candidates(ids.ShardId(self._member.zone))[
             :LINKED_CANDIDATES
--- a/sardineproxy/process/node/led_shards.py
+++ b/sardineproxy/process/node/led_shards.py
@@ -107,7 +107,7 @@
             await leader.close()
 
     def tick(self, now: float, *, may_claim: bool) -> None:
-        """Claim, refresh and return shards, and run their periodic work."""
+        """Claim and return shards, refresh claims, and run periodic work."""
         if may_claim:
             self._claim_and_return(now)
         for leader in list(self.shards.values()):
@@ -295,8 +295,9 @@
     async def _may_claim(self, shard: ids.ShardId) -> bool:
         """Return whether another zone's shard may be claimed.
 
-        Unless most of its workers are reachable, this VM rather than the
-        shard's leader may be cut off from the network.
+        Most of the probed workers must have been reachable for some time:
+        otherwise this VM rather than the shard's leader may be cut off from
+        the network.
         """
         self._claimer.postpone(shard, self._dependencies.clock.now())
         probed = self._context.workers_of(shard)[:PROBE_SAMPLE_SIZE]
--- a/sardineproxy/process/node/node.py
+++ b/sardineproxy/process/node/node.py
@@ -371,7 +371,7 @@
         """Return the polling intervals for the list of workers."""
         if self.led_shards.shards:
             return feeds.LEADER_POLL_TIMING
-        if self._claimer.is_candidate():
+        if self._claimer.is_among_first_candidates():
             return feeds.CANDIDATE_POLL_TIMING
         return feeds.FOLLOWER_POLL_TIMING
 
--- a/sardineproxy/process/node/peer_sync.py
+++ b/sardineproxy/process/node/peer_sync.py
@@ -14,8 +14,8 @@
 from sardineproxy.process.membership import registry
 from sardineproxy.version import fetch_policy, active_config
 
-#: Largest configuration version that is accepted from a peer, in bytes, when
-#: decompressed: ten times the largest version in the users' tests.
+#: Maximum decompressed size of a configuration version from a peer, in bytes:
+#: ten times the largest version in tests.
 MAX_VERSION_BYTES = 8_388_608
 
 _LOG = logs.get_logger('config')
@@ -111,7 +111,10 @@
     except zlib.error as exc:
         return result.Err(f'version {message.number} is corrupt: {exc}')
     if not decompressor.eof:
-        return result.Err(f'version {message.number} is truncated or too large')
+        return result.Err(
+            f'version {message.number} is truncated or exceeds '
+            f'{MAX_VERSION_BYTES} bytes'
+        )
     return result.Ok(body)
 
 
--- a/sardineproxy/process/node/policy.py
+++ b/sardineproxy/process/node/policy.py
@@ -68,7 +68,10 @@
     document = parsed.ok_value
     unknown = set(document).difference(_SECTIONS)
     if unknown:
-        return result.Err(f'{min(unknown)}: unknown section')
+        return result.Err(
+            f'{min(unknown)}: unknown section, '
+            f'expected one of {", ".join(_SECTIONS)}'
+        )
     calls = _parse_section(
         times.CallTiming, document.get('workers', {}), 'workers'
     )
@@ -94,7 +97,7 @@
 ) -> result.Result[Any, str]:
     """Return the data class of a section, or an error sentence."""
     if not isinstance(document, dict):
-        return result.Err(f'{name}: expected an object')
+        return result.Err(f'{name}: expected an object, found {document!r:.60}')
     setting_names = {
         field.name
         for field in dataclasses.fields(section_type)
--- a/sardineproxy/process/node/service.py
+++ b/sardineproxy/process/node/service.py
@@ -71,7 +71,7 @@
             ),
         )
         self._client_server = client_http.ClientServer(
-            request_handler=_RequestHandler(served=self._node)
+            request_handler=_RequestHandler(node=self._node)
         )
         self._admin_server: web.AppRunner | None = None
 
@@ -165,8 +165,8 @@
 class _RequestHandler:
     """Adapts the node to the interface of the server for clients."""
 
-    def __init__(self, *, served: node.Node) -> None:
-        self._node = served
+    def __init__(self, *, node: node.Node) -> None:
+        self._node = node
 
     @property
     def routing_table(self) -> routes.RoutingTable | None:
--- a/sardineproxy/process/platform_http.py
+++ b/sardineproxy/process/platform_http.py
@@ -70,7 +70,7 @@
         """Create a client that uses ``session``; ``close`` closes it."""
         self._session = session
         self._metrics = metrics
-        self._base = yarl.URL.build(scheme='http', host=host, port=port)
+        self._base_url = yarl.URL.build(scheme='http', host=host, port=port)
         self._timeout = aiohttp.ClientTimeout(
             total=timeout_s, connect=min(timeout_s, CONNECT_TIMEOUT_S)
         )
@@ -97,8 +97,8 @@
                 return result.Ok(tuple(rows))
             if not page_rows or size > MAX_ROWS_BYTES:
                 return _invalid(
-                    f'rows under {prefix} exceed the size limit or a page is '
-                    'empty'
+                    f'rows under {prefix} exceed {MAX_ROWS_BYTES} bytes or a '
+                    'page is empty'
                 )
             after = page_rows[-1].key
 
@@ -233,7 +233,7 @@
             return _call_failed(kind, req, exc)
 
     async def _send(self, req: _Request) -> result.Result[_Response, _Error]:
-        url = self._base.with_path(req.path).with_query(req.query)
+        url = self._base_url.with_path(req.path).with_query(req.query)
         async with self._session.request(
             req.method,
             url,
@@ -247,7 +247,7 @@
                 body += chunk
                 if len(body) > req.max_bytes and not req.is_write:
                     return _invalid(
-                        f'response to {req.path} exceeds the size limit'
+                        f'response to {req.path} exceeds {req.max_bytes} bytes'
                     )
                 if req.is_write:
                     # Only the start of the response to a write is used.
--- a/sardineproxy/process/settings.py
+++ b/sardineproxy/process/settings.py
@@ -157,12 +157,12 @@
     def check_ports(self) -> Self:
         """Reject two listeners on the same port."""
         listeners = [self.callers, self.admin, self.peers]
-        fixed = [
+        fixed_addresses = [
             (address.host, address.port)
             for address in listeners
             if address.port
         ]
-        if len(set(fixed)) < len(fixed):
+        if len(set(fixed_addresses)) < len(fixed_addresses):
             raise ValueError('callers, admin and peers must differ in port')
         return self
 
--- a/sardineproxy/process/slots.py
+++ b/sardineproxy/process/slots.py
@@ -56,6 +56,8 @@
         self._limits: dict[ids.CustomerId, int] | None = None
         self._divisions: tuple[LimitDivision, ...] = ()
         self._limit_shares: dict[ids.CustomerId, float] = {}
+
+        #: Loan of each ticket in use by number; None for an own slot.
         self._tickets: dict[int, borrowed_slots.Loan | None] = {}
         self._last_number = 0
         self._valid_until = math.inf
--- a/sardineproxy/process/streams.py
+++ b/sardineproxy/process/streams.py
@@ -57,7 +57,8 @@
     #: Delay before a VM connects if the other end is expected to connect.
     dial_wait_s: float = 0.5
 
-    #: Idle time after which a stream to a VM that is not chosen is closed.
+    #: Idle time after which this VM closes a stream that it has opened to a VM
+    #: that is not chosen.
     unused_s: float = 60
 
 
--- a/tests/process/test_directory.py
+++ b/tests/process/test_directory.py
@@ -16,28 +16,28 @@
     """Guards against lookups in an outdated list."""
 
     def test_looks_up_by_role(self):
-        target = directory.VmDirectory()
+        tested = directory.VmDirectory()
         vms = [
             test_listing.vm_fields('a', role=role)
             for role in ('entry', 'endpoint')
         ]
-        target.offer(make_list(2, *vms))
-        entry, endpoint = target.newest.vms
-        self.assertThat(target.entry_vms(), matchers.Equals((entry,)))
-        self.assertThat(target.endpoints(), matchers.Equals((endpoint,)))
-        self.assertThat(target.endpoint('a'), matchers.Is(endpoint))
+        tested.offer(make_list(2, *vms))
+        entry, endpoint = tested.newest.vms
+        self.assertThat(tested.entry_vms(), matchers.Equals((entry,)))
+        self.assertThat(tested.endpoints(), matchers.Equals((endpoint,)))
+        self.assertThat(tested.endpoint('a'), matchers.Is(endpoint))
 
     def test_drops_endpoints_missing_from_a_newer_list(self):
-        target = directory.VmDirectory()
+        tested = directory.VmDirectory()
         revisions = []
-        target.listing.subscribe(
+        tested.listing.subscribe(
             lambda newest: revisions.append(newest.revision)
         )
         accepted = [
-            target.offer(make_list(2, test_listing.vm_fields('a'))),
-            target.offer(make_list(3)),
-            target.offer(make_list(2, test_listing.vm_fields('a'))),
+            tested.offer(make_list(2, test_listing.vm_fields('a'))),
+            tested.offer(make_list(3)),
+            tested.offer(make_list(2, test_listing.vm_fields('a'))),
         ]
         self.assertThat(accepted, matchers.Equals([True, True, False]))
-        self.assertThat(target.endpoint('a'), matchers.Is(None))
+        self.assertThat(tested.endpoint('a'), matchers.Is(None))
         self.assertThat(revisions, matchers.Equals([0, 2, 3]))
--- a/tests/process/test_dispatcher.py
+++ b/tests/process/test_dispatcher.py
@@ -64,7 +64,7 @@
         self.searches = 0
         self.tickets: dict[int, slots.Ticket] = {}
 
-    def held_slots(self, customer: str | None = None) -> int:
+    def used_slots(self, customer: str | None = None) -> int:
         """Return the slots in use by the customer, or by all if None."""
         tickets = self.tickets.values()
         return sum(customer in {None, ticket.customer} for ticket in tickets)
@@ -83,7 +83,7 @@
     def free_endpoints(self, *, customer: Any, now: float) -> Any:
         self.searches += 1
         limit = self.limits.get(customer)
-        if limit is not None and self.held_slots(customer) >= limit:
+        if limit is not None and self.used_slots(customer) >= limit:
             return ()
         return super().free_endpoints(customer=customer, now=now)
 
@@ -206,7 +206,7 @@
         }
         self.assertEqual(set(), responses - set(starts))
         self.assertGreater(len(responses), len(outcomes) - cancelled - 2)
-        self.assertEqual(0, rig.slots.held_slots())
+        self.assertEqual(0, rig.slots.used_slots())
         self.assertLess(rig.client.max_running['w0'], 3)
         self.assertEqual((), rig.dispatcher.demand().customers)
 
@@ -308,7 +308,7 @@
         """Cancel a running task; expect no used slots and no demand."""
         run.cancel()
         await run_pending()
-        self.assertEqual(0, rig.slots.held_slots())
+        self.assertEqual(0, rig.slots.used_slots())
         self.assertEqual((), rig.dispatcher.demand().customers)
 
     @async_test
--- a/tests/process/test_lending.py
+++ b/tests/process/test_lending.py
@@ -178,13 +178,13 @@
 ) -> None:
     """Perform a random action.
 
-    The actions are: acquire (t) or release (r) a slot, report a backlog (b),
+    The actions are: acquire (a) or release (r) a slot, report a backlog (b),
     advance the time and tick (k), disconnect (c) and deliver a frame (d).
     """
     name = rng.choice(vms.names)
     customer = rng.choice((X, Y))
-    match rng.choice('ttttrrbbkdddddd' * 5 + 'c'):
-        case 't':
+    match rng.choice('aaaarrbbkdddddd' * 5 + 'c'):
+        case 'a':
             vms.acquire_slot(name, customer)
         case 'r' if vms.tickets:
             vms.release(rng.randrange(100))
--- a/tests/process/test_listing.py
+++ b/tests/process/test_listing.py
@@ -52,7 +52,7 @@
     async def test_older_lists_and_outages_do_not_replace_the_list(
         self, client
     ):
-        target = make_follower(client)
+        tested = make_follower(client)
         revisions = []
         for control, document in (
             ('vms', {'vms': [vm_fields()]}),
@@ -63,8 +63,8 @@
             ('list-lag', {'seconds': 0}),
         ):
             self.platform.control(control, document)
-            await target.poll_once()
-            revisions.append(target.revision())
+            await tested.poll_once()
+            revisions.append(tested.revision())
         self.assertThat(revisions, matchers.Equals([1, 1, 1, 1, 1, 2]))
 
     def test_list_is_encoded_for_and_applied_by_a_peer(self):
@@ -88,7 +88,7 @@
             (valid[:-9], 'truncated'),
             (b'plain', 'not compressed'),
             (oversized, 'too large when decompressed'),
-            (bytes(listing.MAX_PAYLOAD_BYTES + 1), 'bytes'),
+            (bytes(listing.MAX_PAYLOAD_BYTES + 1), 'bytes exceeds'),
             (encode_payload(1, vm_fields(), vm_fields()), 'the same name'),
             (encode_payload(1, vm_fields(host='db.example')), 'IP address'),
             (encode_payload(1, vm_fields(port=0)), 'vms.0.port'),
@@ -98,6 +98,6 @@
         ):
             error = listing.decode(payload).unwrap_err()
             self.assertThat(error, matchers.Contains(expected))
-            target = make_follower()
-            target.offer(payload)
-            self.assertThat(target.revision(), matchers.Equals(0))
+            tested = make_follower()
+            tested.offer(payload)
+            self.assertThat(tested.revision(), matchers.Equals(0))
--- a/tests/process/test_peers.py
+++ b/tests/process/test_peers.py
@@ -32,7 +32,7 @@
 #: process may stall on a busy machine. Only tests that need them shorten them.
 CFG = peers.Config(takeover_grace_s=0.2, tick_s=0.01)
 NEVER_S = 10_000
-REPLIED = forwarding.Replied(payload=b'reply to ask')
+REPLIED = forwarding.Replied(payload=b'reply to request')
 
 
 class ShiftedClock(clock.SystemClock):
@@ -120,7 +120,7 @@
         return await self.peers.forward(
             vm=to,
             incarnation=incarnation,
-            payload=b'ask',
+            payload=b'request',
             deadline=self.clock.now() + wait_s,
         )
 
@@ -409,7 +409,11 @@
     """Guards against too many streams, or two between the same VMs."""
 
     def test_one_end_opens_each_stream(self) -> None:
-        """Uses the target size, 104 entry VMs in 13 zones."""
+        """Guards against a stream that both ends open, or neither.
+
+        Each end decides on its own. The target size is 104 entry VMs in 13
+        zones.
+        """
         entries = tuple(
             (f'vm-{index}', f'zone-{index % 13}', 1) for index in range(104)
         )
@@ -423,5 +427,5 @@
         for vm, others in chosen.items():
             self.assertEqual(7 + 12 * 2, len(others))
             for other, dials in others.items():
-                dialed = chosen[other].get(vm, False)
-                self.assertNotEqual(dials, dialed)
+                other_dials = chosen[other].get(vm, False)
+                self.assertNotEqual(dials, other_dials)
--- a/tests/process/test_slots.py
+++ b/tests/process/test_slots.py
@@ -109,15 +109,17 @@
     def test_uses_borrowed_slots_of_its_customer_only(self) -> None:
         """Guards against use of slots that were lent for other customers."""
         self.table.set_owned({})
-        lent = 'e3'
+        lent_endpoint = 'e3'
         self.table.borrowed.extend_lease('b', 1)
-        self.table.borrowed.add(lender='b', allocations=[(X, lent, 1)], now=0)
+        self.table.borrowed.add(
+            lender='b', allocations=[(X, lent_endpoint, 1)], now=0
+        )
         self.assertEqual(0, len(self.free_endpoints(Y)))
-        self.assertEqual({lent}, self.free_endpoints(X))
-        ticket = self.acquire(lent)
+        self.assertEqual({lent_endpoint}, self.free_endpoints(X))
+        ticket = self.acquire(lent_endpoint)
         self.assertEqual(0, len(self.free_endpoints(X)))
         self.table.release(ticket=ticket, now=0)
-        self.assertEqual({lent}, self.free_endpoints(X))
+        self.assertEqual({lent_endpoint}, self.free_endpoints(X))
 
 
 _weights = strategies.dictionaries(
@@ -176,9 +178,11 @@
         """
         sizes = {'a': 1.0, 'b': 2.0, 'c': 1.0}
         keys = [f'endpoint-{number}' for number in range(4000)]
-        before = [rendezvous.winner(key, sizes) for key in keys]
-        self.assertThat(abs(before.count('b') - 2000), matchers.LessThan(120))
+        owners_before = [rendezvous.winner(key, sizes) for key in keys]
+        self.assertThat(
+            abs(owners_before.count('b') - 2000), matchers.LessThan(120)
+        )
         sizes.pop('c')
-        for key, owner in zip(keys, before):
+        for key, owner in zip(keys, owners_before):
             if owner != 'c':
                 self.assertEqual(owner, rendezvous.winner(key, sizes))
--- a/tests/process/test_views.py
+++ b/tests/process/test_views.py
@@ -152,7 +152,7 @@
         """Guards against two owners of an endpoint.
 
         In any order, members get a different VM list (l), drop their slots
-        after a stall (f), update their view (t) or receive an announcement
+        after a stall (s), update their view (u) or receive an announcement
         (d).
         """
         zone = _confirmed_zone()
@@ -160,14 +160,14 @@
         links = strategies.sampled_from(list(zone.links))
         lists = strategies.sampled_from(('abc', 'ab', 'bc', 'ac', 'a', 'b'))
         for step in range(data.draw(strategies.integers(1, 40))):
-            match data.draw(strategies.sampled_from('lfttdddddd')):
+            match data.draw(strategies.sampled_from('lsuudddddd')):
                 case 'l':
                     zone.set_listing(
                         step + 2, data.draw(lists), data.draw(names)
                     )
-                case 'f':
+                case 's':
                     zone.ownerships[data.draw(names)].drop_owned()
-                case 't':
+                case 'u':
                     zone.update(data.draw(names))
                 case _:
                     zone.deliver(*data.draw(links))
@@ -247,7 +247,7 @@
     def test_stalled_member_owns_nothing_until_confirmed_again(self) -> None:
         """Guards against use of slots that were reassigned during a stall."""
         zone = _confirmed_zone()
-        before = zone.owned('b')
+        owned_before = zone.owned('b')
         zone.ownerships['b'].drop_owned()
         self.assertEqual(0, len(zone.owned('b')))
         zone.set_listing(2, 'b', 'b')
@@ -255,7 +255,7 @@
         self.assertEqual(0, len(zone.owned('b')))
         zone.set_listing(3, 'abc', 'b')
         zone.deliver_all()
-        self.assertEqual(before, zone.owned('b'))
+        self.assertEqual(owned_before, zone.owned('b'))
 
     def test_both_sides_of_a_partition_own_all_endpoints(self) -> None:
         """Guards against endpoints without an owner during a partition.
@@ -292,8 +292,8 @@
         zone.set_listing(2, 'b', 'ab')
         zone.deliver_all()
         self.assertEqual(0, len(zone.owned('a')))
-        before = zone.owned('b')
-        self.assertThat(len(before), matchers.LessThan(12))
+        owned_before = zone.owned('b')
+        self.assertThat(len(owned_before), matchers.LessThan(12))
         for ticket in tickets:
             table.release(ticket=ticket, now=0)
         zone.deliver_all()
