--- a/deploy/make_variant.py
+++ b/deploy/make_variant.py
@@ -15,9 +15,11 @@
 
 def make_variant(text: str, steps: int) -> str:
     """Return the contents of the site file with the variant's settings."""
-    stored = text.replace('loose = true', 'loose = false')
+    with_stored_jobs = text.replace('loose = true', 'loose = false')
     return re.sub(
-        r'steps = \{ mean = \d+', f'steps = {{ mean = {steps}', stored
+        r'steps = \{ mean = \d+',
+        f'steps = {{ mean = {steps}',
+        with_stored_jobs,
     )
 
 
--- a/sardineproxy/connection/caller.py
+++ b/sardineproxy/connection/caller.py
@@ -16,6 +16,8 @@
 )
 WAIT_VALUES = types.MappingProxyType({'true': True, 'false': False})
 BEARER_PREFIX = 'bearer '
+
+#: Largest number of connections that wait to be accepted.
 ACCEPT_BACKLOG = 1024
 
 ConnectionLimits = caller_connection.ConnectionLimits
--- a/sardineproxy/connection/codec.py
+++ b/sardineproxy/connection/codec.py
@@ -23,7 +23,7 @@
 #: Longest id or digest, in characters.
 MAX_TEXT_CHARS = 256
 
-#: Largest integer.
+#: Largest integer inside a frame.
 MAX_NUMBER = 2**53
 
 #: Error of a stream that was closed between two frames.
@@ -145,7 +145,8 @@
         body = msgpack.packb([self._type_numbers[kind], header, *fields])
         if len(body) > MAX_FRAME_BYTES:
             return result.Err(
-                f'{kind.__name__} frame of {len(body)} bytes is too large'
+                f'{kind.__name__} frame of {len(body)} bytes is too large; '
+                f'the limit is {MAX_FRAME_BYTES}'
             )
         return result.Ok(_LENGTH_PREFIX.pack(len(body)) + body)
 
@@ -168,7 +169,7 @@
             return result.Err('not an array of type, header and fields')
         number, header = unpacked[:2]
         if not (count(number) and number < len(self._kinds) and count(header)):
-            return result.Err('unknown frame type')
+            return result.Err('unknown frame type or malformed header')
         kind = self._kinds[number]
         fields = unpacked[2:]
         if not _matches(fields, self._checks[kind]):
@@ -191,7 +192,10 @@
         while True:
             size = self._next_frame_size()
             if size > MAX_FRAME_BYTES:
-                return result.Err(f'frame of {size} bytes is too large')
+                return result.Err(
+                    f'frame of {size} bytes is too large; '
+                    f'the limit is {MAX_FRAME_BYTES}'
+                )
             end = _LENGTH_PREFIX.size + size
             if len(self._buffer) >= end:
                 body = bytes(self._buffer[_LENGTH_PREFIX.size : end])
--- a/sardineproxy/connection/frames.py
+++ b/sardineproxy/connection/frames.py
@@ -11,7 +11,8 @@
 #: Largest frame without its length prefix, in bytes.
 MAX_FRAME_BYTES = codec.MAX_FRAME_BYTES
 
-#: Largest payload of a forward or its reply, in bytes.
+#: Largest payload of a forward or its reply, in bytes; leaves space for the
+#: other fields of the frame.
 MAX_PAYLOAD_BYTES = MAX_FRAME_BYTES - 64
 
 #: Error of a stream that was closed between two frames.
--- a/sardineproxy/operator/core.py
+++ b/sardineproxy/operator/core.py
@@ -49,7 +49,9 @@
     name = arguments[0] if arguments else ''
     if name not in _COMMANDS:
         names = ', '.join(_COMMANDS)
-        return _report_usage_error(env, f'Expected one of the commands {names}')
+        return _report_usage_error(
+            env, f'Expected one of the commands {names}, found "{name}"'
+        )
     parsed = options.parse(name, arguments[1:], values)
     if parsed.is_err():
         return _report_usage_error(env, parsed.unwrap_err())
--- a/sardineproxy/platform/configuration.py
+++ b/sardineproxy/platform/configuration.py
@@ -39,7 +39,9 @@
 
 def _to_route(document: Any) -> routes.Route:
     if not isinstance(document, dict):
-        raise fields.FormatError('route: expected an object')
+        raise fields.FormatError(
+            f'route: expected an object, found {type(document).__name__}'
+        )
     name = fields.get_string(document, 'name')
     try:
         return _decode_route(name, document)
--- a/sardineproxy/platform/settings.py
+++ b/sardineproxy/platform/settings.py
@@ -28,7 +28,8 @@
         return result.Err(f'cannot read settings file {path}: {exc.strerror}')
     if len(body) > MAX_SETTINGS_BYTES:
         return result.Err(
-            f'settings file {path} is too large: {len(body)} bytes'
+            f'settings file {path} has {len(body)} bytes, at most '
+            f'{MAX_SETTINGS_BYTES} are accepted'
         )
     return decode(body)
 
@@ -78,7 +79,9 @@
         return fields.parse_address(fields.get_string(listeners, 'control'))
     ports = fields.get_list(document, 'port_range')
     if not ports or not isinstance(ports[0], int):
-        raise fields.FormatError('port_range: expected two ports')
+        raise fields.FormatError(
+            f'port_range: expected two ports, found {ports!r:.60}'
+        )
     return deployment.Address(host=host, port=ports[0])
 
 
@@ -87,7 +90,7 @@
 ) -> tuple[deployment.Address, ...]:
     seeds = document.get('seeds', [])
     if not isinstance(seeds, list):
-        raise fields.FormatError('seeds: expected a list')
+        raise fields.FormatError(f'seeds: expected a list, found {seeds!r:.60}')
     return tuple(fields.parse_address(str(seed)) for seed in seeds)
 
 
--- a/sardineproxy/platform/store_http.py
+++ b/sardineproxy/platform/store_http.py
@@ -69,7 +69,9 @@
                 )
             # The smallest key after the last one of this page.
             query['from'] = f'{_strip_table(rows[-1].key)}\x00'
-        return _error(_Kind.INVALID, f'table {table} is too large')
+        return _error(
+            _Kind.INVALID, f'table {table} has more than {MAX_PAGES} pages'
+        )
 
     async def get(
         self, key: str, *, part: str = ''
--- a/sardineproxy/platform/submissions.py
+++ b/sardineproxy/platform/submissions.py
@@ -68,7 +68,10 @@
     job_id = decode_job_id(name)
     if job_id is None or not isinstance(document, dict):
         return result.Err(
-            Malformed(detail='malformed job id, or body is not a JSON object')
+            Malformed(
+                detail='expected a job id of 16 hexadecimal digits in lower case '
+                'and a JSON object as the body'
+            )
         )
     try:
         feature = _find_unsupported_feature(document)
@@ -93,7 +96,10 @@
 def _to_job(job_id: ids.JobId, document: Mapping[str, Any]) -> jobs.Job:
     payload = fields.get_string(document, 'spec')
     if len(payload.encode()) > MAX_PAYLOAD_BYTES:
-        raise fields.FormatError('spec is too long')
+        raise fields.FormatError(
+            f'spec: expected at most {MAX_PAYLOAD_BYTES} bytes, '
+            f'found {len(payload.encode())}'
+        )
     steps = tuple(
         _to_step(index, step)
         for index, step in enumerate(fields.get_list(document, 'steps'))
@@ -101,7 +107,8 @@
     task_count = sum(step.count for step in steps)
     if not 0 < len(steps) <= MAX_STEPS or not 0 < task_count <= MAX_TASKS:
         raise fields.FormatError(
-            f'{len(steps)} steps with {task_count} tasks are out of range'
+            f'steps: expected 1 to {MAX_STEPS} steps with 1 to {MAX_TASKS} '
+            f'tasks, found {len(steps)} steps with {task_count} tasks'
         )
     return jobs.Job(
         job_id=job_id,
@@ -113,7 +120,9 @@
 
 def _to_step(index: int, document: Any) -> jobs.Step:
     if not isinstance(document, dict):
-        raise fields.FormatError('step: expected an object')
+        raise fields.FormatError(
+            f'step {index}: expected an object, found {type(document).__name__}'
+        )
     after = document.get('after', [])
     is_valid = isinstance(after, list) and all(
         isinstance(predecessor, int) and 0 <= predecessor < index
