--- a/sardineproxy/clock.py
+++ b/sardineproxy/clock.py
@@ -46,7 +46,7 @@
     """Clock that advances only when a test advances it."""
 
     def __init__(self, *, start: float = 0) -> None:
-        """Create a clock that shows ``start`` seconds."""
+        """Create a clock that starts at ``start`` seconds."""
         self._now = start
 
     def now(self) -> float:
--- a/sardineproxy/logs.py
+++ b/sardineproxy/logs.py
@@ -107,7 +107,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader of the logs is gone, so the error cannot be logged.
+            # The descriptor cannot be written, so the error cannot be logged.
             written = len(pending)
         remaining = pending[written:]
         self._pending_bytes = len(remaining)
--- a/sardineproxy/version/contract_files.py
+++ b/sardineproxy/version/contract_files.py
@@ -79,8 +79,8 @@
     except (ValueError, RecursionError) as exc:
         return _single_error(name, 'text', f'"{exc}"', 'JSON with comments')
     if not isinstance(document, dict):
-        found = type(document).__name__
-        return _single_error(name, 'text', f'a {found}', 'one JSON object')
+        type_name = type(document).__name__
+        return _single_error(name, 'text', f'a {type_name}', 'one JSON object')
     errors = [
         _format_error(name, key, 'the key more than once', 'each key once')
         for key in duplicate_keys
@@ -175,20 +175,20 @@
     return 'one of the keys {}'.format(', '.join(_FIELDS))
 
 
-def _format_value(key: str, found: Any) -> str:
+def _format_value(key: str, value: Any) -> str:
     if key == _HASH_FIELD:
         # The value may be the credential itself, which is never printed.
-        return _describe_size(found)
-    text = json.dumps(found)
+        return _describe_size(value)
+    text = json.dumps(value)
     if len(text) > _MAX_EXCERPT_CHARS:
         return f'{text[:_MAX_EXCERPT_CHARS]}...'
     return text
 
 
-def _describe_size(found: Any) -> str:
-    if isinstance(found, (str, list)):
-        return f'a {type(found).__name__} of length {len(found)}'
-    return f'a {type(found).__name__}'
+def _describe_size(value: Any) -> str:
+    if isinstance(value, (str, list)):
+        return f'a {type(value).__name__} of length {len(value)}'
+    return f'a {type(value).__name__}'
 
 
 def _expected(key: str) -> str:
--- a/sardineproxy/version/contracts.py
+++ b/sardineproxy/version/contracts.py
@@ -63,14 +63,14 @@
     """Return one error for each limit that contradicts another one."""
     max_job_tasks = contract.max_job_tasks
     errors = [
-        f'{name}: found {found}; expected at least max_job_tasks, '
+        f'{name}: found {limit}; expected at least max_job_tasks, '
         f'{max_job_tasks}, as a job of that size would be admitted only '
         'while the customer is idle.'
-        for name, found in (
+        for name, limit in (
             ('submit_burst', contract.submit_burst),
             ('queue', contract.queue),
         )
-        if found < max_job_tasks
+        if limit < max_job_tasks
     ]
     if contract.default_deadline_ms > contract.max_deadline_ms:
         errors.append(
--- a/sardineproxy/version/follower.py
+++ b/sardineproxy/version/follower.py
@@ -153,17 +153,17 @@
         )
         return fetched.map(self._apply_fetched)
 
-    def _is_newer(self, other: versions.Head | versions.Snapshot) -> bool:
-        """Return whether ``other`` is newer; report a conflicting digest."""
+    def _is_newer(self, offered: versions.Head | versions.Snapshot) -> bool:
+        """Return whether ``offered`` is newer; report a conflicting digest."""
         newest = self._newest
-        if other.number == newest.number and other.digest != newest.digest:
+        if offered.number == newest.number and offered.digest != newest.digest:
             self._metrics.count('config_conflicts_total')
             self._report(
                 'conflict',
-                f'version {other.number} has digest {newest.digest} here '
-                f'and {other.digest} elsewhere; keeping the local version',
+                f'version {offered.number} has digest {newest.digest} here '
+                f'and {offered.digest} elsewhere; keeping the local version',
             )
-        return other.number > newest.number
+        return offered.number > newest.number
 
     def _apply_change(self, change: versions.Change) -> bool:
         applied = versions.apply(self._newest, change)
--- a/sardineproxy/version/routes.py
+++ b/sardineproxy/version/routes.py
@@ -63,7 +63,7 @@
         if by_prefix is None:
             return None
         for length in self._prefix_lengths[host]:
-            found = by_prefix.get(path[:length])
-            if found is not None:
-                return found
+            route = by_prefix.get(path[:length])
+            if route is not None:
+                return route
         return None
--- a/tests/connection/test_caller.py
+++ b/tests/connection/test_caller.py
@@ -149,7 +149,7 @@
 
     async def test_ambiguous_requests_are_rejected(self) -> None:
         await self.start()
-        for rest, status in (
+        for headers_and_body, status in (
             (f'Content-Length: 2\r\n{CHUNKED}{LAST_CHUNK}', 400),
             (f'{CHUNKED}Content-Length: 2\r\n{LAST_CHUNK}', 400),
             ('Content-Length: 2\r\nContent-Length: 2\r\n\r\n{}', 400),
@@ -171,7 +171,7 @@
             (f'X: {"a" * 17_000}\r\n{NO_BODY}', 431),
             (''.join(f'X{n}: {"a" * 400}\r\n' for n in range(50)), 431),
         ):
-            received = await self.send(HEAD + rest)
+            received = await self.send(HEAD + headers_and_body)
             self.assertEqual(
                 [str(status).encode()], re.findall(rb'HTTP/1.. (\d+)', received)
             )
--- a/tests/operator/test_core.py
+++ b/tests/operator/test_core.py
@@ -227,19 +227,20 @@
     """Versions are shown for each VM, and unreachable VMs are named."""
 
     def test_compares_versions(self):
+        """Guards against hiding that VMs have different contracts."""
         first = self.serve_state('vm-1', 3, 'aa')
         later = self.serve_state('vm-2', 4, 'bb')
-        other = self.serve_state('vm-3', 4, 'cc')
-        none_yet = self.serve_state('vm-4', 0, None)
+        conflicting = self.serve_state('vm-3', 4, 'cc')
+        without_version = self.serve_state('vm-4', 0, None)
         for addresses, status, expected in (
             ((first,), ExitStatus.SUCCESS, 'vm-1  3  aa\n'),
             ((first, later), ExitStatus.SUCCESS, 'Active versions: 3, 4.'),
             (
-                (later, other),
+                (later, conflicting),
                 ExitStatus.ERROR,
                 'different contracts under the same version number',
             ),
-            ((none_yet,), ExitStatus.SUCCESS, 'vm-4  no version yet'),
+            ((without_version,), ExitStatus.SUCCESS, 'vm-4  no version yet'),
             (
                 (first, _REFUSING_ADDRESS),
                 ExitStatus.UNAVAILABLE,
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -113,8 +113,8 @@
 
 
 class TestConfiguration(testtools.TestCase):
-    def test_longest_prefix_of_the_host_wins(self) -> None:
-        """Guards against running a job under the route of another queue."""
+    def test_longest_prefix_of_the_host_is_found(self) -> None:
+        """Guards against running a job under a less specific route."""
         body = samples.configuration(
             7,
             samples.route(name='short', path_prefix='/a/'),
--- a/tests/platform/test_worker_http.py
+++ b/tests/platform/test_worker_http.py
@@ -103,12 +103,12 @@
 
         async def scenario(rig: Rig) -> None:
             await rig.start(fence=5)
-            old = await rig.start('u', fence=4)
-            self.assertEqual(workers.Refusal.FENCED, old.reason)
-            late = await rig.start('v', fence=5, expires_ms=1)
-            self.assertEqual(workers.Refusal.EXPIRED, late.reason)
-            again = await rig.start('t', fence=5, run=0)
-            self.assertEqual(workers.Refusal.OLD_RUN, again.reason)
+            fenced = await rig.start('u', fence=4)
+            self.assertEqual(workers.Refusal.FENCED, fenced.reason)
+            expired = await rig.start('v', fence=5, expires_ms=1)
+            self.assertEqual(workers.Refusal.EXPIRED, expired.reason)
+            old_run = await rig.start('t', fence=5, run=0)
+            self.assertEqual(workers.Refusal.OLD_RUN, old_run.reason)
 
         with_rig(scenario)
 
--- a/tests/version/test_fetch_policy.py
+++ b/tests/version/test_fetch_policy.py
@@ -56,7 +56,7 @@
         """Guards against requests for versions that were just announced."""
         policy = fetch_policy.FetchPolicy()
         self.assertFalse(should_fetch(policy, 0))
-        later = policy.should_fetch(
+        is_next_allowed = policy.should_fetch(
             3, active_number=2, store_available=True, now=1010
         )
-        self.assertFalse(later)
+        self.assertFalse(is_next_allowed)
--- a/tests/version/test_follower.py
+++ b/tests/version/test_follower.py
@@ -132,14 +132,14 @@
         await overwrite(
             client, fetching.HEAD_KEY, codec.encode_head(changes[0].head)
         )
-        other = codec.Payload(snapshot=snapshots[1], changes=())
+        conflicting = codec.Payload(snapshot=snapshots[1], changes=())
         await follower.poll_once()
         self.assert_conflict(follower)
         follower = samples.make_follower(client)
         own_snapshots, _ = samples.make_chain(samples.documents(acme=1))
-        first = codec.Payload(snapshot=own_snapshots[1], changes=())
-        follower.offer(codec.encode_payload(first))
-        follower.offer(codec.encode_payload(other))
+        own = codec.Payload(snapshot=own_snapshots[1], changes=())
+        follower.offer(codec.encode_payload(own))
+        follower.offer(codec.encode_payload(conflicting))
         self.assert_conflict(follower)
 
     @samples.with_platform
--- a/tests/version/test_versions.py
+++ b/tests/version/test_versions.py
@@ -36,12 +36,12 @@
     def test_digest_does_not_depend_on_order_or_number_format(self):
         first, second = 'a' * 64, 'b' * 64
         fields = samples.contract_fields(credential_sha256=[first, second])
-        other = samples.contract_fields(
+        reordered = samples.contract_fields(
             credential_sha256=[second, first], weight=1.0
         )
         texts = [
             versions.encode_contract(contracts.Contract(**variant))
-            for variant in (fields, other)
+            for variant in (fields, reordered)
         ]
         self.assertThat(texts[0], matchers.Equals(texts[1]))
 
