--- a/sardineproxy/bench/fleet.py
+++ b/sardineproxy/bench/fleet.py
@@ -23,8 +23,9 @@
 POLITE_CUSTOMER = 'polite'
 RIVAL_CUSTOMER = 'rival'
 
-#: Queue limit of the rival at one entry VM; it bounds the time to drain the
-#: backlog after a phase. The limit of the other customers is never reached.
+#: Queue limit of the rival at one entry VM, in tasks; it bounds the time to
+#: drain the backlog after a phase. The limit of the other customers is never
+#: reached.
 RIVAL_QUEUE_LIMIT = 500
 QUEUE_LIMIT = 100_000
 MAX_JOB_TASKS = 500
@@ -138,22 +139,24 @@
     async def read_and_clear_starts(self) -> dict[str, list[dict[str, Any]]]:
         """Return and clear the task starts recorded by each endpoint."""
         names = list(self.dep.endpoints)
-        starts_by_endpoint = await asyncio.gather(
+        records = await asyncio.gather(
             *(self.dep.read_record(name, clear=True) for name in names)
         )
         return {
             name: starts
-            for name, (_, starts) in zip(names, starts_by_endpoint, strict=True)
+            for name, (_, starts) in zip(names, records, strict=True)
         }
 
     async def _count_running_tasks(self) -> int:
-        modes = await asyncio.gather(
+        mode_documents = await asyncio.gather(
             *(
                 self.dep.request('GET', f'{endpoint.control}/mode')
                 for endpoint in self.dep.endpoints.values()
             )
         )
-        return sum(json.loads(mode)['running'] for mode in modes)
+        return sum(
+            json.loads(document)['running'] for document in mode_documents
+        )
 
     async def _compose_contract(self, name: str) -> tasks.Document:
         digest = await self.dep.hash_credential(_credential(name))
--- a/sardineproxy/bench/phases.py
+++ b/sardineproxy/bench/phases.py
@@ -30,6 +30,7 @@
 RIVAL_LOAD = 5.0
 RIVAL_JOB_TASKS = (100, 101)
 
+#: Offered load of the saturated phase, as a fraction of the capacity.
 SATURATED_LOAD = 1.3
 
 #: Fraction of the saturated phase whose submissions are all sent at its start,
--- a/sardineproxy/bench/report.py
+++ b/sardineproxy/bench/report.py
@@ -1,4 +1,4 @@
-"""Figures, printed as ``name: value`` lines as soon as they are known."""
+"""Figures, printed as ``name: value`` lines as soon as they are measured."""
 
 import asyncio
 import contextlib
--- a/sardineproxy/bench/senders.py
+++ b/sardineproxy/bench/senders.py
@@ -106,7 +106,7 @@
     ) -> driver.Outcome:
         """Check the response bodies of all tasks."""
         errors = [
-            task.find_body_fault(body)
+            task.find_body_error(body)
             for task, body in zip(submission.tasks, reply, strict=True)
         ]
         return driver.Outcome(
@@ -224,10 +224,10 @@
         document.get('tasks', ()) if submission.is_job else (document,)
     )
     errors = [
-        task.find_fault(task_result)
+        task.find_error(task_result)
         for task, task_result in zip(submission.tasks, task_results)
     ]
     error = next((text for text in errors if text), None)
     if submission.is_job:
-        error = tasks.find_job_fault(submission.tasks, document)
+        error = tasks.find_job_error(submission.tasks, document)
     return driver.Outcome(correct_tasks=errors.count(None), error=error)
--- a/sardineproxy/bench/slopes_fit.py
+++ b/sardineproxy/bench/slopes_fit.py
@@ -51,7 +51,7 @@
 
 
 class Report:
-    """Prints slopes and figures as soon as they are known."""
+    """Prints slopes and figures as soon as they are measured."""
 
     def __init__(self) -> None:
         """Create a report without figures."""
--- a/sardineproxy/bench/slopes_samples.py
+++ b/sardineproxy/bench/slopes_samples.py
@@ -144,15 +144,15 @@
 
 def make_entry_settings(vm: str = 'entry-00000') -> settings.Settings:
     """Return settings whose ports the kernel chooses."""
-    any_port = settings.Address(host=HOST, port=0)
+    ephemeral_port = settings.Address(host=HOST, port=0)
     return settings.Settings(
         vm=vm,
         zone=ZONE,
         region=REGION,
-        callers=any_port,
-        admin=any_port,
-        peers=any_port,
-        platform=any_port,
+        callers=ephemeral_port,
+        admin=ephemeral_port,
+        peers=ephemeral_port,
+        platform=ephemeral_port,
     )
 
 
--- a/sardineproxy/demo/core.py
+++ b/sardineproxy/demo/core.py
@@ -54,16 +54,16 @@
     if status is not None:
         return status
     try:
-        faults = processes.run(run(count=cfg.tasks, seed=cfg.seed))
+        errors = processes.run(run(count=cfg.tasks, seed=cfg.seed))
     except (processes.DeploymentError, caller.CallerError) as exc:
         sys.stderr.write(f'{exc}\n')
         return exit_status.ExitStatus.ERROR
     except (aiohttp.ClientError, TimeoutError) as exc:
         sys.stderr.write(f'no reply from an entry process: {exc!r}\n')
         return exit_status.ExitStatus.UNAVAILABLE
-    for fault in faults:
-        print(f'WRONG: {fault}')
-    if faults:
+    for error in errors:
+        print(f'WRONG: {error}')
+    if errors:
         return exit_status.ExitStatus.ERROR
     return exit_status.ExitStatus.SUCCESS
 
@@ -71,18 +71,18 @@
 async def run(
     *, count: int, seed: int, module: str = 'sardineproxy'
 ) -> list[str]:
-    """Run the demo with programs of ``module``; return the faults found."""
+    """Run the demo with programs of ``module``; return the errors found."""
     async with deployment.Deployment(module=module) as dep:
         await _start_deployment(dep)
         callers = _create_callers(dep)
         job = _compose_job(count, clocks.new_random(seed))
-        faults = [
+        errors = [
             await _submit_lookup(callers[0]),
             await _submit_stamp(callers[-1], callers[0]),
             await _submit_job(callers[1], job),
             *await _check_records(dep, (LOOKUP, STAMP, *job)),
         ]
-    return [fault for fault in faults if fault]
+    return [error for error in errors if error]
 
 
 async def _start_deployment(dep: deployment.Deployment) -> None:
@@ -143,7 +143,7 @@
         tasks.render_single(LOOKUP, deadline_ms=DEADLINE_MS),
     )
     _print_reply('Certificate lookup', started_at, reply)
-    return LOOKUP.find_fault(reply.document)
+    return LOOKUP.find_error(reply.document)
 
 
 async def _submit_stamp(
@@ -158,7 +158,7 @@
     started_at = time.monotonic()
     repeat = await other_client.submit(caller.REQUESTS_PATH, document, key=key)
     _print_reply('Stamp, same key at another entry VM', started_at, repeat)
-    return STAMP.find_fault(reply.document) or STAMP.find_fault(repeat.document)
+    return STAMP.find_error(reply.document) or STAMP.find_error(repeat.document)
 
 
 async def _submit_job(
@@ -172,7 +172,7 @@
         key=key,
     )
     _print_reply(f'Job of {len(job)} tasks', started_at, reply)
-    return tasks.find_job_fault(job, reply.document)
+    return tasks.find_job_error(job, reply.document)
 
 
 def _compose_job(count: int, rng: random.Random) -> tuple[tasks.Task, ...]:
--- a/sardineproxy/demo/tasks.py
+++ b/sardineproxy/demo/tasks.py
@@ -40,18 +40,18 @@
         """Return the headers that control a stand-in endpoint."""
         return {'X-Task': self.label, 'X-Run-Ms': str(self.run_ms)}
 
-    def find_fault(self, reply: Mapping[str, Any]) -> str | None:
-        """Return the fault of a reply to this task, or None."""
+    def find_error(self, reply: Mapping[str, Any]) -> str | None:
+        """Return the error in a reply to this task, or None."""
         verdict = reply.get('verdict')
         if verdict != verdicts.Verdict.RAN.value:
             code = reply.get('code') or reply.get('problem')
             return f'{self.label}: verdict {verdict} ({code})'
         if reply.get('status') != 200:
             return f'{self.label}: status {reply.get("status")}'
-        return self.find_body_fault(str(reply.get('body_text', '')))
+        return self.find_body_error(str(reply.get('body_text', '')))
 
-    def find_body_fault(self, body_text: str) -> str | None:
-        """Return the fault of the body that an endpoint sent, or None."""
+    def find_body_error(self, body_text: str) -> str | None:
+        """Return the error in the body that an endpoint sent, or None."""
         try:
             echo = json.loads(body_text)
         except ValueError:
@@ -75,17 +75,17 @@
     }
 
 
-def find_job_fault(
+def find_job_error(
     tasks: tuple[Task, ...], reply: Mapping[str, Any]
 ) -> str | None:
-    """Return the first fault of a reply to a job, or None."""
+    """Return the first error in a reply to a job, or None."""
     state, outcomes = reply.get('state'), reply.get('tasks', ())
     if state != 'complete':
         return f'state {state} ({reply.get("code")})'
     if len(outcomes) != len(tasks):
         return f'{len(outcomes)} outcomes for {len(tasks)} tasks'
-    faults = (
-        task.find_fault(outcome)
+    errors = (
+        task.find_error(outcome)
         for task, outcome in zip(tasks, outcomes, strict=True)
     )
-    return next((fault for fault in faults if fault), None)
+    return next((error for error in errors if error), None)
--- a/sardineproxy/standin/endpoint_core.py
+++ b/sardineproxy/standin/endpoint_core.py
@@ -20,6 +20,8 @@
 
 #: Limit of endpoints in one process.
 MAX_COUNT = 256
+
+#: Limit of connections that wait to be accepted.
 BACKLOG = 1024
 
 
@@ -32,7 +34,8 @@
     speeds = _parse_speeds(cfg)
     if speeds is None:
         sys.stderr.write(
-            f'--speeds: expected one or {cfg.count} positive numbers\n'
+            f'--speeds: expected {cfg.count} positive numbers, one for each '
+            'endpoint\n'
         )
         return exit_status.ExitStatus.USAGE
     asyncio.run(_serve(cfg, speeds))
@@ -47,7 +50,8 @@
     flags.DEFINE_integer(
         'port',
         0,
-        'Port of the first endpoint, 0 for any; the others take any port.',
+        'Port of the first endpoint; 0 lets the kernel choose, as for the '
+        'others.',
         0,
         65_535,
         flag_values=cfg,
--- a/sardineproxy/standin/platform_control.py
+++ b/sardineproxy/standin/platform_control.py
@@ -50,7 +50,7 @@
     """Handlers of control requests."""
 
     def __init__(self, *, server: platform_server.PlatformServer) -> None:
-        """Set the faults and the VM list of ``server``."""
+        """Create handlers that change the faults and VM list of ``server``."""
         self._server = server
 
     def add_routes(self, app: web.Application) -> None:
@@ -100,8 +100,8 @@
         return {}
 
     def _set_lose_answers(self, document: Any) -> dict[str, Any]:
-        lose = _LoseAnswers.model_validate(document)
-        self._server.faults.lose_answers = lose.writes
+        lose_answers = _LoseAnswers.model_validate(document)
+        self._server.faults.lose_answers = lose_answers.writes
         return {}
 
     def _set_vms(self, document: Any) -> dict[str, Any]:
--- a/sardineproxy/standin/platform_store.py
+++ b/sardineproxy/standin/platform_store.py
@@ -47,10 +47,10 @@
 
     def copy(self) -> 'Table':
         """Return a copy that later writes do not change."""
-        other = Table()
-        other._rows = dict(self._rows)
-        other._keys = list(self._keys)
-        return other
+        copied_table = Table()
+        copied_table._rows = dict(self._rows)
+        copied_table._keys = list(self._keys)
+        return copied_table
 
     def get(self, key: str) -> platform.Row:
         """Return the row, with revision 0 if it does not exist."""
--- a/sardineproxy/standin/relay_core.py
+++ b/sardineproxy/standin/relay_core.py
@@ -48,7 +48,12 @@
         'host', '127.0.0.1', 'IP address to listen on.', flag_values=cfg
     )
     flags.DEFINE_integer(
-        'port', 0, 'Port of the first relay.', 0, MAX_PORT, flag_values=cfg
+        'port',
+        0,
+        'Port of the first relay; 0 lets the kernel choose, as for the others.',
+        0,
+        MAX_PORT,
+        flag_values=cfg,
     )
     flags.DEFINE_list(
         'target',
--- a/sardineproxy/standin/relay_link.py
+++ b/sardineproxy/standin/relay_link.py
@@ -91,7 +91,7 @@
         target: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         setting: relay_modes.Setting,
     ) -> None:
-        """Prepare to relay between the two."""
+        """Prepare to relay between ``client`` and ``target``."""
         self._writers = (client[1], target[1])
         self._pumps = (
             _Pump(
--- a/sardineproxy/standin/relay_server.py
+++ b/sardineproxy/standin/relay_server.py
@@ -8,6 +8,7 @@
 #: Time limit for a connection to the target.
 CONNECT_TIMEOUT_S = 10
 
+#: Limit of connections that wait to be accepted.
 BACKLOG = 1024
 
 
--- a/sardineproxy/standin/run_checks.py
+++ b/sardineproxy/standin/run_checks.py
@@ -1,4 +1,4 @@
-"""Checks that the runs of modelled workers kept the guarantees for tasks."""
+"""Checks that the runs of modelled workers satisfy the guarantees for tasks."""
 
 import operator
 
--- a/sardineproxy/standin/worker_model.py
+++ b/sardineproxy/standin/worker_model.py
@@ -126,8 +126,8 @@
     def crash(self, now: float) -> None:
         """End all runs; later reports do not list them."""
         self.advance(now)
-        for running in list(self._running.values()):
-            running.record.ended_at = now
+        for active_run in list(self._running.values()):
+            active_run.record.ended_at = now
         self.is_up = False
         self._reset()
 
@@ -146,18 +146,20 @@
         lease_expires_at = self._lease_expires_at()
         by_completion = sorted(
             self._running.values(),
-            key=lambda running: running.completes_at or now,
+            key=lambda active_run: active_run.completes_at or now,
         )
-        for running in by_completion:
-            completes_at = running.completes_at
+        for active_run in by_completion:
+            completes_at = active_run.completes_at
             if completes_at is not None and completes_at <= min(
                 now, lease_expires_at
             ):
-                self._finish_run(running, running.result, completes_at)
+                self._finish_run(active_run, active_run.result, completes_at)
         if lease_expires_at <= now:
-            for running in list(self._running.values()):
+            for active_run in list(self._running.values()):
                 self._finish_run(
-                    running, workers.RunResult.LEASE_EXPIRED, lease_expires_at
+                    active_run,
+                    workers.RunResult.LEASE_EXPIRED,
+                    lease_expires_at,
                 )
 
     def start(
@@ -173,9 +175,9 @@
             return _refused(workers.Refusal.EXPIRED)
         self._mark_unacked_if_expired(now)
         self._extend_lease(order.expires_ms, now)
-        running = self._running.get(order.task)
-        if running is not None:
-            if running.record.run == order.run:
+        active_run = self._running.get(order.task)
+        if active_run is not None:
+            if active_run.record.run == order.run:
                 return workers.Accepted(clock_ms=self.clock_ms(now))
             return _refused(workers.Refusal.OLD_RUN)
         self._start_run(order, now)
@@ -191,9 +193,9 @@
         self._last_closed_run[task] = max(
             run, self._last_closed_run.get(task, 0)
         )
-        running = self._running.get(task)
-        if running is not None and running.record.run <= run:
-            self._finish_run(running, workers.RunResult.STOPPED, now)
+        active_run = self._running.get(task)
+        if active_run is not None and active_run.record.run <= run:
+            self._finish_run(active_run, workers.RunResult.STOPPED, now)
         return workers.Accepted(clock_ms=self.clock_ms(now))
 
     def poll(
@@ -218,10 +220,10 @@
             active=tuple(
                 workers.ActiveRun(
                     task=task,
-                    run=running.record.run,
-                    percent=self._percent(running, now),
+                    run=active_run.record.run,
+                    percent=self._percent(active_run, now),
                 )
-                for task, running in self._running.items()
+                for task, active_run in self._running.items()
             ),
             finished=tuple(self._finished_runs[:MAX_FINISHED_RUNS]),
             is_complete=len(self._finished_runs) < MAX_FINISHED_RUNS,
@@ -273,8 +275,8 @@
     def _start_run(self, order: workers.Order, now: float) -> None:
         work = self._work_of(order.task, order.run)
         used_millicores = sum(
-            running.record.resources.millicores
-            for running in self._running.values()
+            active_run.record.resources.millicores
+            for active_run in self._running.values()
         )
         if (
             used_millicores + work.resources.millicores
@@ -301,9 +303,9 @@
         )
 
     def _finish_run(
-        self, running: _ActiveRun, result: workers.RunResult, now: float
+        self, active_run: _ActiveRun, result: workers.RunResult, now: float
     ) -> None:
-        record = running.record
+        record = active_run.record
         record.ended_at = now
         record.result = result
         self._running.pop(record.task)
@@ -321,11 +323,11 @@
             )
         )
 
-    def _percent(self, running: _ActiveRun, now: float) -> float:
-        if running.completes_at is None:
+    def _percent(self, active_run: _ActiveRun, now: float) -> float:
+        if active_run.completes_at is None:
             return 0
-        started_at = running.record.started_at
-        duration_s = running.completes_at - started_at
+        started_at = active_run.record.started_at
+        duration_s = active_run.completes_at - started_at
         return (
             min(99, int(100 * (now - started_at) / duration_s))
             if duration_s
--- a/tests/bench/test_demo.py
+++ b/tests/bench/test_demo.py
@@ -32,13 +32,13 @@
                 'another',
             ),
         ):
-            error = TASK.find_fault(task_result)
+            error = TASK.find_error(task_result)
             self.assertThat(error, matchers.Contains(expected))
             job_reply = {'state': 'complete', 'tasks': [task_result]}
-            error = tasks.find_job_fault((TASK,), job_reply)
+            error = tasks.find_job_error((TASK,), job_reply)
             self.assertThat(error, matchers.Contains(expected))
 
     def test_reports_job_with_missing_results(self) -> None:
         job_reply = {'state': 'complete', 'tasks': []}
-        error = tasks.find_job_fault((TASK,), job_reply)
+        error = tasks.find_job_error((TASK,), job_reply)
         self.assertThat(error, matchers.Equals('0 outcomes for 1 tasks'))
--- a/tests/bench/test_deployment.py
+++ b/tests/bench/test_deployment.py
@@ -38,7 +38,7 @@
 
 
 class DeploymentTest(testtools.TestCase):
-    """Errors propagate to the caller after all processes were stopped."""
+    """Guards against processes that outlive their deployment."""
 
     def test_stops_all_processes_when_one_fails_to_start(self) -> None:
         """Guards against processes that keep running after a failed set-up.
--- a/tests/scenarios/test_configuration.py
+++ b/tests/scenarios/test_configuration.py
@@ -16,7 +16,8 @@
 
 pytest_bdd.scenarios('features/configuration.feature')
 
-POLL_INTERVAL_S = 2
+#: Interval at which an entry VM polls the platform.
+PLATFORM_POLL_INTERVAL_S = 2
 
 
 async def read_version(world: worlds.World, entry: str) -> int:
@@ -75,7 +76,7 @@
     versions: dict[str, list[int]] = {}
 
     async def poll() -> None:
-        deadline = time.monotonic() + count * POLL_INTERVAL_S
+        deadline = time.monotonic() + count * PLATFORM_POLL_INTERVAL_S
         while time.monotonic() < deadline:
             for entry in world.deployment.entries:
                 numbers = versions.setdefault(entry, [])
--- a/tests/scenarios/test_leaving.py
+++ b/tests/scenarios/test_leaving.py
@@ -34,9 +34,9 @@
 
     async def condition() -> bool:
         # Each attempt has its own label, so that its reply is checked, too.
-        name = f'{label}-{next(numbers)}'
-        await world.submit(name, entry, kind='lookup', run_ms=10)
-        reply = await world.wait_for_reply(name)
+        attempt_label = f'{label}-{next(numbers)}'
+        await world.submit(attempt_label, entry, kind='lookup', run_ms=10)
+        reply = await world.wait_for_reply(attempt_label)
         actual = (reply.status, reply.document.get('verdict'))
         return actual == (status, verdict)
 
--- a/tests/scenarios/test_limits.py
+++ b/tests/scenarios/test_limits.py
@@ -48,7 +48,7 @@
 
 @then(parsers.parse('at most {max_count:d} tasks of "{label}" have started'))
 def check_max_starts(world: worlds.World, max_count: int, label: str) -> None:
-    # 8 slots start 40 tasks a second; the rest of the job needs 40 s.
+    # 8 slots start 40 tasks a second; the whole job would take over 40 s.
     matcher = matchers.Not(matchers.GreaterThan(max_count))
     conftest.assert_matches(
         world.run(world.count_started_tasks(label)), matcher
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -132,7 +132,7 @@
         """
         tasks = tuple(f'{label}-{index}' for index in range(count))
         documents = [
-            _task(task, run_ms=run_ms, idempotent=kind == 'lookup')
+            _render_task(task, run_ms=run_ms, idempotent=kind == 'lookup')
             for task in tasks
         ]
         needs_key = kind != 'lookup'
@@ -282,7 +282,9 @@
         return owned == set(self.deployment.endpoints)
 
 
-def _task(label: str, *, run_ms: int, idempotent: bool) -> dict[str, Any]:
+def _render_task(
+    label: str, *, run_ms: int, idempotent: bool
+) -> dict[str, Any]:
     return {
         'method': 'GET' if idempotent else 'POST',
         'path': '/run',
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -37,13 +37,13 @@
         faults=cfg.faults,
         length_s=cfg.length_s,
     )
-    failed = [
+    failed_seeds = [
         seed
-        for seed in _seeds(cfg)
+        for seed in _select_seeds(cfg)
         if not run_seed(seed, size, log_directory=pathlib.Path(cfg.logs))
     ]
-    sys.stdout.write(f'failed seeds: {failed}\n')
-    return exit_status.ExitStatus.ERROR if failed else _SUCCESS
+    sys.stdout.write(f'failed seeds: {failed_seeds}\n')
+    return exit_status.ExitStatus.ERROR if failed_seeds else _SUCCESS
 
 
 _SUCCESS = exit_status.ExitStatus.SUCCESS
@@ -62,11 +62,13 @@
     seed: int, size: soak_run.Size, *, log_directory: pathlib.Path
 ) -> bool:
     """Run one seed, print its report, and keep the logs of a failed run."""
-    started = time.monotonic()
-    with tempfile.TemporaryDirectory(prefix='sardineproxy-soak-') as name:
-        directory = pathlib.Path(name)
+    started_at = time.monotonic()
+    with tempfile.TemporaryDirectory(
+        prefix='sardineproxy-soak-'
+    ) as directory_name:
+        directory = pathlib.Path(directory_name)
         report = asyncio.run(soak_run.run(seed, size, directory))
-        duration_s = time.monotonic() - started
+        duration_s = time.monotonic() - started_at
         sys.stdout.write(f'seed {seed}: {report.summary}, {duration_s:.0f} s\n')
         if not report.violations:
             return True
@@ -80,14 +82,14 @@
     return False
 
 
-def _seeds(cfg: flags.FlagValues) -> list[int]:
+def _select_seeds(cfg: flags.FlagValues) -> list[int]:
     if cfg.cases:
         return read_cases()
     if cfg.seed is None:
-        first = random.SystemRandom().randrange(MAX_SEED)
+        first_seed = random.SystemRandom().randrange(MAX_SEED)
     else:
-        first = cfg.seed
-    return list(range(first, first + cfg.count))
+        first_seed = cfg.seed
+    return list(range(first_seed, first_seed + cfg.count))
 
 
 def _define_flags() -> flags.FlagValues:
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -82,50 +82,55 @@
 
 def _check_replies(fleet: fleet.Fleet) -> Iterator[str]:
     """Check that refused jobs never start and completed jobs are complete."""
-    started: dict[str, set[str]] = {}
-    done: dict[str, set[str]] = {}
+    started_tasks: dict[str, set[str]] = {}
+    done_tasks: dict[str, set[str]] = {}
     for record in _records(fleet):
         job = record.task.partition('.')[0]
-        started.setdefault(job, set()).add(record.task)
+        started_tasks.setdefault(job, set()).add(record.task)
         if record.result is workers.RunResult.DONE:
-            done.setdefault(job, set()).add(record.task)
+            done_tasks.setdefault(job, set()).add(record.task)
     for job, attempts in fleet.trace.attempts.items():
         statuses = {attempt.status for attempt in attempts}
-        if statuses == {503} and job in started:
+        if statuses == {503} and job in started_tasks:
             yield f'{job} was refused, but was started'
         states = {attempt.state for attempt in attempts}
-        count = fleet.trace.jobs[job].tasks
-        if 'completed' in states and len(done.get(job, ())) != count:
-            yield f'{job} was reported as completed, done: {done.get(job)}'
-        unexpected = statuses.difference({200, 503, 504, None})
-        if unexpected:
-            yield f'{job} got replies with the statuses {unexpected}'
+        task_count = fleet.trace.jobs[job].tasks
+        if 'completed' in states and len(done_tasks.get(job, ())) != task_count:
+            yield (
+                f'{job} was reported as completed, done: {done_tasks.get(job)}'
+            )
+        unexpected_statuses = statuses.difference({200, 503, 504, None})
+        if unexpected_statuses:
+            yield f'{job} got replies with the statuses {unexpected_statuses}'
 
 
 def _check_stored(fleet: fleet.Fleet) -> Iterator[str]:
     """Check that accepted jobs are stored and report their tasks' results."""
-    done: dict[str, set[str]] = {}
+    done_tasks: dict[str, set[str]] = {}
     for record in _records(fleet):
         if record.result is workers.RunResult.DONE:
             job = record.task.partition('.')[0]
-            done.setdefault(job, set()).add(record.task)
+            done_tasks.setdefault(job, set()).add(record.task)
     for name, job_record in fleet.trace.jobs.items():
         attempts = fleet.trace.attempts[name]
         is_accepted = any(attempt.status == 200 for attempt in attempts)
         if not job_record.is_stored or not is_accepted:
             continue
-        allowed = {'completed', 'failed'}
+        allowed_states = {'completed', 'failed'}
         if job_record.is_cancelled:
-            allowed.add('cancelled')
-        if job_record.state not in allowed:
+            allowed_states.add('cancelled')
+        if job_record.state not in allowed_states:
             yield (
                 f'{name} was accepted, but is {job_record.state or "not known"}'
             )
         if (
             job_record.state == 'completed'
-            and len(done.get(name, ())) != job_record.tasks
+            and len(done_tasks.get(name, ())) != job_record.tasks
         ):
-            yield f'{name} was reported as completed, done: {done.get(name)}'
+            yield (
+                f'{name} was reported as completed, done: '
+                f'{done_tasks.get(name)}'
+            )
 
 
 def _check_missing_replies(trace: trace.Trace) -> Iterator[str]:
@@ -169,12 +174,14 @@
 def _check_versions(fleet: fleet.Fleet) -> Iterator[str]:
     """Check that versions are active in time and are never rolled back."""
     trace = fleet.trace
-    newest: dict[tuple[str, int], int] = {}
+    newest_versions: dict[tuple[str, int], int] = {}
     for observation in trace.version_observations:
         process = (observation.vm, observation.start)
-        if observation.version < newest.get(process, 0):
+        if observation.version < newest_versions.get(process, 0):
             yield f'{observation.vm} went back to version {observation.version}'
-        newest[process] = max(observation.version, newest.get(process, 0))
+        newest_versions[process] = max(
+            observation.version, newest_versions.get(process, 0)
+        )
         since = observation.requested_at - UNDISTURBED_S - CONFIG_APPLY_S
         is_undisturbed = trace.is_undisturbed(
             observation.vm, since, observation.replied_at
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -103,7 +103,7 @@
     def _choose_worker(self) -> worker.Worker:
         return self._rng.choice(list(self._fleet.workers.values()))
 
-    async def _record_for(
+    async def _record_and_wait(
         self, target: str, kind: str, duration_s: float
     ) -> None:
         """Record a fault of a target, and wait for its duration."""
@@ -121,16 +121,19 @@
     async def _kill_leader(self, duration_s: float) -> None:
         """Kill the VM that holds the newest claim of a shard."""
         claims = self._fleet.rows.read('sardineproxy', start='cell/').rows
-        newest = max(
+        newest_claim = max(
             (row for row in claims if row.key.startswith('sardineproxy/cell/')),
             key=lambda row: row.revision,
             default=None,
         )
-        if newest is None or newest.body is None:
+        if newest_claim is None or newest_claim.body is None:
             return
         # The first list in a claim is its owner, a VM and an incarnation.
         for entry_vm in self._fleet.vms.values():
-            if f'"{entry_vm.name}"'.encode() in newest.body.split(b']')[0]:
+            if (
+                f'"{entry_vm.name}"'.encode()
+                in newest_claim.body.split(b']')[0]
+            ):
                 await self._kill_and_restart(entry_vm, duration_s)
 
     async def _kill_all(self, duration_s: float) -> None:
@@ -167,7 +170,7 @@
     async def _freeze(self, duration_s: float) -> None:
         target = self._choose_vm()
         target.send_signal(signal.SIGSTOP)
-        await self._record_for(target.name, 'freeze', duration_s)
+        await self._record_and_wait(target.name, 'freeze', duration_s)
         target.send_signal(signal.SIGCONT)
 
     async def _reload(self, duration_s: float) -> None:
@@ -186,12 +189,12 @@
         )
         self._fleet.store.fault_probability = self._rng.choice((0.3, 1))
         kind = f'store {self._fleet.store.fault.value}'
-        await self._record_for('store', kind, duration_s)
+        await self._record_and_wait('store', kind, duration_s)
         self._fleet.store.fault = _StoreFault.NONE
 
     async def _store_slow(self, duration_s: float) -> None:
         self._fleet.store.delay_s = self._rng.uniform(0.1, 0.5)
-        await self._record_for('store', 'slow', duration_s)
+        await self._record_and_wait('store', 'slow', duration_s)
         self._fleet.store.delay_s = 0
 
     async def _store_history_lost(self, duration_s: float) -> None:
@@ -220,7 +223,7 @@
         target = self._choose_vm()
         target.front.apply(relay_modes.Setting(mode=_Mode.CUT))
         target.front.apply(relay_modes.Setting())
-        await self._record_for(target.name, 'clients reset', 0.01)
+        await self._record_and_wait(target.name, 'clients reset', 0.01)
 
     async def _worker_link(self, duration_s: float) -> None:
         target = self._choose_worker()
@@ -242,7 +245,7 @@
             entry_vm.links.apply(setting)
         await asyncio.gather(
             *(
-                self._record_for(name, 'zone isolated', duration_s)
+                self._record_and_wait(name, 'zone isolated', duration_s)
                 for name in self._fleet.vms
             )
         )
@@ -266,7 +269,7 @@
         relay.apply(
             relay_modes.Setting(mode=mode, scope=scope, delay_ms=DELAY_MS)
         )
-        await self._record_for(
+        await self._record_and_wait(
             target, f'{kind} {mode.value} {scope.value}', duration_s
         )
         if not is_permanent:
@@ -277,7 +280,7 @@
     async def _worker_crash(self, duration_s: float) -> None:
         target = self._choose_worker()
         target.crash()
-        await self._record_for(target.name, 'crash', duration_s)
+        await self._record_and_wait(target.name, 'crash', duration_s)
         target.restart()
 
     async def _worker_removed(self, duration_s: float) -> None:
@@ -296,7 +299,7 @@
     async def _worker_delayed(self, duration_s: float) -> None:
         target = self._choose_worker()
         target.server.order_delay_s = self._rng.uniform(0.3, 4)
-        await self._record_for(target.name, 'late', duration_s)
+        await self._record_and_wait(target.name, 'late', duration_s)
         target.server.order_delay_s = 0
 
     async def _worker_faulty(self, duration_s: float) -> None:
@@ -305,7 +308,7 @@
         target.fails = kind == 'fails'
         target.hangs = kind == 'hangs'
         target.server.is_unhealthy = kind == 'unhealthy'
-        await self._record_for(target.name, kind, duration_s)
+        await self._record_and_wait(target.name, kind, duration_s)
         target.fails = False
         target.hangs = False
         target.server.is_unhealthy = False
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -53,7 +53,7 @@
         #: Workers that were removed permanently.
         self.removed_workers: list[worker.Worker] = []
         self._directory = directory
-        self._counts = (vms, workers)
+        self._vm_and_worker_counts = (vms, workers)
         self._unready: set[str] = set()
         self._failed_checks: dict[str, int] = {}
         self._tasks: list[asyncio.Task[None]] = []
@@ -105,13 +105,15 @@
         zone_vms = [
             entry_vm for entry_vm in self.vms.values() if entry_vm.zone == zone
         ]
-        ready = [
+        ready_vms = [
             entry_vm
             for entry_vm in zone_vms
             if entry_vm.name not in self._unready
         ]
-        candidates = ready if 2 * len(ready) >= len(zone_vms) else zone_vms
-        if not ready:
+        candidates = (
+            ready_vms if 2 * len(ready_vms) >= len(zone_vms) else zone_vms
+        )
+        if not ready_vms:
             other_zone_vms = [
                 entry_vm
                 for entry_vm in self.vms.values()
@@ -169,7 +171,7 @@
         )
 
     async def _add_workers(self) -> None:
-        for number in range(self._counts[1]):
+        for number in range(self._vm_and_worker_counts[1]):
             new_worker = worker.Worker(
                 name=f'w{number}',
                 zone=self.zones[number % len(self.zones)],
@@ -183,7 +185,7 @@
     async def _add_vms(self, address: deployment.Address) -> None:
         # Concurrent runs must use different addresses.
         high, low = divmod(os.getpid() % 62_500, 250)
-        for number in range(self._counts[0]):
+        for number in range(self._vm_and_worker_counts[0]):
             new_vm = vm.Vm(
                 name=f'vm{number}',
                 zone=self.zones[number % len(self.zones)],
--- a/tests/soak/stored_client.py
+++ b/tests/soak/stored_client.py
@@ -28,11 +28,11 @@
         self, *, zone: str, fleet: fleet.Fleet, rng: random.Random
     ) -> None:
         super().__init__(zone=zone, fleet=fleet, rng=rng)
-        self._gives_up_at = float('inf')
+        self._polls_until = float('inf')
 
     async def close(self) -> None:
         """Wait for the completion of all accepted jobs, up to a timeout."""
-        self._gives_up_at = self._fleet.clock.now() + COMPLETION_TIMEOUT_S
+        self._polls_until = self._fleet.clock.now() + COMPLETION_TIMEOUT_S
         await super().close()
 
     def body(self, job_record: trace.SubmittedJob) -> dict[str, object]:
@@ -51,7 +51,7 @@
         if self._rng.random() < CANCEL_SHARE:
             job_record.is_cancelled = True
             await self._query_state('DELETE', job)
-        while self._fleet.clock.now() < self._gives_up_at:
+        while self._fleet.clock.now() < self._polls_until:
             await asyncio.sleep(POLL_INTERVAL_S)
             job_record.state = (
                 await self._query_state('GET', job) or job_record.state
--- a/tests/soak/vm.py
+++ b/tests/soak/vm.py
@@ -132,11 +132,11 @@
             await asyncio.wait_for(self._process.wait(), grace_s)
         await self.kill()
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signum: signal.Signals) -> None:
         """Send a signal to the process if it runs."""
         if self._process is not None and self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                self._process.send_signal(number)
+                self._process.send_signal(signum)
 
     @property
     def exit_status(self) -> int | None:
--- a/tests/standin/test_platform.py
+++ b/tests/standin/test_platform.py
@@ -25,7 +25,7 @@
 
 
 class StoreTest(testtools.TestCase):
-    """VM lists are stored with their times, and the size limit applies."""
+    """Guards against the VM list of another time and an exceeded size limit."""
 
     def test_returns_the_list_in_force_at_a_time(self):
         store = platform_store.Store()
@@ -37,16 +37,16 @@
     def test_has_no_capacity_beyond_its_limit(self):
         store = platform_store.Store()
         store.put_object('a', bytes(1000))
-        remaining = platform_store.MAX_TOTAL_BYTES - 1000
+        remaining_bytes = platform_store.MAX_TOTAL_BYTES - 1000
         results = (
-            store.has_capacity(remaining),
-            store.has_capacity(remaining + 1),
+            store.has_capacity(remaining_bytes),
+            store.has_capacity(remaining_bytes + 1),
         )
         self.assertThat(results, matchers.Equals((True, False)))
 
 
 class RateLimitTest(testtools.TestCase):
-    """The bucket refuses requests above the rate."""
+    """Guards against a bucket that admits requests above the rate."""
 
     def test_refills_with_time(self):
         limit = platform_faults.RateLimit(per_s=2)
@@ -63,7 +63,7 @@
 
 
 class ServerTest(testtools.TestCase):
-    """Requests beyond a limit are refused; only set faults take effect."""
+    """Guards against exceeded limits, and faults that affect other requests."""
 
     def test_responds_with_429_above_its_rates(self):
         async def send_requests(client):
@@ -117,7 +117,7 @@
 
 
 class ProgramTest(testtools.TestCase):
-    """The program prints its port and exits on SIGTERM."""
+    """Guards against a program that prints no port or ignores SIGTERM."""
 
     def test_announces_its_port_and_exits_on_sigterm(self):
         command = [sys.executable, '-m', 'sardineproxy', 'standin-platform']
--- a/tests/standin/test_relay.py
+++ b/tests/standin/test_relay.py
@@ -81,15 +81,15 @@
 
     def test_scope_open_silences_only_open_connections(self) -> None:
         async def scenario(echo_relay: _EchoRelay) -> None:
-            silent = await echo_relay.connect()
+            silent_conn = await echo_relay.connect()
             self.assertThat(
-                await _send_and_receive(silent), matchers.Equals(b'ab')
+                await _send_and_receive(silent_conn), matchers.Equals(b'ab')
             )
             await echo_relay.set_mode('silent', scope='open')
-            pending = asyncio.create_task(_send_and_receive(silent))
-            new = await echo_relay.connect()
+            pending = asyncio.create_task(_send_and_receive(silent_conn))
+            new_conn = await echo_relay.connect()
             self.assertThat(
-                await _send_and_receive(new), matchers.Equals(b'ab')
+                await _send_and_receive(new_conn), matchers.Equals(b'ab')
             )
             self.assertFalse(pending.done())
             await echo_relay.set_mode('pass')
@@ -106,8 +106,8 @@
                 await reader.read(1)
             # The reset of a new connection may arrive during the connect.
             with testtools.ExpectedException(ConnectionResetError):
-                new, _ = await echo_relay.connect()
-                await new.read(1)
+                new_reader, _ = await echo_relay.connect()
+                await new_reader.read(1)
             await echo_relay.wait_until(open=0)
 
         _run_scenario(scenario)
